--- a/check/check.go
+++ b/check/check.go
@@ -1,6 +1,6 @@
-// Package check decides when which box of a pool is checked, and what the answers make of it: rise and fall counts, times that are
-// spread, a bound on checks at once. It is pure: no I/O, no clock, no goroutine. A verdict is one fact beside others: what a pool
-// does with it, and that checks never empty one, is package merge's.
+// Package check schedules the health checks of a pool and turns their results into verdicts, with rise and fall counts, jitter
+// and a limit on concurrent checks. It is pure: no I/O, no clock, no goroutine. It doesn't decide what a verdict changes in a pool:
+// package merge does, and it keeps checks from emptying one.
 package check
 
 import (
@@ -11,58 +11,58 @@
 	"glencart/wheel"
 )
 
-// Config says how boxes are checked.
+// Config holds the settings of the checks of a pool.
 type Config struct {
-	Every  time.Duration // between two checks of a box; 0: EveryDefault
-	Rise   int           // so many good answers in a row make a box that was down up; 0: RiseDefault
-	Fall   int           // and so many bad ones one that was up down; 0: FallDefault
-	AtOnce int           // so many checks are out at once at the most; 0: AtOnceDefault
+	Every  time.Duration // interval between two checks of a backend; 0: EveryDefault
+	Rise   int           // consecutive successes after which a backend that is down is up; 0: RiseDefault
+	Fall   int           // consecutive failures after which a backend that is up is down; 0: FallDefault
+	AtOnce int           // maximum number of concurrent checks; 0: AtOnceDefault
 }
 
-// Defaults.
+// Defaults of Config, and limits.
 const (
 	EveryDefault, RiseDefault, FallDefault, AtOnceDefault = 5 * time.Second, 2, 3, 64
-	// EveryLeast is the shortest time between two checks of a box.
+	// EveryLeast is the shortest interval between two checks of a backend.
 	EveryLeast = 100 * time.Millisecond
-	// jitter is the part of Every by which a wait is longer or shorter: a fleet that began together does not go on together.
+	// jitter is the part of Every by which an interval varies, so that processes that start together don't stay synchronized.
 	jitter = 0.1
 )
 
-// Ask is a check that is to be made now. Every one that is made comes back as a Result, once.
+// Ask is a check to make now. The caller passes the outcome of each to Result, once.
 type Ask struct {
 	Box, Addr string
 	Token     uint64
 }
 
-// Verdict is what has changed for a box.
+// Verdict is a change of state of one backend.
 type Verdict struct {
 	Box, Addr string
 	Up        bool
-	Why       string // the last answer's
+	Why       string // cause of the last result
 }
 
-// Checks are the checks of one pool.
+// Checks holds the health checks of one pool. New returns one.
 type Checks struct {
 	cfg    Config
 	rng    *rand.Rand
 	boxes  map[string]*box
 	wheel  *wheel.Wheel[*box]
-	late   []*box          // due, and no room
-	out    map[uint64]*box // checks that are out
+	late   []*box          // due, and waiting because AtOnce checks are in flight
+	out    map[uint64]*box // checks in flight, by token
 	tokens uint64
 }
 
 type box struct {
 	id, addr string
-	up, met  bool // met: it has answered well at least once
-	row      int  // answers in a row that speak against its state
+	up, met  bool // met: at least one check has succeeded
+	row      int  // consecutive results that contradict up
 	alarm    wheel.ID
-	token    uint64 // of the check that is out; 0: none is
+	token    uint64 // of the check in flight; 0: none
 	waits    bool   // in late
 	gone     bool
 }
 
-// New returns checks of no box. The seed is the process's own.
+// New returns Checks without backends. The seed differs from process to process.
 func New(cfg Config, seed uint64, now time.Duration) *Checks {
 	cfg.Every = max(cmp.Or(cfg.Every, EveryDefault), EveryLeast)
 	cfg.Rise, cfg.Fall, cfg.AtOnce = cmp.Or(cfg.Rise, RiseDefault), cmp.Or(cfg.Fall, FallDefault), cmp.Or(cfg.AtOnce, AtOnceDefault)
@@ -70,8 +70,9 @@
 		wheel: wheel.New[*box](0, now)}
 }
 
-// Set has a box checked, first within one wait, at a time drawn anew. A box with another address is another box: it is taken for up
-// until checks say something else, and a check that is out for the old one says nothing. It tells whether that is news.
+// Set adds a backend to the checks. The first check comes at a random time within one interval. A backend with a new address counts
+// as a new one: it is up until checks fail, and the result of a check of the old address is ignored. Set reports whether it
+// changed anything.
 func (c *Checks) Set(now time.Duration, id, addr string) bool {
 	if b := c.boxes[id]; b != nil {
 		if b.addr == addr {
@@ -85,7 +86,7 @@
 	return true
 }
 
-// Remove has a box checked no more.
+// Remove stops the checks of a backend.
 func (c *Checks) Remove(id string) {
 	b := c.boxes[id]
 	if b == nil {
@@ -98,10 +99,11 @@
 
 func (c *Checks) arm(b *box, at time.Duration) { b.alarm = c.wheel.Arm(at, b) }
 
-// Next is when Due wants to be called at the latest; false: never. With checks that wait for room it is with the next Result.
+// Next returns the latest time for the next call of Due; false: nothing is scheduled. Checks that wait for a free slot start at the
+// call of Due after the next Result.
 func (c *Checks) Next() (time.Duration, bool) { return c.wheel.Next() }
 
-// Due appends the checks that are to be made now to asks.
+// Due appends the checks to make now to asks.
 func (c *Checks) Due(now time.Duration, asks []Ask) []Ask {
 	c.wheel.Advance(now, func(_ time.Duration, b *box) {
 		if !b.waits {
@@ -124,7 +126,7 @@
 	return asks
 }
 
-// Result takes in how a check ended. It tells what that changes for its box; nil: nothing.
+// Result records the outcome of a check. It returns the resulting change of the backend; nil: none.
 func (c *Checks) Result(now time.Duration, token uint64, ok bool, why string) *Verdict {
 	b := c.out[token]
 	delete(c.out, token)
@@ -143,7 +145,7 @@
 	case ok:
 		need = c.cfg.Rise
 	case !b.met:
-		need = 1 // one that has never answered has nothing to lose
+		need = 1 // a backend that has never answered has no good state to protect from a single failure
 	}
 	if b.row < need {
 		return nil
@@ -152,14 +154,14 @@
 	return &Verdict{Box: b.id, Addr: b.addr, Up: ok, Why: why}
 }
 
-// Up tells whether a box is taken for up, and whether it is checked at all.
+// Up reports whether a backend counts as up, and whether it is checked at all.
 func (c *Checks) Up(id string) (up, known bool) {
 	b := c.boxes[id]
 	return b != nil && b.up, b != nil
 }
 
-// Out is how many checks are out, and Len how many boxes are checked.
+// Out returns the number of checks in flight.
 func (c *Checks) Out() int { return len(c.out) }
 
-// Len is how many boxes are checked.
+// Len returns the number of backends that are checked.
 func (c *Checks) Len() int { return len(c.boxes) }
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pool is boxes that are well or not, and answer a check after a while.
+// pool simulates backends that are healthy or not, and that answer a check after a delay.
 type pool struct {
 	t       *testing.T
 	c       *Checks
@@ -45,7 +45,7 @@
 		for _, a := range p.c.Due(p.now, nil) {
 			for _, o := range p.pending {
 				if o.Box == a.Box && o.Addr == a.Addr {
-					p.t.Fatalf("%v: two checks of %s at once", p.now, a.Box)
+					p.t.Fatalf("%v: two concurrent checks of %s", p.now, a.Box)
 				}
 			}
 			p.asked[a.Box] = append(p.asked[a.Box], p.now)
@@ -55,7 +55,8 @@
 	}
 }
 
-// What answers make of a box: a row turns it, anything else does not; one that has never answered is down at its first failure.
+// Guards against verdicts that ignore the rise and fall counts: only enough consecutive results change the state. A backend that
+// has never answered goes down at its first failure.
 func TestRiseAndFall(t *testing.T) {
 	for _, tc := range []struct{ answers, verdicts string }{
 		{"+", ""}, {"-", "d"}, {"+--", ""}, {"+---", "d"}, {"+--+--", ""}, {"+---+", "d"}, {"+---++", "du"}, {"+---+-+", "d"},
@@ -66,7 +67,7 @@
 		got, now := "", time.Duration(0)
 		for _, answer := range tc.answers {
 			var asks []Ask
-			for range 100 { // Next may be sooner than what is due
+			for range 100 { // Next may return an earlier time than that of the next check
 				next, ok := c.Next()
 				if !ok {
 					t.Fatalf("%s: nothing is due", tc.answers)
@@ -92,8 +93,8 @@
 	}
 }
 
-// Boxes that come, go and move while checks are out: a check of what was there before says nothing of what is there now, each box
-// is checked about once in Every, never twice at once, and no more at once than there is room for.
+// Guards against stale, missing and concurrent checks while backends are added, removed and moved. A check of an old address
+// doesn't affect the new one. Each backend is checked about once in Every, never twice at once, and AtOnce bounds all checks.
 func TestBoxesComeAndGo(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -120,17 +121,17 @@
 			p.run(time.Duration(rng.IntN(300)) * time.Millisecond)
 			for id := range p.heard {
 				if addr[id] == "" && len(p.heard[id]) > 0 {
-					t.Fatalf("seed %d: a verdict on %s, which is gone", seed, id)
+					t.Fatalf("seed %d: a verdict on %s, which is removed", seed, id)
 				}
 			}
 		}
-		p.run(20 * time.Second) // it has settled
+		p.run(20 * time.Second) // time to settle
 		if p.most > cfg.AtOnce || p.c.Len() != len(addr) {
-			t.Errorf("seed %d: %d checks at once, %d boxes of %d", seed, p.most, p.c.Len(), len(addr))
+			t.Errorf("seed %d: %d concurrent checks, %d backends of %d", seed, p.most, p.c.Len(), len(addr))
 		}
 		for id, a := range addr {
 			if up, known := p.c.Up(id); !known || up == p.sick[a] {
-				t.Errorf("seed %d: %s is sick %t, taken for up %t, known %t", seed, id, p.sick[a], up, known)
+				t.Errorf("seed %d: %s is unhealthy %t, reported up %t, known %t", seed, id, p.sick[a], up, known)
 			}
 		}
 		for id := range addr {
@@ -140,7 +141,7 @@
 					n++
 				}
 			}
-			if n < 5 || n > 11 { // an answer takes 0.3 s, and may wait for room
+			if n < 5 || n > 11 { // an answer takes 0.3 s and may wait for a free slot
 				t.Errorf("seed %d: %s was checked %d times in 10 s", seed, id, n)
 			}
 		}
@@ -149,12 +150,13 @@
 		}
 		p.run(2 * time.Second)
 		if _, some := p.c.Next(); some || p.c.Out() > 0 || len(p.c.late) > 0 {
-			t.Errorf("seed %d: something is left of no box: %d out, %d late", seed, p.c.Out(), len(p.c.late))
+			t.Errorf("seed %d: checks remain without backends: %d in flight, %d late", seed, p.c.Out(), len(p.c.late))
 		}
 	}
 }
 
-// A fleet that begins in one second with the same boxes does not check them together, then or later.
+// Guards against synchronized checks: many processes that start within the same second with the same backends would check them
+// all at once, at the start or later.
 func TestFleetIsSpread(t *testing.T) {
 	const nodes, every = 300, 2 * time.Second
 	at := map[time.Duration]int{}
--- a/internal/living/living.go
+++ b/internal/living/living.go
@@ -1,5 +1,5 @@
-// Package living has a front live by package life: it tells it what happens and what is seen, with the time, and does what it
-// decides. The platform's node and the server of an installation of one's own are fronts.
+// Package living runs the lifecycle of package life for a front: it passes events with the time to a Life and calls the front for
+// each action. It decides nothing itself. The fronts are the node of the platform and the server of a standalone installation.
 package living
 
 import (
@@ -10,19 +10,19 @@
 	"glencart/life"
 )
 
-// LookEvery is how often a front that is to end looks at what is open.
+// LookEvery is the interval between two snapshots of the open connections during a shutdown.
 const LookEvery = 10 * time.Millisecond
 
-// Front does what a life decides. It is called by one goroutine at a time, and calls nothing here.
+// Front carries out the actions of a Life. Only one goroutine at a time calls it, and it must not call back into this package.
 type Front interface {
-	Ready(is bool)        // it may call itself ready, or not any more: then it is to end
-	AnswerBy(t time.Time) // every request that is open, and every one that comes, is answered by then
-	StopAccepting()       // no new connections, and none gives way any more
-	CloseAnswered()       // each answer closes its connection from here on
-	CloseQuiet(half bool) // connections are closed that nothing has come on; half: also those with no whole request
+	Ready(is bool)        // readiness to report; false: the shutdown has begun
+	AnswerBy(t time.Time) // answer every open and every new request by then
+	StopAccepting()       // accept no new connections; idle ones no longer close to make room
+	CloseAnswered()       // close each connection with its answer from now on
+	CloseQuiet(half bool) // close connections on which nothing has arrived; half: also those without a complete request
 }
 
-// Living is the life of one front. New returns one.
+// Living is the lifecycle of one front. New returns one.
 type Living struct {
 	front Front
 	born  time.Time
@@ -32,17 +32,17 @@
 	actions []life.Action
 }
 
-// New returns a front's life, which begins now.
+// New returns the lifecycle of a front. Its clock starts now.
 func New(l *life.Life, f Front) *Living { return &Living{front: f, born: time.Now(), life: l} }
 
-// Left is how long the front has, if it is told to end.
+// Left returns how long the front has until its end. It is valid once the shutdown has begun.
 func (v *Living) Left() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.life.End() - time.Since(v.born)
 }
 
-// Tell tells the life of an event and obeys. It reports true once the front is to end now.
+// Tell passes an event to the Life and carries out its actions. It reports true once the front has to end now.
 func (v *Living) Tell(ev life.Event) (ended bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -68,8 +68,8 @@
 	return ended
 }
 
-// Leave has the front look at what stands, and obey, until it is to end. It has been told so. served is closed, or tells, once
-// nobody is accepted any more; see is told whether that is still to come.
+// Leave runs the shutdown that an earlier Tell began: it passes a snapshot from see to the Life every LookEvery, until the front
+// has to end. served is closed, or receives a value, once no more connections are accepted. The argument of see is true until then.
 func (v *Living) Leave(served <-chan error, see func(accepting bool) life.Event) {
 	accepting := true
 	for ended := false; !ended; {
@@ -85,13 +85,14 @@
 	}
 }
 
-// Lag is how long a word to a loop takes now. Its zero value knows of none.
+// Lag measures the delay of a loop: the time from posting a function to its execution. The zero value is ready to use.
 type Lag struct {
-	posted atomic.Pointer[time.Time] // when the word that is under way was given; nil: none is
-	last   atomic.Int64              // how long the last one took, ns
+	posted atomic.Pointer[time.Time] // when the pending function was posted; nil: none is pending
+	last   atomic.Int64              // the last delay in ns
 }
 
-// Measure gives the loop a word, if none is under way, and returns how long the last one took, or this one has by now.
+// Measure posts a function to the loop if none is pending. It returns the last delay, or the time that the pending one has waited if
+// that is longer.
 func (l *Lag) Measure(post func(func()) bool) time.Duration {
 	if at := l.posted.Load(); at != nil {
 		if waits := int64(time.Since(*at)); waits > l.last.Load() {
@@ -105,13 +106,13 @@
 		l.last.Store(int64(time.Since(now)))
 		l.posted.Store(nil)
 	}) {
-		l.posted.Store(nil) // the loop has ended: it is not late
+		l.posted.Store(nil) // the loop has ended, so it is not late
 	}
 	return time.Duration(l.last.Load())
 }
 
-// Book counts requests from when they are taken to when their answer is handed to their connection.
+// Book counts requests from when they are accepted until their answer is passed to the connection.
 type Book struct{ Taken, Answered, Left atomic.Int64 }
 
-// Open is how many have neither an answer nor lost their client.
+// Open returns the number of requests that have no answer and whose client is still connected.
 func (b *Book) Open() int64 { return b.Taken.Load() - b.Answered.Load() - b.Left.Load() }
--- a/life/life_test.go
+++ b/life/life_test.go
@@ -8,31 +8,31 @@
 
 const ms = time.Millisecond
 
-// A world drives a life: connections with requests on them, a listener's queue, a platform that kills. Its node obeys as the
-// real one does, and the world checks what must hold.
+// A world simulates what surrounds a Life: connections with requests, the accept queue of a listener, and a platform that sends
+// SIGKILL. It carries out the actions as the real node does, and checks the invariants.
 type world struct {
 	t        failer
 	l        *Life
 	terms    Terms
 	now      time.Duration
 	log      []string
-	deadline time.Duration // of the settings
+	deadline time.Duration // the longest in the settings
 	conns    []conn
-	queue    []time.Duration // requests that wait to be let in, and until when
+	queue    []time.Duration // requests that wait to be accepted, each with the time until which it waits
 
 	opened, accepting, ready, closes, ended bool
 	answerBy                                time.Duration
 	toldAt                                  time.Duration
 	kill                                    time.Duration // when SIGKILL may come
-	lag                                     time.Duration // of the loop: answers come so much after their time
-	mute                                    bool          // backends never answer: answers come at their time, or by answerBy
-	lost                                    int           // taken and not answered
-	catches, inHand                         bool          // one is let in, and not counted yet, as the listener closes
+	lag                                     time.Duration // of the loop: each answer is that late
+	mute                                    bool          // backends never answer: answers come at their deadline, or by answerBy
+	lost                                    int           // requests accepted and not answered
+	catches, inHand                         bool          // a connection is accepted while the listener closes, and not counted yet
 }
 
 type conn struct {
 	half, asked bool
-	due         time.Duration // of the answer
+	due         time.Duration // when the answer is due
 }
 
 type failer interface{ Fatalf(string, ...any) }
@@ -45,21 +45,21 @@
 	w.t.Fatalf("%s; %s; %v", fmt.Sprintf(format, args...), w.l, w.log)
 }
 
-// tell gives the life an event and does what it answers.
+// tell passes an event to the Life and carries out its actions.
 func (w *world) tell(ev Event) {
 	before := w.l.Phase()
 	for _, a := range w.l.Handle(w.now, ev, nil) {
 		switch a.Kind {
 		case BeReady:
 			if !w.opened || w.ready || w.l.Told() {
-				w.fail("ready, opened %t", w.opened)
+				w.fail("BeReady twice, before Opened or during the shutdown; opened %t", w.opened)
 			}
 			w.ready = true
 		case BeUnready:
 			w.ready = false
 		case AnswerBy:
 			if w.answerBy > 0 && a.At > w.answerBy {
-				w.fail("answers are due later than was said: %v, %v", w.answerBy, a.At)
+				w.fail("AnswerBy moved from %v to the later %v", w.answerBy, a.At)
 			}
 			w.answerBy = a.At
 			for i := range w.conns {
@@ -95,10 +95,10 @@
 		}
 	}
 	if w.l.Phase() < before {
-		w.fail("from %s back to %s", before, w.l.Phase())
+		w.fail("phase went back from %s to %s", before, w.l.Phase())
 	}
 	if w.l.Told() && w.ready {
-		w.fail("ready after it was told to end")
+		w.fail("ready after the shutdown began")
 	}
 }
 
@@ -113,7 +113,7 @@
 	w.tell(Event{Kind: Opened})
 }
 
-// sigterm is the platform's word.
+// sigterm sends SIGTERM.
 func (w *world) sigterm(followed bool) {
 	if w.toldAt == 0 {
 		d := min(w.deadline, w.terms.Most)
@@ -126,22 +126,22 @@
 	w.tell(Event{Kind: Told, Followed: followed})
 }
 
-// change has other settings come: the platform reckons by those of SIGTERM.
+// change applies new settings. The platform computes the time of SIGKILL from the settings at SIGTERM.
 func (w *world) change(deadline time.Duration) {
 	w.deadline = deadline
 	w.tell(Event{Kind: Changed, Deadline: deadline})
 }
 
-// ask has a client come with a whole request, or half of one.
+// ask lets a client send a complete request, or half of one.
 func (w *world) ask(whole bool, budget time.Duration) {
 	if !w.accepting || w.toldAt > 0 && w.now-w.toldAt > w.terms.Still+650*ms {
-		return // nobody new comes any more
+		return // no new connections arrive any more
 	}
 	w.conns = append(w.conns, conn{half: true, asked: whole, due: w.due(budget)})
 	w.say("a request, whole %t", whole)
 }
 
-// due is when a request of now is answered.
+// due returns when a request that arrives now is answered.
 func (w *world) due(budget time.Duration) time.Duration {
 	at := w.now + budget
 	if !w.mute {
@@ -153,7 +153,7 @@
 	return at + w.lag
 }
 
-// step lets time pass, answers what is due, and has the life look.
+// step advances the time, answers the requests that are due, and passes a snapshot to the Life.
 func (w *world) step(d time.Duration) {
 	w.now += d
 	kept := w.conns[:0]
@@ -169,7 +169,7 @@
 	if w.ended {
 		return
 	}
-	// There is room as soon as all that is open has its answer.
+	// There is room as soon as all open requests have been answered.
 	for len(w.queue) > 0 && (w.now >= w.queue[0] || w.answerBy > 0 && w.now >= w.answerBy+w.lag) {
 		w.queue = w.queue[1:]
 		w.ask(true, w.deadline)
@@ -190,11 +190,11 @@
 	w.tell(ev)
 }
 
-// All orders of a few events at a few instants: what has been taken is answered, nothing is accepted that can't be answered,
-// readiness is told only to who is let in, and the node ends by itself before it may be killed.
+// Runs a few events in every order at a few instants. Guards against accepted requests without an answer, readiness reported to
+// clients that are not accepted, and a node that has not ended by itself when SIGKILL may come.
 func TestAllOrders(t *testing.T) {
 	if n := explore(t); n < 100000 {
-		t.Errorf("only %d lives", n)
+		t.Errorf("only %d sequences", n)
 	}
 }
 
@@ -213,7 +213,7 @@
 				}
 			}
 		}},
-		{"again on an idle one", func(w *world, d time.Duration) {
+		{"request on an idle connection", func(w *world, d time.Duration) {
 			for i, c := range w.conns {
 				if !c.half {
 					w.conns[i] = conn{half: true, asked: true, due: w.due(d)}
@@ -221,12 +221,12 @@
 				}
 			}
 		}},
-		{"in the queue", func(w *world, d time.Duration) {
+		{"in the accept queue", func(w *world, d time.Duration) {
 			if w.accepting && (w.toldAt == 0 || w.now-w.toldAt <= w.terms.Still) {
 				w.queue = append(w.queue, w.now+150*ms) // until there is room
 			}
 		}},
-		{"in a full queue", func(w *world, d time.Duration) {
+		{"in a full accept queue", func(w *world, d time.Duration) {
 			if w.accepting && (w.toldAt == 0 || w.now-w.toldAt <= w.terms.Still) {
 				w.queue = append(w.queue, w.now+650*ms)
 			}
@@ -234,7 +234,7 @@
 		{"SIGTERM", func(w *world, d time.Duration) { w.sigterm(false) }},
 		{"shorter settings", func(w *world, d time.Duration) { w.change(d / 2) }},
 		{"longer settings", func(w *world, d time.Duration) { w.change(2 * d) }},
-		{"heard", func(w *world, d time.Duration) { w.tell(Event{Kind: Heard}) }},
+		{"list from a source", func(w *world, d time.Duration) { w.tell(Event{Kind: Heard}) }},
 	}
 	gaps := []time.Duration{0, 40 * ms, 590 * ms}
 	for _, place := range []struct {
@@ -263,10 +263,10 @@
 				w.sigterm(false)
 				w.run(5*time.Second + 2*place.deadline)
 				if !w.ended {
-					w.fail("it does not end")
+					w.fail("the node does not end")
 				}
 				if w.lost > 0 {
-					w.fail("%d that were taken have no answer", w.lost)
+					w.fail("%d accepted requests have no answer", w.lost)
 				}
 				lives++
 			}
@@ -275,7 +275,7 @@
 	return lives
 }
 
-// run lets time pass in the node's own steps.
+// run advances the time in steps as long as those of the real node.
 func (w *world) run(d time.Duration) {
 	for end := w.now + d; w.now < end && !w.ended; {
 		w.step(min(10*ms, end-w.now))
@@ -290,8 +290,8 @@
 	return p
 }
 
-// The instants of an end, for the shortest and the longest deadlines: all phases fit before SIGKILL, new connections are let in
-// for as long as they may come, and each request still has what time there is.
+// Checks the instants of a shutdown, from the shortest to the longest deadlines. Guards against phases that don't fit before SIGKILL,
+// new connections that are refused while they may still arrive, and requests that are cut off while there is time left.
 func TestInstants(t *testing.T) {
 	for _, c := range []struct{ deadline, accepts, answers, end time.Duration }{
 		{50 * ms, 550 * ms, 400 * ms, 550 * ms},
@@ -300,7 +300,7 @@
 		{time.Second, 600 * ms, 1350 * ms, 1500 * ms},
 		{3 * time.Second, 600 * ms, 3350 * ms, 3500 * ms},
 		{12 * time.Second, 600 * ms, 3350 * ms, 3500 * ms},
-		{0, 600 * ms, 3350 * ms, 3500 * ms}, // not told
+		{0, 600 * ms, 3350 * ms, 3500 * ms}, // not known
 	} {
 		w := newWorld(t, c.deadline)
 		w.mute = true
@@ -322,7 +322,8 @@
 	}
 }
 
-// Nobody is connected, and still somebody new may come for a while; one that is let in as the listener closes is not forgotten.
+// Guards against a node without connections that ends while new ones may still arrive, and against losing a connection that is
+// accepted while the listener closes.
 func TestEmptyNodeAccepts(t *testing.T) {
 	w := newWorld(t, time.Second)
 	w.catches = true
@@ -335,14 +336,14 @@
 	}
 }
 
-// A server of one's own lets nobody wait for its end: idle connections close as soon as nobody new is let in, and it ends when
-// the last answer is out, long before leave is over.
+// Guards against a standalone server whose shutdown waits for clients. Idle connections close as soon as the server stops
+// accepting, and it ends with the last answer, long before the shutdown timeout.
 func TestOwnTermsKeepNobody(t *testing.T) {
 	w := newWorldOn(t, Own, 10*time.Second)
 	w.open()
 	w.conns = append(w.conns, conn{}) // idle
 	w.ask(true, 10*time.Second)
-	w.ask(false, 0) // half, until near the end
+	w.ask(false, 0) // half a request, until near the end
 	w.sigterm(false)
 	at := w.now
 	w.run(500 * ms)
@@ -356,7 +357,7 @@
 	}
 }
 
-// A request that nothing ends is cut before SIGKILL, and told of.
+// Guards against a request that never ends holding the process until SIGKILL. The request is cut off before and reported.
 func TestStuckRequestIsCut(t *testing.T) {
 	l := New(Platform, time.Second)
 	l.Handle(0, Event{Kind: Opened}, nil)
@@ -374,8 +375,8 @@
 	t.Error("SIGKILL")
 }
 
-// Connections that only linger, with nobody's request on them, are not waited for until the last moment: the exit of the process takes
-// time too, and more on a busy machine.
+// Guards against waiting until the last moment for connections without a request. The exit of the process takes time too, and
+// more on a busy machine.
 func TestLingeringConnectionsLeaveRoomForTheExit(t *testing.T) {
 	l := New(Platform, time.Second)
 	l.Handle(0, Event{Kind: Opened}, nil)
@@ -394,7 +395,7 @@
 	t.Error("SIGKILL")
 }
 
-// A lag that passes takes no time from anybody: only one that is there when the last answers are due has them sooner.
+// Guards against a short lag that shortens requests. Only a lag that is present when the last answers are due makes them due sooner.
 func TestLagThatPasses(t *testing.T) {
 	w := newWorld(t, 3*time.Second)
 	w.open()
@@ -409,7 +410,7 @@
 	}
 }
 
-// Timers that ring 200 ms late, and a loop that takes long, lose nothing.
+// Guards against lost requests when timers fire 200 ms late and the loop is slow.
 func TestLateTimers(t *testing.T) {
 	for deadline, lag := range map[time.Duration]time.Duration{300 * ms: 120 * ms, time.Second: 120 * ms, 3 * time.Second: 400 * ms} {
 		w := newWorld(t, deadline)
@@ -418,7 +419,7 @@
 		w.ask(true, time.Minute)
 		w.sigterm(false)
 		for !w.ended {
-			w.ask(true, time.Minute) // as long as anybody is let in
+			w.ask(true, time.Minute) // for as long as connections are accepted
 			w.step(199 * ms)
 		}
 		if w.lost > 0 {
@@ -427,26 +428,26 @@
 	}
 }
 
-// A node that is told to end before it lets anybody in ends at once; one that is followed lets nobody in any more; a second
-// SIGTERM changes nothing; one that has no source in time is ready on the list that it remembers.
+// Guards against faults in unusual shutdowns: SIGTERM before the first client ends the node at once, a node with a successor accepts
+// no more, and a second SIGTERM changes nothing. A node that gets no list from a source in time reports ready with its cached one.
 func TestOddEnds(t *testing.T) {
 	w := newWorld(t, time.Second)
 	w.sigterm(false)
 	if !w.ended {
-		t.Error("told to end before it lets anybody in, it does not end")
+		t.Error("SIGTERM before the first client does not end the node")
 	}
 	w = newWorld(t, time.Second)
 	w.open()
 	w.ask(true, time.Second)
 	w.sigterm(true)
 	if w.accepting || !w.closes {
-		t.Error("followed, it still accepts")
+		t.Error("still accepts, or keeps connections open, with a successor")
 	}
 	w.run(time.Second)
 	w.sigterm(true)
 	w.run(time.Second)
 	if !w.ended || w.lost > 0 {
-		t.Errorf("followed: ended %t, lost %d", w.ended, w.lost)
+		t.Errorf("with a successor: ended %t, lost %d", w.ended, w.lost)
 	}
 	w = newWorld(t, time.Second)
 	w.open()
@@ -455,6 +456,6 @@
 	early := w.ready
 	w.now += ms
 	if w.tell(Event{Kind: Tick}); early || !w.ready {
-		t.Errorf("ready early %t, in time %t", early, w.ready)
+		t.Errorf("ready before RememberFor %t, after it %t", early, w.ready)
 	}
 }
--- a/members/hand.go
+++ b/members/hand.go
@@ -1,5 +1,5 @@
-// Package members merges what sources say of backends before a Balancer is told: what discovery lists, and what operators
-// took out by hand. It has no I/O and no clock.
+// Package members merges what is known of each backend before the Balancer receives it: the endpoint list of discovery, the overrides
+// of operators, and restarts seen by the engine. It has no I/O and no clock. Several sources of lists are merged in package merge.
 package members
 
 import (
@@ -10,44 +10,44 @@
 	"glencart/balance"
 )
 
-// Line is what a source says of one backend. Its Backend number is the engine's to give.
+// Line is one backend in an endpoint list. The engine assigns its Backend number.
 type Line struct {
 	ID   string
 	Addr string
 	balance.Member
 }
 
-// Call is the last word of operators on a backend. Times are Unix time.
+// Call is the latest override of operators for a backend: it is out of service or back in. Times are Unix time.
 type Call struct {
 	ID   string        `json:"id"`
 	Out  bool          `json:"out"`
-	At   time.Duration `json:"at"`             // when it was given
+	At   time.Duration `json:"at"`             // when the override was made
 	Back time.Duration `json:"back,omitempty"` // when the backend was last put back; 0: never
 }
 
-// Hand holds the backends that discovery has named, the word of operators on each, and what was seen of each: whether it is
-// another process than discovery knows of. The zero value is ready.
+// Hand holds the backends that discovery has listed. For each it holds the override of operators, and whether the engine has seen
+// a newer process than discovery has reported. The zero value is ready to use.
 type Hand struct {
-	// WarmWithin is how long a backend is cold after its start; 0: times of starts are taken as they are told.
+	// WarmWithin is how long a backend is cold after its start; 0: start times are taken as reported.
 	WarmWithin time.Duration
 
 	all     map[string]*known
-	heardAt time.Duration // when a source told all that it knew last; 0: never
-	doubted int           // backends that refused, and have not answered since
+	heardAt time.Duration // when a source last sent all that it had; 0: never
+	doubted int           // backends that refused a connection and have not answered since
 }
 
 type known struct {
-	line  Line // as discovery said it last, with its start by this process's clock; Gone for one that it never named
+	line  Line // as discovery last reported it, with the start on this process's clock; Gone if it was never listed
 	start start
 	call  Call
-	back  time.Duration // call.Back by this process's clock
+	back  time.Duration // call.Back on this process's clock
 	gone  time.Duration // when it left the list
 
-	refused time.Duration // when it refused a connection, since it answered last; 0: it has not
+	refused time.Duration // when it first refused a connection since its last answer; 0: it has not
 	renewed time.Duration // when it answered after that; 0: it has not
 }
 
-// Refused takes in that nobody listens at a backend: its process has ended.
+// Refused records that a backend refused a connection, so its process has ended.
 func (h *Hand) Refused(id string, now time.Duration) {
 	if k := h.all[id]; k != nil && k.line.Phase != balance.Gone && k.refused == 0 {
 		h.doubted++
@@ -55,17 +55,18 @@
 	}
 }
 
-// Answered takes in that a backend has answered. After a refusal it is another process, which has just started, until discovery
-// tells when it did. Silence of discovery takes nothing back: it may be down, and the process is as cold. It returns the lines that the engine has to be told, mostly none.
+// Answered records an answer of a backend. An answer after a refusal comes from a new process, which counts as just started until
+// discovery reports its start. A backend that refused stays cold even if discovery reports nothing: discovery may be down, and the
+// process is cold all the same. Answered returns the lines that the engine has to receive, mostly none.
 func (h *Hand) Answered(id string, now time.Duration) []Line {
 	if h.doubted == 0 {
-		return nil // the common case costs nothing
+		return nil // the common case
 	}
 	k := h.all[id]
 	if k == nil || k.refused == 0 {
 		return nil
 	}
-	if k.line.Launched >= k.refused { // discovery has told of it in the meantime
+	if k.line.Launched >= k.refused { // discovery has reported the new process in the meantime
 		h.trust(k)
 		return nil
 	}
@@ -74,10 +75,10 @@
 	return []Line{k.told(k.line)}
 }
 
-// InDoubt counts the backends that have refused since they answered.
+// InDoubt returns the number of backends that have refused a connection and not answered since.
 func (h *Hand) InDoubt() int { return h.doubted }
 
-// trust has discovery's word hold again.
+// trust makes the start that discovery reports count again.
 func (h *Hand) trust(k *known) {
 	if k.refused > 0 {
 		h.doubted--
@@ -85,12 +86,12 @@
 	k.refused, k.renewed = 0, 0
 }
 
-// goneLeast and goneParts bound how many backends are remembered that have left the list and that nobody took out: as many as
-// are listed, goneParts times, and goneLeast at least, of some 250 bytes each. A call on one that has just left is a word on a
-// backend, and not on nobody.
+// goneLeast and goneParts bound the number of backends kept that have left the list and have no override: goneParts times the
+// listed ones, and at least goneLeast, at about 250 bytes each. They are kept so that an override for a backend that has just left
+// the list applies to a known backend.
 const goneLeast, goneParts = 1024, 2
 
-// Take merges a list, or changes to one, and returns what the engine is to be told instead. lines is not changed.
+// Take merges a list, or an update of it, and returns the lines that the engine receives instead. It doesn't modify lines.
 func (h *Hand) Take(lines []Line, complete bool, now time.Duration) []Line {
 	if complete {
 		listed := make(map[string]bool, len(lines))
@@ -120,7 +121,7 @@
 			l.Addr = cmp.Or(l.Addr, k.line.Addr)
 		} else {
 			if l.Launched != k.line.Launched || l.Addr != k.line.Addr {
-				h.trust(k) // this is news of the process
+				h.trust(k) // the new start or address comes from the new process
 			}
 			k.line = l
 		}
@@ -130,15 +131,15 @@
 	return told
 }
 
-// Say takes in a call of operators: out, or back. It returns the lines that the engine has to be told, none where the call
-// changes nothing, the last word on this backend, and whether anybody has this id.
+// Say records an override: out of service, or back in. It returns the lines that the engine has to receive (none if the override
+// changes nothing), the latest override for this backend, and whether the id is known.
 func (h *Hand) Say(id string, out bool, now time.Duration) ([]Line, Call, bool) {
 	k := h.all[id]
 	if k == nil {
 		return nil, Call{}, false
 	}
 	if k.call.Out == out {
-		return nil, k.call, true // two calls out need one call back
+		return nil, k.call, true // the override repeats the last one; one call back undoes both
 	}
 	c := Call{ID: id, Out: out, At: max(now, k.call.At+1), Back: k.call.Back}
 	if !out {
@@ -147,8 +148,8 @@
 	return h.Hear([]Call{c}, now), c, true
 }
 
-// Hear takes in calls that were given at another process of the same node: the later word holds. Each is remembered, also
-// for a backend that this process has not heard of yet. It returns the lines that the engine has to be told.
+// Hear merges overrides made at another process of the same node. The later one counts. Each is kept, also for a backend that this
+// process doesn't know yet. It returns the lines that the engine has to receive.
 func (h *Hand) Hear(calls []Call, now time.Duration) []Line {
 	var told []Line
 	for _, c := range calls {
@@ -172,7 +173,7 @@
 	return told
 }
 
-// Calls returns the last word on each backend that there was one on, by id: what another process has to know.
+// Calls returns the latest override of each backend that has one, sorted by id, for another process of the node.
 func (h *Hand) Calls() []Call {
 	var calls []Call
 	for _, k := range h.all {
@@ -184,7 +185,7 @@
 	return calls
 }
 
-// Counts tells how many backends are listed, and how many of them are out by hand.
+// Counts returns how many backends are listed, and how many of those operators have taken out of service.
 func (h *Hand) Counts() (listed, out int) {
 	for _, k := range h.all {
 		if k.line.Phase != balance.Gone {
@@ -213,9 +214,9 @@
 	}
 }
 
-// told is a line with the operators' word in it, and what was seen. A backend that is out drains, whatever discovery says. One
-// that was put back may have been restarted while it was out, which discovery tells late or never: it started no earlier than
-// that. One that refused and answers has started in between.
+// told returns a line with the override and the observed restart applied. A backend that is out of service is draining, whatever
+// discovery reports. One that was put back may have been restarted while it was out, which discovery reports late or never, so
+// its start is no earlier than its return. One that refused a connection and then answered started in between.
 func (k *known) told(l Line) Line {
 	if k.call.Out && l.Phase == balance.Ready {
 		l.Phase = balance.Draining
@@ -227,7 +228,7 @@
 	return l
 }
 
-// forget bounds what is kept of backends that left the list. One that is out stays out if it comes back.
+// forget bounds the number of backends kept that have left the list. One that is out of service is kept and stays out when it returns.
 func (h *Hand) forget() {
 	var gone []*known
 	for _, k := range h.all {
--- a/members/hand_test.go
+++ b/members/hand_test.go
@@ -23,12 +23,13 @@
 	return b.String()
 }
 
-// TestScripts runs the scripts of testdata/: what discovery and operators say in turn, and what the engine is told. Times are in
-// seconds. "other" is a second process that hears the first one's calls.
+// TestScripts runs the scripts of testdata/. Each states what discovery and operators send in turn and what the engine receives. Guards
+// against an override that an update of the list undoes, or that another process of the node doesn't apply. Times are in seconds.
+// "other" is a second process that receives the calls of the first.
 //
 //	list whole|changes [at=..]    lines of: id phase started
 //	out|back id=.. at=..
-//	other                         what the other process is told of the calls so far
+//	other                         the lines of the other process after it receives the calls so far
 //	counts
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -68,9 +69,9 @@
 	})
 }
 
-// In whatever order discovery and operators speak: a backend that is out is never told as ready, one that was put back is ready
-// again as soon as discovery says so, and started no earlier than it was put back. A process that hears the calls in any order
-// says the same.
+// Guards against results that depend on the order in which discovery and operators send. A backend that is out is never reported as
+// ready. One that was put back is ready as soon as discovery reports it, with a start no earlier than its return. A process that
+// receives the calls in any order reports the same.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Hand
@@ -85,7 +86,7 @@
 				said, call, known := h.Say(id, way, now)
 				lines = said
 				if known != (listed[id].ID != "") {
-					t.Fatalf("%s known: %t", id, known)
+					t.Fatalf("%s: Say returned known %t", id, known)
 				}
 				if known {
 					if out[id] && !way {
@@ -112,23 +113,23 @@
 				got := told[id]
 				switch {
 				case out[id] && got.Phase == balance.Ready:
-					t.Fatalf("%s is out and told as ready", id)
+					t.Fatalf("%s is out and reported as ready", id)
 				case !out[id] && got.Phase != l.Phase:
-					t.Fatalf("%s is in, discovery says %v, told %v", id, l.Phase, got.Phase)
+					t.Fatalf("%s is in service, discovery reports %v, Hand reports %v", id, l.Phase, got.Phase)
 				case got.Phase == balance.Ready && got.Launched < max(back[id], l.Launched):
-					t.Fatalf("%s started at %d, put back at %d, told %d", id, l.Launched, back[id], got.Launched)
+					t.Fatalf("%s started at %d, was put back at %d, reported start %d", id, l.Launched, back[id], got.Launched)
 				}
 			}
 		}
 		var other Hand
 		other.Hear(rapid.Permutation(calls).Draw(t, "order"), 40)
 		if a, b := fmt.Sprint(h.Calls()), fmt.Sprint(other.Calls()); a != b {
-			t.Fatalf("the other process holds %s, this one %s", b, a)
+			t.Fatalf("the other process has the overrides %s, this one %s", b, a)
 		}
 	})
 }
 
-// Backends that left the list are forgotten in the end, those that are out never.
+// Guards against memory that grows with each backend that leaves the list, and against dropping one that is out of service.
 func TestGoneAreBounded(t *testing.T) {
 	var h Hand
 	line := func(i int, p balance.Phase) []Line {
@@ -141,14 +142,15 @@
 		h.Take(line(i, balance.Gone), false, time.Duration(i+2))
 	}
 	if len(h.all) > goneLeast+1 {
-		t.Errorf("%d are kept", len(h.all))
+		t.Errorf("%d backends are kept", len(h.all))
 	}
 	if l := h.Take(line(0, balance.Ready), false, 9999); l[0].Phase != balance.Draining {
-		t.Errorf("one that is out came back as %v", l[0].Phase)
+		t.Errorf("a backend out of service returned as %v", l[0].Phase)
 	}
 }
 
-// A backend that refused a connection and answers is a new process from then on, until discovery tells of one, however long that takes.
+// Guards against a restarted backend that counts as warm because discovery reports its restart late or never. A backend that refused
+// a connection and then answers is a new process until discovery reports one, however long that takes.
 func TestRefusedAndAnswers(t *testing.T) {
 	const sec = time.Second
 	old := Line{ID: "s", Addr: "a:1", Member: balance.Member{Phase: balance.Ready, Launched: 5 * sec}}
@@ -164,7 +166,7 @@
 			got = append(got, l.Launched)
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("%s: told %v, want %v", what, got, want)
+			t.Errorf("%s: reported %v, want %v", what, got, want)
 		}
 	}
 	h := begin()
@@ -173,7 +175,7 @@
 	h.Refused("s", 21*sec)
 	launched("another backend", h.Answered("other", 22*sec))
 	launched("answers again", h.Answered("s", 23*sec), 23*sec)
-	launched("and once more", h.Answered("s", 24*sec))
+	launched("another answer", h.Answered("s", 24*sec))
 	launched("the old entry in a whole list", h.Take([]Line{old}, true, 60*sec), 23*sec)
 
 	h = begin()
@@ -181,28 +183,28 @@
 	h.Answered("s", 23*sec)
 	fresh := old
 	fresh.Launched = 21 * sec
-	launched("news of the new process", h.Take([]Line{fresh}, false, 25*sec), 21*sec)
-	launched("which holds", h.Take([]Line{fresh}, true, 60*sec), 21*sec)
+	launched("report of the new process", h.Take([]Line{fresh}, false, 25*sec), 21*sec)
+	launched("the report again", h.Take([]Line{fresh}, true, 60*sec), 21*sec)
 
 	h = begin()
 	h.Refused("s", 20*sec)
-	launched("news before it answers", h.Take([]Line{fresh}, false, 22*sec), 21*sec)
-	launched("nothing to tell", h.Answered("s", 23*sec))
+	launched("report before it answers", h.Take([]Line{fresh}, false, 22*sec), 21*sec)
+	launched("answer after the report", h.Answered("s", 23*sec))
 
 	h = begin()
 	h.Refused("s", 20*sec)
 	h.Take([]Line{{ID: "s", Member: balance.Member{Phase: balance.Gone}}}, false, 21*sec)
 	launched("gone", h.Answered("s", 23*sec))
 	if h.doubted != 0 {
-		t.Errorf("%d in doubt", h.doubted)
+		t.Errorf("%d backends count as refused", h.doubted)
 	}
 	h = begin()
 	h.Refused("s", 20*sec)
 	h.Answered("s", 23*sec)
-	h.Refused("s", 24*sec) // it crashes on
-	launched("again", h.Answered("s", 26*sec), 26*sec)
+	h.Refused("s", 24*sec) // it crashes again
+	launched("answers after a second refusal", h.Answered("s", 26*sec), 26*sec)
 	h.Take(nil, true, 27*sec)
 	if h.doubted != 0 {
-		t.Errorf("%d in doubt", h.doubted)
+		t.Errorf("%d backends count as refused", h.doubted)
 	}
 }
--- a/members/starts.go
+++ b/members/starts.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// This file turns the times at which a source says that processes started into times on this process's clock. All machines read
-// one clock, but the one of this machine may have been an hour off when the process began, and the process goes on by that.
+// This file converts the start times that a source reports to the clock of this process. All machines use the same clock. The clock
+// of this machine may have been off by an hour when the process started, and the process continues from that reading.
 
 const (
-	// clockStep is by how much a wall clock may be off.
+	// clockStep is the possible error of the wall clock.
 	clockStep = time.Hour
-	// newsLate is how late a source may tell of a start.
+	// newsLate is the longest delay of a source in reporting a start.
 	newsLate = 6 * time.Second
 )
 
-// start is when a process started.
+// start is the start time of a process.
 type start struct {
-	told  time.Duration // by the source; 0: long ago
-	local time.Duration // by this process's clock
+	told  time.Duration // as the source reports it; 0: long ago
+	local time.Duration // on this process's clock
 }
 
-// Heard takes in that a source has told all that it knows by now.
+// Heard records that a source has sent all that it has.
 func (h *Hand) Heard(now time.Duration) { h.heardAt = now }
 
-// localStart returns when a process started by this process's clock. What was found out once for a told time holds: the engine takes
-// another time for another process.
+// localStart returns the start of a process on this process's clock. The result for a reported time never changes, because the engine
+// takes a different start for a different process.
 func (h *Hand) localStart(k *known, told, now time.Duration) time.Duration {
 	if k.start.told != told {
 		k.start = start{told: told, local: h.reckonStart(told, now, h.heardAt)}
@@ -30,8 +30,8 @@
 	return k.start.local
 }
 
-// reckonStart reckons when a process started of which a source tells for the first time, and last told of others at heardAt; 0: never.
-// Where the clock can't be right, the later time is taken: a backend that is taken for colder than it is loses little.
+// reckonStart converts a start that a source reports for the first time. heardAt is when a source last sent all that it had; 0: never.
+// If the clock can't be right, the later time is used: treating a backend as colder than it is costs little.
 func (h *Hand) reckonStart(told, now, heardAt time.Duration) time.Duration {
 	age := now - told
 	switch {
@@ -40,7 +40,7 @@
 	case age < 0:
 		return now
 	case heardAt > 0 && age > now-heardAt+newsLate:
-		return heardAt // else it would have been told by then
+		return heardAt // an earlier start would have been reported by then
 	case age >= clockStep && age < clockStep+h.WarmWithin:
 		return told + clockStep
 	}
--- a/reserve/reserve.go
+++ b/reserve/reserve.go
@@ -1,12 +1,12 @@
-// Package reserve decides when backup boxes step in. It is pure: events in, an answer out, no I/O, no clock.
+// Package reserve decides when the backup backends of a pool are used. It is pure: events go in, answers come out, without I/O and
+// without a clock. It chooses no backend for a request: the package balance does, among the backends in the list that results.
 //
-// A backup box is sent to only while no other box of its pool can be. A usual box can be sent to when its list says that
-// it is ready and it is not down. It is down from MaxFails failures within FailWithin on, until it answers again, with
-// its last failure at least FailWithin ago: a box that answers now and then would have the backups come and go.
-// A box that refused a connection and then answers is another process: where boxes start slowly, it is to be taken for a
-// cold one, which a list from a file can't tell.
+// Backups receive requests only while no primary backend of the pool can. A primary can be sent to when the endpoint list names it
+// as ready and it is not down. It goes down at MaxFails failures within FailWithin. It comes back up with an answer at least
+// FailWithin after its last failure. Without that wait, a backend that answers now and then would switch the backups on and off.
 //
-// The decision module still decides which box gets a request, among those that the list then holds.
+// A backend that refused a connection and then answers is a new process. With slow start it has to count as cold, which an
+// endpoint list from a file can't express.
 package reserve
 
 import "time"
@@ -17,40 +17,40 @@
 	FailWithin time.Duration
 }
 
-// Box is one line of a pool's list.
+// Box is one backend of the endpoint list of a pool.
 type Box struct {
 	ID     string
 	Backup bool
 	Ready  bool
 }
 
-// Reserve watches one pool.
+// Reserve holds the state of one pool.
 type Reserve struct {
 	cfg   Config
 	boxes map[string]*state
-	up    int // usual boxes that can be sent to
+	up    int // primary backends that can be sent to
 	on    bool
 }
 
 type state struct {
 	Box
-	fails   []time.Duration // the latest MaxFails at most, oldest first
+	fails   []time.Duration // the latest ones, oldest first; MaxFails at most
 	down    bool
-	refused bool // a connection, since its last answer
-	counted bool // in up
+	refused bool // refused a connection since its last answer
+	counted bool // included in up
 }
 
-// End is how an attempt at a box ended. One that says nothing of the box (given up, never sent) has none.
+// End is how an attempt at a backend ended. An attempt without information on the backend (given up, never sent) has no End.
 type End uint8
 
-// Ends.
+// Ends of attempts.
 const (
 	Answered End = iota
-	Failed       // no answer, half of one, or one that tells of a failure
-	Refused      // nobody listens there
+	Failed       // no answer, a partial one, or one that reports a failure
+	Refused      // the connection was refused
 )
 
-// New returns a Reserve for a pool without boxes.
+// New returns a Reserve for a pool without backends.
 func New(cfg Config) *Reserve {
 	if cfg.MaxFails <= 0 {
 		cfg.MaxFails = 1
@@ -61,16 +61,16 @@
 	return &Reserve{cfg: cfg, boxes: map[string]*state{}}
 }
 
-// On tells whether backup boxes are to be in the list.
+// On reports whether the endpoint list should include the backups.
 func (r *Reserve) On() bool { return r.on }
 
-// Down tells whether a box counts as down.
+// Down reports whether a backend counts as down.
 func (r *Reserve) Down(id string) bool {
 	s := r.boxes[id]
 	return s != nil && s.down
 }
 
-// List takes in the whole list of a pool and tells whether On has changed. A box that stays keeps its state.
+// List replaces the endpoint list of the pool and reports whether On has changed. A backend that stays listed keeps its state.
 func (r *Reserve) List(boxes []Box) bool {
 	old := r.boxes
 	r.boxes = make(map[string]*state, len(boxes))
@@ -90,7 +90,7 @@
 	return r.decide()
 }
 
-// Set takes in one box, new or changed. It tells whether On has changed.
+// Set adds or changes one backend. It reports whether On has changed.
 func (r *Reserve) Set(b Box) bool {
 	s := r.boxes[b.ID]
 	if s == nil {
@@ -102,7 +102,7 @@
 	return r.decide()
 }
 
-// Remove takes a box out. It tells whether On has changed.
+// Remove removes a backend. It reports whether On has changed.
 func (r *Reserve) Remove(id string) bool {
 	if s := r.boxes[id]; s != nil {
 		s.Ready = false
@@ -112,10 +112,10 @@
 	return r.decide()
 }
 
-// Listed tells whether a box is in the list.
+// Listed reports whether a backend is listed.
 func (r *Reserve) Listed(id string) bool { return r.boxes[id] != nil }
 
-// count counts a box as one that can be sent to, or no more.
+// count updates up when a backend becomes one that can be sent to, or stops being one.
 func (r *Reserve) count(s *state) {
 	if can := !s.Backup && s.Ready && !s.down; can != s.counted {
 		s.counted = can
@@ -127,7 +127,7 @@
 	}
 }
 
-// Restarted takes in that a box is a new process: what the old one did counts no more. It tells whether On has changed.
+// Restarted records that a backend is a new process, and drops what was recorded of the old one. It reports whether On has changed.
 func (r *Reserve) Restarted(id string) bool {
 	if s := r.boxes[id]; s != nil {
 		s.fails, s.down, s.refused = nil, false, false
@@ -136,8 +136,8 @@
 	return r.decide()
 }
 
-// Takes takes in that a box which refused connections takes one again, outside of any attempt. It tells whether On has
-// changed, and whether the box is another process than before.
+// Takes records that a backend accepted a connection outside of any attempt. It matters only after a refused one. It reports
+// whether On has changed, and whether the backend is a new process.
 func (r *Reserve) Takes(id string) (changed, restarted bool) {
 	s := r.boxes[id]
 	if s == nil || !s.refused {
@@ -148,8 +148,7 @@
 	return r.decide(), true
 }
 
-// Ended takes in how an attempt at a box ended. It tells whether On has changed, and whether the box is another process
-// than before.
+// Ended records how an attempt at a backend ended. It reports whether On has changed, and whether the backend is a new process.
 func (r *Reserve) Ended(now time.Duration, id string, end End) (changed, restarted bool) {
 	s := r.boxes[id]
 	if s == nil {
--- a/reserve/reserve_test.go
+++ b/reserve/reserve_test.go
@@ -10,6 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
+// Runs testdata/script. Guards against backups that are used while a primary backend can be sent to, or unused while none can, and
+// against a restart that is missed or reported twice.
 func TestScript(t *testing.T) {
 	var r *Reserve
 	var ids []string
@@ -37,13 +39,13 @@
 			}
 			was := r.On()
 			if changed := r.List(boxes); changed != (r.On() != was) {
-				t.Error("tells a change wrongly")
+				t.Error("List reports wrongly whether On has changed")
 			}
 		case "fail", "answer", "refuse":
 			was := r.On()
 			changed, again := r.Ended(at, arg(1), map[string]End{"answer": Answered, "fail": Failed, "refuse": Refused}[d.Cmd])
 			if changed != (r.On() != was) {
-				t.Error("tells a change wrongly")
+				t.Error("Ended reports wrongly whether On has changed")
 			}
 			if again {
 				restarted = ", another process: " + arg(1)
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -1,5 +1,5 @@
-// Package scale measures how what the node and serve hold and do grows with the size of an installation. Its tests are the
-// command: docs/CAPACITY.md says how they are run and what came of it.
+// Package scale measures how memory and time of the node and of serve grow with the size of an installation. It contains only the
+// measurement. Its tests are the command to run: docs/CAPACITY.md describes how, and lists the results.
 package scale
 
 import (
@@ -10,25 +10,25 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Series is one quantity at several sizes.
+// Series is one quantity measured at several sizes.
 type Series struct {
 	Name   string    `json:"name"`
 	Unit   string    `json:"unit"`
 	Of     string    `json:"of"` // what the sizes count
 	Sizes  []float64 `json:"sizes"`
 	Values []float64 `json:"values"`
-	// Exponent is the slope of the logarithms: 1 is linear. Fit is the part of their variance that it explains.
+	// Exponent is the slope in the log-log plot: 1 is linear growth. Fit is the coefficient of determination (r squared).
 	Exponent float64 `json:"exponent"`
 	Fit      float64 `json:"r2"`
 }
 
-// Add takes in a measurement.
+// Add appends a measurement.
 func (s *Series) Add(size, value float64) {
 	s.Sizes = append(s.Sizes, size)
 	s.Values = append(s.Values, value)
 }
 
-// Solve sets the exponent, and how well it fits.
+// Solve computes Exponent and Fit.
 func (s *Series) Solve() {
 	x, y := make([]float64, len(s.Sizes)), make([]float64, len(s.Values))
 	for i := range x {
@@ -36,17 +36,18 @@
 	}
 	alpha, beta := stat.LinearRegression(x, y, nil, false)
 	s.Exponent, s.Fit = beta, stat.RSquared(x, y, nil, alpha, beta)
-	if math.IsNaN(s.Fit) { // all values are the same
+	if math.IsNaN(s.Fit) { // all values are equal
 		s.Fit = 1
 	}
 }
 
-// At is what the fit gives for a size.
+// At returns the value that the fit predicts for a size.
 func (s *Series) At(size float64) float64 {
 	last := len(s.Sizes) - 1
 	return s.Values[last] * math.Pow(size/s.Sizes[last], s.Exponent)
 }
 
+// String returns all measurements and the fit on one line.
 func (s *Series) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%s) by %s:", s.Name, s.Unit, s.Of)
@@ -57,12 +58,12 @@
 	return b.String()
 }
 
-// Installation describes a generated installation.
+// Installation gives the sizes of a generated installation.
 type Installation struct {
 	Pools, BackendsAPool, RoutesAPool, Tenants int
 }
 
-// Text words it as a file of serve.
+// Text returns a configuration file of serve for the installation.
 func (n Installation) Text() []byte {
 	var b strings.Builder
 	b.WriteString("[node]\nname = \"n\"\ntenant = \"X-Tenant\"\n\n[[listener]]\nname = \"web\"\naddress = \":8080\"\n")
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -23,11 +23,11 @@
 )
 
 var (
-	whole = flag.Bool("whole", false, "sizes up to those of docs/CAPACITY.md, not the small form of CI")
-	into  = flag.String("into", "", "a folder for slopes.json and slopes.png; none: nothing is written")
+	whole = flag.Bool("whole", false, "measure sizes up to those of docs/CAPACITY.md instead of the small ones for CI")
+	into  = flag.String("into", "", "folder for slopes.json and slopes.png; empty: nothing is written")
 )
 
-// sizes returns the sizes of the small form, or all of them.
+// sizes returns the small sizes for CI, or all of them with -whole.
 func sizes(all ...int) []int {
 	if *whole {
 		return all
@@ -35,7 +35,7 @@
 	return all[:3]
 }
 
-// measured holds what the tests of one run found.
+// measured holds the series of all tests of this run.
 var measured []*Series
 
 func newSeries(name, unit, of string) *Series {
@@ -44,17 +44,17 @@
 	return s
 }
 
-// growsAtMost holds a series of counts or bytes to an exponent. Times are told only.
+// growsAtMost fails the test if a series of counts or bytes grows with a larger exponent. With exponent 0, as for times, it only logs.
 func growsAtMost(t *testing.T, s *Series, exponent float64) {
 	t.Helper()
 	s.Solve()
 	t.Log(s)
 	if exponent > 0 && s.Exponent > exponent {
-		t.Errorf("%s grows with the power %.2f of %s, %.2f at most wanted", s.Name, s.Exponent, s.Of, exponent)
+		t.Errorf("%s grows with exponent %.2f in %s, want at most %.2f", s.Name, s.Exponent, s.Of, exponent)
 	}
 }
 
-// held returns the bytes of heap that what make returns holds, and how many were allocated in all.
+// held returns the heap bytes that the result of make keeps in use, and the bytes allocated in all.
 func held(make func() any) (live, allocated float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -68,7 +68,7 @@
 	return max(float64(after.HeapAlloc)-float64(before.HeapAlloc), 1), allocated
 }
 
-// each returns how long one call takes, in microseconds: the least mean of five rounds.
+// each returns the time of one call in microseconds: the lowest mean of five rounds.
 func each(calls int, do func(i int)) float64 {
 	best := time.Duration(1 << 62)
 	for range 5 {
@@ -81,7 +81,8 @@
 	return float64(best.Nanoseconds()) / 1e3 / float64(calls)
 }
 
-// Reading a file: the target divided by 1,000, 300, 100, 10 and 1.
+// Guards against memory or time to read a configuration that grows faster than its size. The sizes are the target divided by
+// 1,000, 300, 100, 10 and 1.
 func TestReadingConfiguration(t *testing.T) {
 	bytes := newSeries("configuration: bytes allocated to read", "bytes", "resources")
 	live := newSeries("configuration: bytes held", "bytes", "resources")
@@ -132,14 +133,15 @@
 const (
 	zones        = 11
 	nodesOfFleet = 6100
-	peakRate     = 3.2e6 // requests a second over all nodes
+	peakRate     = 3.2e6 // requests per second of all nodes
 )
 
-// newBalancer makes a node's decisions before so many backends. rate is the requests a second of the whole fleet that the
-// settings tell; 0: they tell none, and the node keeps to all backends.
+// newBalancer returns the Balancer of a node with that many backends. rate is the request rate of the whole fleet in the settings,
+// per second; 0: the settings have none, and the node keeps all backends.
 func newBalancer(t *testing.T, backends, tenants int, rate float64) *balance.Balancer {
-	cfg := balance.Config{Instances: nodesOfFleet, Classes: []balance.Class{{Aim: 200 * time.Millisecond, Deadline: time.Second, Effect: balance.Safe, Points: 1}},
-		Limits: balance.Limits{Probing: true, MaxAttempts: 3}, Reports: balance.InlineReports, Columns: balance.HasActive,
+	cfg := balance.Config{Instances: nodesOfFleet,
+		Classes: []balance.Class{{Aim: 200 * time.Millisecond, Deadline: time.Second, Effect: balance.Safe, Points: 1}},
+		Limits:  balance.Limits{Probing: true, MaxAttempts: 3}, Reports: balance.InlineReports, Columns: balance.HasActive,
 		Prices: balance.Prices{Probe: 0.01}, Rules: balance.Rules{WarmWithin: 10 * time.Second, FallMultiple: 3, OverloadFor: 2 * time.Second}}
 	for range tenants {
 		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaPerSecond: rate / float64(tenants), Share: 1 / float64(tenants)})
@@ -156,7 +158,8 @@
 	return b
 }
 
-// The decision: one request and its answer, one changed line of the list, and what a node holds.
+// Guards against memory and allocations per request that grow too fast with the number of backends. It also logs the time of one request
+// with its answer, and of one changed line of the list.
 func TestDecision(t *testing.T) {
 	all := newSeries("decision: time for a request, all backends kept", "us", "backends")
 	subset := newSeries("decision: time for a request, a subset by traffic", "us", "backends")
@@ -197,7 +200,7 @@
 	growsAtMost(t, change, 0)
 }
 
-// What a node holds for tenants.
+// Guards against memory that grows faster than the number of tenants.
 func TestTenants(t *testing.T) {
 	memory := newSeries("tenants: bytes held by the decision", "bytes", "tenants")
 	for _, n := range sizes(550, 5500, 18_000, 55_000, 550_000) {
@@ -207,7 +210,7 @@
 	growsAtMost(t, memory, 1.1)
 }
 
-// What a process holds for members of its fleet, up to what detect takes.
+// Guards against memory that grows faster than the number of members of the fleet, up to the most that detect accepts.
 func TestMembership(t *testing.T) {
 	memory := newSeries("membership: bytes held by detect", "bytes", "members")
 	for _, n := range sizes(36, 360, 1000, 4000) {
@@ -222,7 +225,7 @@
 			count := 0
 			d.Members(func(detect.Word, detect.LinkState) bool { count++; return true })
 			if count < n {
-				t.Fatalf("%d members of %d", count, n)
+				t.Fatalf("%d members, want at least %d", count, n)
 			}
 			return d
 		})
@@ -231,7 +234,7 @@
 	growsAtMost(t, memory, 1.2)
 }
 
-// TestMain writes what was measured.
+// TestMain writes the measurements to the folder of -into.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	code := m.Run()
--- a/wheel/wheel.go
+++ b/wheel/wheel.go
@@ -1,8 +1,8 @@
-// Package wheel is a hierarchical timing wheel (Varghese and Lauck, 1987): arming and stopping a timer cost the same however
-// many there are. It is pure: time is what the caller says, no clock runs here and nothing fires by itself.
+// Package wheel implements a hierarchical timing wheel (Varghese and Lauck, 1987): the cost of arming and stopping a timer does not
+// depend on the number of timers. It is pure: the caller passes the time, no clock runs here and no timer fires by itself.
 //
-// Timers fire in the order of their times, and those of the same time in the order in which they were armed, exactly: the tick
-// only decides which of them are looked at together.
+// Timers fire exactly in the order of their times, and those of the same time in the order in which they were armed. The tick only
+// decides which timers are examined together.
 package wheel
 
 import (
@@ -15,23 +15,23 @@
 const (
 	slotBits = 6
 	slots    = 1 << slotBits
-	// levels cover every time that a time.Duration can tell: 11 * 6 bits are more than the 63 of a tick.
+	// levels cover every time.Duration: 11 levels of 6 bits are more than the 63 bits of a tick.
 	levels = 11
 )
 
-// ID names an armed timer. The zero ID names none.
+// ID identifies an armed timer. The zero ID identifies none.
 type ID struct {
-	node int32 // its place, from 1
+	node int32 // index in Wheel.nodes, from 1
 	gen  uint32
 }
 
-// Wheel holds timers that carry a T each. It is for one goroutine at a time.
+// Wheel holds timers that carry a value of type T each. It is not safe for concurrent use.
 type Wheel[T any] struct {
 	tick  time.Duration
-	cur   int64 // the tick that time has come to: nothing is armed before it
+	cur   int64 // the current tick: no timer is filed before it
 	heads [levels][slots]int32
-	used  [levels]uint64 // which slots hold something
-	nodes []node[T]      // the first is none
+	used  [levels]uint64 // bit set of the slots that are not empty
+	nodes []node[T]      // index 0 is unused and stands for none
 	free  int32
 	n     int
 	seq   uint64
@@ -41,8 +41,8 @@
 type node[T any] struct {
 	at         time.Duration
 	seq        uint64
-	prev, next int32 // in its slot
-	level      int8  // -1: it is in no slot
+	prev, next int32 // neighbors in the list of its slot
+	level      int8  // -1: in no slot
 	slot       uint8
 	gen        uint32
 	v          T
@@ -54,8 +54,8 @@
 	id  ID
 }
 
-// New returns a wheel that stands at now. tick is the finest time by which timers are told apart cheaply: timers within one tick
-// of the present are looked at one by one. A tick of 0 stands for a millisecond.
+// New returns a wheel whose time is now. tick is the resolution of the slots: timers that are due within the current tick are
+// examined one by one. A tick of 0 stands for a millisecond.
 func New[T any](tick time.Duration, now time.Duration) *Wheel[T] {
 	if tick <= 0 {
 		tick = time.Millisecond
@@ -65,12 +65,12 @@
 	return w
 }
 
-// Len is how many timers are armed.
+// Len returns the number of armed timers.
 func (w *Wheel[T]) Len() int { return w.n }
 
 func (w *Wheel[T]) tickOf(at time.Duration) int64 { return int64(max(at, 0) / w.tick) }
 
-// Arm sets a timer for a time, which may be past: then it fires at the next Advance.
+// Arm sets a timer. If at has passed, the timer fires at the next Advance.
 func (w *Wheel[T]) Arm(at time.Duration, v T) ID {
 	i := w.free
 	if i == 0 {
@@ -87,7 +87,7 @@
 	return ID{i, n.gen}
 }
 
-// Stop disarms a timer. It reports false when it has fired or was stopped before.
+// Stop disarms a timer. It reports false if the timer has fired or was stopped before.
 func (w *Wheel[T]) Stop(id ID) bool {
 	if id.node <= 0 || int(id.node) >= len(w.nodes) || w.nodes[id.node].gen != id.gen {
 		return false
@@ -99,8 +99,8 @@
 	return true
 }
 
-// put files a timer by the highest group of bits in which its tick and the present one differ: what differs in the lowest group
-// alone is due within this turn of the lowest level, and so on up.
+// put files a timer on the level of the highest group of bits in which its tick and the current one differ. Ticks that differ only in
+// the lowest group are due within this turn of the lowest level, and so on upward.
 func (w *Wheel[T]) put(i int32) {
 	n := &w.nodes[i]
 	t := max(w.tickOf(n.at), w.cur)
@@ -116,7 +116,7 @@
 	w.used[level] |= 1 << slot
 }
 
-// take takes a timer out of its slot.
+// take removes a timer from its slot.
 func (w *Wheel[T]) take(i int32) {
 	n := &w.nodes[i]
 	if n.prev != 0 {
@@ -133,7 +133,7 @@
 	n.level = -1
 }
 
-// drop forgets a timer that is in no slot.
+// drop frees the node of a timer that is in no slot.
 func (w *Wheel[T]) drop(i int32) {
 	n := &w.nodes[i]
 	var none T
@@ -142,7 +142,7 @@
 	w.n--
 }
 
-// first finds the slot that comes next, and its first tick. What a lower level holds comes before all that higher ones do.
+// first returns the next slot that is not empty, and its first tick. The timers of a lower level come before those of higher ones.
 func (w *Wheel[T]) first() (level int, slot, start int64, some bool) {
 	for level := range levels {
 		if w.used[level] == 0 {
@@ -156,8 +156,8 @@
 	return 0, 0, 0, false
 }
 
-// Next is a time before which no timer is due, and at which Advance brings the next one nearer; false when none is armed. Where
-// the next timer is within a tick of the present, it is that timer's own time.
+// Next returns a time before which no timer is due, and at which Advance fires the next timer or moves it closer to firing. It
+// returns false when no timer is armed. If the next timer is due within the current tick, the time is that of the timer.
 func (w *Wheel[T]) Next() (time.Duration, bool) {
 	level, slot, start, some := w.first()
 	if !some {
@@ -174,8 +174,8 @@
 	return least, true
 }
 
-// Advance brings the time to now and calls fire for each timer that is due, in order. fire may arm and stop timers; one that it
-// arms for a time that has come fires in this call, after those that were due before it.
+// Advance moves the time to now and calls fire for each timer that is due, in order. fire may arm and stop timers. A timer that it
+// arms for a time that has passed fires in the same call, after those that were due before it.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(at time.Duration, v T)) {
 	target := w.tickOf(now)
 	for {
@@ -184,7 +184,7 @@
 			break
 		}
 		w.cur = start
-		if level > 0 { // down a level
+		if level > 0 { // move the timers to lower levels
 			for i := w.heads[level][slot]; i != 0; i = w.heads[level][slot] {
 				w.take(i)
 				w.put(i)
@@ -202,12 +202,12 @@
 			i = next
 		}
 		if len(due) == 0 {
-			break // the rest of this tick is yet to come
+			break // the other timers of this tick are due after now
 		}
-		w.due = nil // fire may come back here
+		w.due = nil // fire may call Advance
 		slices.SortFunc(due, func(x, y dueTimer) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.seq, y.seq)) })
 		for _, d := range due {
-			if n := &w.nodes[d.id.node]; n.gen == d.id.gen { // not stopped by one before it
+			if n := &w.nodes[d.id.node]; n.gen == d.id.gen { // not stopped by an earlier one
 				v := n.v
 				w.drop(d.id.node)
 				fire(d.at, v)
--- a/wheel/wheel_test.go
+++ b/wheel/wheel_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the plainest form: all timers are looked at.
+// plain is the reference implementation: it searches all timers each time.
 type plain struct {
 	timers []plainTimer
 	seq    int
@@ -37,8 +37,8 @@
 	}
 }
 
-// Whatever is armed and stopped, the wheel fires the same timers in the same order as a look at all of them: timers at the same
-// instant, in the past and at the end of time among them.
+// Guards against timers that fire in the wrong order, twice or not at all. A random sequence of Arm, Stop and Advance has to fire the
+// same timers as a linear search, including timers at the same instant, in the past and at the largest time.
 func TestSameAsPlain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tick := time.Duration(rapid.SampledFrom([]int64{1, 1000, 1e6, 7e6}).Draw(t, "tick"))
@@ -64,7 +64,7 @@
 						}
 					}
 					if w.Stop(ids[k]) != had {
-						t.Fatalf("Stop of %d: %t", k, !had)
+						t.Fatalf("Stop of %d returns %t", k, !had)
 					}
 				}
 			default:
@@ -73,11 +73,11 @@
 				if next, some := w.Next(); some {
 					for _, x := range p.timers {
 						if x.at < next && x.at > 0 && next > now {
-							t.Fatalf("Next %v, and a timer at %v", next, x.at)
+							t.Fatalf("Next returns %v, with a timer at %v", next, x.at)
 						}
 					}
 				} else if len(p.timers) > 0 {
-					t.Fatal("Next knows of none")
+					t.Fatal("Next returns false with timers armed")
 				}
 				w.Advance(now, func(_ time.Duration, v int) { fired = append(fired, v) })
 				if want := p.advance(now); fmt.Sprint(fired) != fmt.Sprint(want) {
@@ -91,7 +91,7 @@
 	})
 }
 
-// A timer that fires may arm another for the same instant and stop one that is due with it.
+// Guards against corrupt slots while timers fire: one timer arms another for the same instant and stops one that is due with it.
 func TestFiringArmsAndStops(t *testing.T) {
 	w := New[string](time.Millisecond, 0)
 	w.Arm(5, "a")
@@ -101,7 +101,7 @@
 		got = append(got, v)
 		if v == "a" {
 			if !w.Stop(b) {
-				t.Error("b could not be stopped")
+				t.Error("Stop of b returns false")
 			}
 			w.Arm(3, "c")
 			w.Arm(6, "later")
@@ -122,7 +122,7 @@
 	// Output: 30ms deadline
 }
 
-// heapTimers is a binary heap with the place of each timer kept, so that one can be stopped.
+// heapTimers is a binary heap that tracks the index of each timer, so that one can be stopped.
 type heapTimers struct {
 	h   []heapTimer
 	pos []int
@@ -176,7 +176,7 @@
 	}
 }
 
-// BenchmarkArmAndStop arms one timer and stops another, with so many armed: the wheel beside a heap.
+// BenchmarkArmAndStop arms one timer and stops another while n are armed, with the wheel and with a heap for comparison.
 func BenchmarkArmAndStop(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		in := func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(time.Minute))) }
