--- a/check/check.go
+++ b/check/check.go
@@ -14,22 +14,22 @@
 // Config holds the settings of the checks of a pool.
 type Config struct {
 	Every  time.Duration // interval between two checks of a backend; 0: EveryDefault
-	Rise   int           // consecutive successes after which a backend that is down is up; 0: RiseDefault
-	Fall   int           // consecutive failures after which a backend that is up is down; 0: FallDefault
+	Rise   int           // consecutive successes after which a backend that is down is up; 0: DefaultRise
+	Fall   int           // consecutive failures after which a backend that is up is down; 0: DefaultFall
 	AtOnce int           // maximum number of concurrent checks; 0: AtOnceDefault
 }
 
 // Defaults of Config, and limits.
 const (
-	EveryDefault, RiseDefault, FallDefault, AtOnceDefault = 5 * time.Second, 2, 3, 64
+	EveryDefault, DefaultRise, DefaultFall, AtOnceDefault = 5 * time.Second, 2, 3, 64
 	// EveryLeast is the shortest interval between two checks of a backend.
 	EveryLeast = 100 * time.Millisecond
 	// jitter is the part of Every by which an interval varies, so that processes that start together don't stay synchronized.
 	jitter = 0.1
 )
 
-// Ask is a check to make now. The caller passes the outcome of each to Result, once.
-type Ask struct {
+// Check is a health check to make now. The caller passes the outcome of each to Result, once.
+type Check struct {
 	Box, Addr string
 	Token     uint64
 }
@@ -43,125 +43,126 @@
 
 // Checks holds the health checks of one pool. New returns one.
 type Checks struct {
-	cfg    Config
-	rng    *rand.Rand
-	boxes  map[string]*box
-	wheel  *wheel.Wheel[*box]
-	late   []*box          // due, and waiting because AtOnce checks are in flight
-	out    map[uint64]*box // checks in flight, by token
-	tokens uint64
+	cfg       Config
+	rng       *rand.Rand
+	backends  map[string]*backend
+	timers    *wheel.Wheel[*backend]
+	waiting   []*backend          // due, and waiting because AtOnce checks are in flight
+	inFlight  map[uint64]*backend // checks in flight, by token
+	lastToken uint64
 }
 
-type box struct {
-	id, addr string
-	up, met  bool // met: at least one check has succeeded
-	row      int  // consecutive results that contradict up
-	alarm    wheel.ID
-	token    uint64 // of the check in flight; 0: none
-	waits    bool   // in late
-	gone     bool
+type backend struct {
+	id, addr        string
+	up, hasAnswered bool // hasAnswered: at least one check has succeeded
+	streak          int  // consecutive results that contradict up
+	timer           wheel.ID
+	token           uint64 // of the check in flight; 0: none
+	isWaiting       bool   // in Checks.waiting
+	isRemoved       bool
 }
 
 // New returns Checks without backends. The seed differs from process to process.
 func New(cfg Config, seed uint64, now time.Duration) *Checks {
 	cfg.Every = max(cmp.Or(cfg.Every, EveryDefault), EveryLeast)
-	cfg.Rise, cfg.Fall, cfg.AtOnce = cmp.Or(cfg.Rise, RiseDefault), cmp.Or(cfg.Fall, FallDefault), cmp.Or(cfg.AtOnce, AtOnceDefault)
-	return &Checks{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), boxes: map[string]*box{}, out: map[uint64]*box{},
-		wheel: wheel.New[*box](0, now)}
+	cfg.Rise, cfg.Fall, cfg.AtOnce = cmp.Or(cfg.Rise, DefaultRise), cmp.Or(cfg.Fall, DefaultFall), cmp.Or(cfg.AtOnce, AtOnceDefault)
+	return &Checks{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), backends: map[string]*backend{}, inFlight: map[uint64]*backend{},
+		timers: wheel.New[*backend](0, now)}
 }
 
 // Set adds a backend to the checks. The first check comes at a random time within one interval. A backend with a new address counts
 // as a new one: it is up until checks fail, and the result of a check of the old address is ignored. Set reports whether it
 // changed anything.
 func (c *Checks) Set(now time.Duration, id, addr string) bool {
-	if b := c.boxes[id]; b != nil {
+	if b := c.backends[id]; b != nil {
 		if b.addr == addr {
 			return false
 		}
 		c.Remove(id)
 	}
-	b := &box{id: id, addr: addr, up: true}
-	c.boxes[id] = b
-	c.arm(b, now+time.Duration(c.rng.Float64()*float64(c.cfg.Every)))
+	b := &backend{id: id, addr: addr, up: true}
+	c.backends[id] = b
+	c.schedule(b, now+time.Duration(c.rng.Float64()*float64(c.cfg.Every)))
 	return true
 }
 
 // Remove stops the checks of a backend.
 func (c *Checks) Remove(id string) {
-	b := c.boxes[id]
+	b := c.backends[id]
 	if b == nil {
 		return
 	}
-	b.gone = true
-	c.wheel.Stop(b.alarm)
-	delete(c.boxes, id)
+	b.isRemoved = true
+	c.timers.Stop(b.timer)
+	delete(c.backends, id)
 }
 
-func (c *Checks) arm(b *box, at time.Duration) { b.alarm = c.wheel.Arm(at, b) }
+// schedule sets the time of the next check of a backend.
+func (c *Checks) schedule(b *backend, at time.Duration) { b.timer = c.timers.Arm(at, b) }
 
 // Next returns the latest time for the next call of Due; false: nothing is scheduled. Checks that wait for a free slot start at the
 // call of Due after the next Result.
-func (c *Checks) Next() (time.Duration, bool) { return c.wheel.Next() }
-
-// Due appends the checks to make now to asks.
-func (c *Checks) Due(now time.Duration, asks []Ask) []Ask {
-	c.wheel.Advance(now, func(_ time.Duration, b *box) {
-		if !b.waits {
-			b.waits = true
-			c.late = append(c.late, b)
+func (c *Checks) Next() (time.Duration, bool) { return c.timers.Next() }
+
+// Due appends the checks to make now to checks.
+func (c *Checks) Due(now time.Duration, checks []Check) []Check {
+	c.timers.Advance(now, func(_ time.Duration, b *backend) {
+		if !b.isWaiting {
+			b.isWaiting = true
+			c.waiting = append(c.waiting, b)
 		}
 	})
-	for len(c.late) > 0 && len(c.out) < c.cfg.AtOnce {
-		b := c.late[0]
-		c.late[0] = nil
-		c.late = c.late[1:]
-		if b.waits = false; b.gone {
+	for len(c.waiting) > 0 && len(c.inFlight) < c.cfg.AtOnce {
+		b := c.waiting[0]
+		c.waiting[0] = nil
+		c.waiting = c.waiting[1:]
+		if b.isWaiting = false; b.isRemoved {
 			continue
 		}
-		c.tokens++
-		b.token = c.tokens
-		c.out[b.token] = b
-		asks = append(asks, Ask{Box: b.id, Addr: b.addr, Token: b.token})
+		c.lastToken++
+		b.token = c.lastToken
+		c.inFlight[b.token] = b
+		checks = append(checks, Check{Box: b.id, Addr: b.addr, Token: b.token})
 	}
-	return asks
+	return checks
 }
 
 // Result records the outcome of a check. It returns the resulting change of the backend; nil: none.
 func (c *Checks) Result(now time.Duration, token uint64, ok bool, why string) *Verdict {
-	b := c.out[token]
-	delete(c.out, token)
-	if b == nil || b.gone {
+	b := c.inFlight[token]
+	delete(c.inFlight, token)
+	if b == nil || b.isRemoved {
 		return nil
 	}
 	b.token = 0
-	c.arm(b, now+time.Duration(float64(c.cfg.Every)*(1-jitter+2*jitter*c.rng.Float64())))
+	c.schedule(b, now+time.Duration(float64(c.cfg.Every)*(1-jitter+2*jitter*c.rng.Float64())))
 	if ok == b.up {
-		b.row, b.met = 0, b.met || ok
+		b.streak, b.hasAnswered = 0, b.hasAnswered || ok
 		return nil
 	}
-	b.row++
-	need := c.cfg.Fall
+	b.streak++
+	needed := c.cfg.Fall
 	switch {
 	case ok:
-		need = c.cfg.Rise
-	case !b.met:
-		need = 1 // a backend that has never answered has no good state to protect from a single failure
+		needed = c.cfg.Rise
+	case !b.hasAnswered:
+		needed = 1 // a backend that has never answered has no good state to protect from a single failure
 	}
-	if b.row < need {
+	if b.streak < needed {
 		return nil
 	}
-	b.row, b.up, b.met = 0, ok, b.met || ok
+	b.streak, b.up, b.hasAnswered = 0, ok, b.hasAnswered || ok
 	return &Verdict{Box: b.id, Addr: b.addr, Up: ok, Why: why}
 }
 
 // Up reports whether a backend counts as up, and whether it is checked at all.
 func (c *Checks) Up(id string) (up, known bool) {
-	b := c.boxes[id]
+	b := c.backends[id]
 	return b != nil && b.up, b != nil
 }
 
-// Out returns the number of checks in flight.
-func (c *Checks) Out() int { return len(c.out) }
+// InFlight returns the number of checks in flight.
+func (c *Checks) InFlight() int { return len(c.inFlight) }
 
 // Len returns the number of backends that are checked.
-func (c *Checks) Len() int { return len(c.boxes) }
+func (c *Checks) Len() int { return len(c.backends) }
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// pool simulates backends that are healthy or not, and that answer a check after a delay.
-type pool struct {
-	t       *testing.T
-	c       *Checks
-	now     time.Duration
-	sick    map[string]bool // by address
-	takes   time.Duration
-	pending []pending
-	heard   map[string][]Verdict
-	asked   map[string][]time.Duration
-	most    int
+// fakePool simulates backends that are healthy or not, and that answer a check after a delay.
+type fakePool struct {
+	t           *testing.T
+	c           *Checks
+	now         time.Duration
+	unhealthy   map[string]bool // by address
+	answerDelay time.Duration
+	pending     []pendingCheck
+	verdicts    map[string][]Verdict
+	checkedAt   map[string][]time.Duration
+	maxInFlight int
 }
 
-type pending struct {
+type pendingCheck struct {
 	at time.Duration
-	Ask
+	Check
 }
 
-func newPool(t *testing.T, cfg Config, seed uint64) *pool {
-	return &pool{t: t, c: New(cfg, seed, 0), sick: map[string]bool{}, heard: map[string][]Verdict{}, asked: map[string][]time.Duration{}}
+func newPool(t *testing.T, cfg Config, seed uint64) *fakePool {
+	return &fakePool{t: t, c: New(cfg, seed, 0), unhealthy: map[string]bool{},
+		verdicts: map[string][]Verdict{}, checkedAt: map[string][]time.Duration{}}
 }
 
-func (p *pool) run(d time.Duration) {
+func (p *fakePool) run(d time.Duration) {
 	for end := p.now + d; p.now < end; p.now += 10 * time.Millisecond {
 		for i := 0; i < len(p.pending); {
 			a := p.pending[i]
@@ -38,8 +39,8 @@
 				continue
 			}
 			p.pending = append(p.pending[:i], p.pending[i+1:]...)
-			if v := p.c.Result(p.now, a.Token, !p.sick[a.Addr], "said so"); v != nil {
-				p.heard[v.Box] = append(p.heard[v.Box], *v)
+			if v := p.c.Result(p.now, a.Token, !p.unhealthy[a.Addr], "said so"); v != nil {
+				p.verdicts[v.Box] = append(p.verdicts[v.Box], *v)
 			}
 		}
 		for _, a := range p.c.Due(p.now, nil) {
@@ -48,16 +49,16 @@
 					p.t.Fatalf("%v: two concurrent checks of %s", p.now, a.Box)
 				}
 			}
-			p.asked[a.Box] = append(p.asked[a.Box], p.now)
-			p.pending = append(p.pending, pending{p.now + p.takes, a})
+			p.checkedAt[a.Box] = append(p.checkedAt[a.Box], p.now)
+			p.pending = append(p.pending, pendingCheck{p.now + p.answerDelay, a})
 		}
-		p.most = max(p.most, p.c.Out())
+		p.maxInFlight = max(p.maxInFlight, p.c.InFlight())
 	}
 }
 
 // Guards against verdicts that ignore the rise and fall counts: only enough consecutive results change the state. A backend that
 // has never answered goes down at its first failure.
-func TestRiseAndFall(t *testing.T) {
+func TestConsecutiveResultsChangeState(t *testing.T) {
 	for _, tc := range []struct{ answers, verdicts string }{
 		{"+", ""}, {"-", "d"}, {"+--", ""}, {"+---", "d"}, {"+--+--", ""}, {"+---+", "d"}, {"+---++", "du"}, {"+---+-+", "d"},
 		{"+---+-++", "du"}, {"-++", "du"}, {"-++--", "du"}, {"-++---", "dud"}, {"------", "d"}, {"++++++", ""},
@@ -66,24 +67,24 @@
 		c.Set(0, "a", "x:1")
 		got, now := "", time.Duration(0)
 		for _, answer := range tc.answers {
-			var asks []Ask
+			var checks []Check
 			for range 100 { // Next may return an earlier time than that of the next check
 				next, ok := c.Next()
 				if !ok {
 					t.Fatalf("%s: nothing is due", tc.answers)
 				}
 				now = next
-				if asks = c.Due(now, nil); len(asks) > 0 {
+				if checks = c.Due(now, nil); len(checks) > 0 {
 					break
 				}
 			}
-			if len(asks) != 1 || asks[0].Addr != "x:1" {
-				t.Fatalf("%s: asks %v", tc.answers, asks)
+			if len(checks) != 1 || checks[0].Addr != "x:1" {
+				t.Fatalf("%s: checks %v", tc.answers, checks)
 			}
-			if v := c.Result(now, asks[0].Token, answer == '+', "why"); v != nil {
+			if v := c.Result(now, checks[0].Token, answer == '+', "why"); v != nil {
 				got += map[bool]string{true: "u", false: "d"}[v.Up]
 			}
-			if v := c.Result(now, asks[0].Token, answer != '+', "twice"); v != nil {
+			if v := c.Result(now, checks[0].Token, answer != '+', "twice"); v != nil {
 				t.Fatalf("%s: a result counted twice", tc.answers)
 			}
 		}
@@ -95,12 +96,12 @@
 
 // Guards against stale, missing and concurrent checks while backends are added, removed and moved. A check of an old address
 // doesn't affect the new one. Each backend is checked about once in Every, never twice at once, and AtOnce bounds all checks.
-func TestBoxesComeAndGo(t *testing.T) {
+func TestBackendsAreAddedRemovedAndMoved(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		cfg := Config{Every: time.Second, Rise: 2, Fall: 2, AtOnce: 4}
 		p := newPool(t, cfg, seed)
-		p.takes = 300 * time.Millisecond
+		p.answerDelay = 300 * time.Millisecond
 		addr := map[string]string{}
 		for step := range 200 {
 			id := fmt.Sprint(rng.IntN(10))
@@ -108,35 +109,35 @@
 			case 0:
 				addr[id] = fmt.Sprintf("%s:%d", id, step)
 				p.c.Set(p.now, id, addr[id])
-				p.heard[id] = nil
+				p.verdicts[id] = nil
 			case 1:
 				p.c.Remove(id)
 				delete(addr, id)
-				p.heard[id] = nil
+				p.verdicts[id] = nil
 			case 2:
 				if a := addr[id]; a != "" {
-					p.sick[a] = !p.sick[a]
+					p.unhealthy[a] = !p.unhealthy[a]
 				}
 			}
 			p.run(time.Duration(rng.IntN(300)) * time.Millisecond)
-			for id := range p.heard {
-				if addr[id] == "" && len(p.heard[id]) > 0 {
+			for id := range p.verdicts {
+				if addr[id] == "" && len(p.verdicts[id]) > 0 {
 					t.Fatalf("seed %d: a verdict on %s, which is removed", seed, id)
 				}
 			}
 		}
 		p.run(20 * time.Second) // time to settle
-		if p.most > cfg.AtOnce || p.c.Len() != len(addr) {
-			t.Errorf("seed %d: %d concurrent checks, %d backends of %d", seed, p.most, p.c.Len(), len(addr))
+		if p.maxInFlight > cfg.AtOnce || p.c.Len() != len(addr) {
+			t.Errorf("seed %d: %d concurrent checks, %d backends of %d", seed, p.maxInFlight, p.c.Len(), len(addr))
 		}
 		for id, a := range addr {
-			if up, known := p.c.Up(id); !known || up == p.sick[a] {
-				t.Errorf("seed %d: %s is unhealthy %t, reported up %t, known %t", seed, id, p.sick[a], up, known)
+			if up, known := p.c.Up(id); !known || up == p.unhealthy[a] {
+				t.Errorf("seed %d: %s is unhealthy %t, reported up %t, known %t", seed, id, p.unhealthy[a], up, known)
 			}
 		}
 		for id := range addr {
 			n := 0
-			for _, at := range p.asked[id] {
+			for _, at := range p.checkedAt[id] {
 				if at > p.now-10*time.Second {
 					n++
 				}
@@ -149,22 +150,22 @@
 			p.c.Remove(id)
 		}
 		p.run(2 * time.Second)
-		if _, some := p.c.Next(); some || p.c.Out() > 0 || len(p.c.late) > 0 {
-			t.Errorf("seed %d: checks remain without backends: %d in flight, %d late", seed, p.c.Out(), len(p.c.late))
+		if _, found := p.c.Next(); found || p.c.InFlight() > 0 || len(p.c.waiting) > 0 {
+			t.Errorf("seed %d: checks remain without backends: %d in flight, %d waiting", seed, p.c.InFlight(), len(p.c.waiting))
 		}
 	}
 }
 
 // Guards against synchronized checks: many processes that start within the same second with the same backends would check them
 // all at once, at the start or later.
-func TestFleetIsSpread(t *testing.T) {
+func TestChecksOfManyProcessesAreSpread(t *testing.T) {
 	const nodes, every = 300, 2 * time.Second
 	at := map[time.Duration]int{}
 	for seed := range uint64(nodes) {
 		p := newPool(t, Config{Every: every}, seed)
 		p.c.Set(0, "a", "x:1")
 		p.run(20 * time.Second)
-		for _, d := range p.asked["a"] {
+		for _, d := range p.checkedAt["a"] {
 			at[d/(100*time.Millisecond)]++
 		}
 	}
--- a/internal/living/living.go
+++ b/internal/living/living.go
@@ -24,8 +24,8 @@
 
 // Living is the lifecycle of one front. New returns one.
 type Living struct {
-	front Front
-	born  time.Time
+	front     Front
+	startedAt time.Time
 
 	mu      sync.Mutex
 	life    *life.Life
@@ -33,33 +33,33 @@
 }
 
 // New returns the lifecycle of a front. Its clock starts now.
-func New(l *life.Life, f Front) *Living { return &Living{front: f, born: time.Now(), life: l} }
+func New(l *life.Life, f Front) *Living { return &Living{front: f, startedAt: time.Now(), life: l} }
 
 // Left returns how long the front has until its end. It is valid once the shutdown has begun.
 func (v *Living) Left() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.life.End() - time.Since(v.born)
+	return v.life.EndsAt() - time.Since(v.startedAt)
 }
 
 // Tell passes an event to the Life and carries out its actions. It reports true once the front has to end now.
 func (v *Living) Tell(ev life.Event) (ended bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.actions = v.life.Handle(time.Since(v.born), ev, v.actions[:0])
+	v.actions = v.life.Handle(time.Since(v.startedAt), ev, v.actions[:0])
 	for _, a := range v.actions {
 		switch a.Kind {
-		case life.BeReady, life.BeUnready:
-			v.front.Ready(a.Kind == life.BeReady)
+		case life.ReportReady, life.ReportUnready:
+			v.front.Ready(a.Kind == life.ReportReady)
 		case life.AnswerBy:
-			v.front.AnswerBy(v.born.Add(a.At))
+			v.front.AnswerBy(v.startedAt.Add(a.At))
 		case life.StopAccepting:
 			v.front.StopAccepting()
-		case life.CloseAnswered:
+		case life.CloseAfterAnswer:
 			v.front.CloseAnswered()
-		case life.CloseQuiet:
+		case life.CloseIdle:
 			v.front.CloseQuiet(false)
-		case life.CloseHalf:
+		case life.CloseIncomplete:
 			v.front.CloseQuiet(true)
 		case life.End:
 			ended = true
@@ -68,47 +68,47 @@
 	return ended
 }
 
-// Leave runs the shutdown that an earlier Tell began: it passes a snapshot from see to the Life every LookEvery, until the front
-// has to end. served is closed, or receives a value, once no more connections are accepted. The argument of see is true until then.
-func (v *Living) Leave(served <-chan error, see func(accepting bool) life.Event) {
+// Leave runs the shutdown that an earlier Tell began: it passes the events of snapshot to the Life every LookEvery, until the front
+// has to end. stopped is closed, or receives a value, once no more connections are accepted. The argument of snapshot is true until then.
+func (v *Living) Leave(stopped <-chan error, snapshot func(accepting bool) life.Event) {
 	accepting := true
 	for ended := false; !ended; {
 		time.Sleep(LookEvery)
 		if accepting {
 			select {
-			case <-served:
+			case <-stopped:
 				accepting = false
 			default:
 			}
 		}
-		ended = v.Tell(see(accepting))
+		ended = v.Tell(snapshot(accepting))
 	}
 }
 
 // Lag measures the delay of a loop: the time from posting a function to its execution. The zero value is ready to use.
 type Lag struct {
-	posted atomic.Pointer[time.Time] // when the pending function was posted; nil: none is pending
-	last   atomic.Int64              // the last delay in ns
+	pendingSince atomic.Pointer[time.Time] // when the pending function was posted; nil: none is pending
+	lastDelay    atomic.Int64              // the last delay in ns
 }
 
 // Measure posts a function to the loop if none is pending. It returns the last delay, or the time that the pending one has waited if
 // that is longer.
 func (l *Lag) Measure(post func(func()) bool) time.Duration {
-	if at := l.posted.Load(); at != nil {
-		if waits := int64(time.Since(*at)); waits > l.last.Load() {
-			l.last.Store(waits)
+	if at := l.pendingSince.Load(); at != nil {
+		if waited := int64(time.Since(*at)); waited > l.lastDelay.Load() {
+			l.lastDelay.Store(waited)
 		}
-		return time.Duration(l.last.Load())
+		return time.Duration(l.lastDelay.Load())
 	}
 	now := time.Now()
-	l.posted.Store(&now)
+	l.pendingSince.Store(&now)
 	if !post(func() {
-		l.last.Store(int64(time.Since(now)))
-		l.posted.Store(nil)
+		l.lastDelay.Store(int64(time.Since(now)))
+		l.pendingSince.Store(nil)
 	}) {
-		l.posted.Store(nil) // the loop has ended, so it is not late
+		l.pendingSince.Store(nil) // the loop has ended, so it is not late
 	}
-	return time.Duration(l.last.Load())
+	return time.Duration(l.lastDelay.Load())
 }
 
 // Book counts requests from when they are accepted until their answer is passed to the connection.
--- a/life/life.go
+++ b/life/life.go
@@ -14,32 +14,32 @@
 
 // Terms are the guarantees that hold during the shutdown of a node.
 type Terms struct {
-	Most  time.Duration // the longest deadline that counts for the time between SIGTERM and SIGKILL
-	Grace time.Duration // time until SIGKILL beyond the deadline
-	Still time.Duration // how long new connections may arrive after SIGTERM
-	Stay  bool          // clients keep to an open connection and may find no other: keep it open for long
+	MaxDeadline      time.Duration // the longest deadline that counts for the time between SIGTERM and SIGKILL
+	Grace            time.Duration // time until SIGKILL beyond the deadline
+	Still            time.Duration // how long new connections may arrive after SIGTERM
+	KeepsConnections bool          // clients keep to an open connection and may find no other: keep it open for long
 }
 
 // Platform holds the terms of the platform.
-var Platform = Terms{Most: 3 * time.Second, Grace: 700 * time.Millisecond, Still: 400 * time.Millisecond, Stay: true}
+var Platform = Terms{MaxDeadline: 3 * time.Second, Grace: 700 * time.Millisecond, Still: 400 * time.Millisecond, KeepsConnections: true}
 
 // Own holds the terms of a standalone installation. Its operator sets the shutdown timeout, which New gets in place of a deadline.
-var Own = Terms{Most: 24 * time.Hour}
+var Own = Terms{MaxDeadline: 24 * time.Hour}
 
 const (
 	// Late is the largest delay of a timer, and so of every action here, on a busy machine. A node aims to end this long before
 	// SIGKILL may come. Unanswered requests get up to half of it more.
 	Late = 200 * time.Millisecond
-	// QuietFor is how long the accept queue of the listener has to stay empty before it counts as drained.
-	QuietFor = 50 * time.Millisecond
-	// AnswerLeast is the least time between the last answers and the end of the process: answers that are due at the same instant
-	// are encoded and written one by one. If the measured lag of the loop and the writes is large, the time is lagTimes the lag,
-	// at most one part in lagParts of the whole shutdown.
-	AnswerLeast        = 150 * time.Millisecond
-	lagTimes, lagParts = 2, 2
-	// ServeLeast is how long before its end a node stops taking requests on persistent connections. Nearly all requests are
+	// QueueEmptyWindow is how long the accept queue of the listener has to stay empty before it counts as drained.
+	QueueEmptyWindow = 50 * time.Millisecond
+	// MinAnswerMargin is the least time between the last answers and the end of the process: answers that are due at the same instant
+	// are encoded and written one by one. If the measured lag of the loop and the writes is large, the time is lagFactor the lag,
+	// at most one part in maxLagDivisor of the whole shutdown.
+	MinAnswerMargin          = 150 * time.Millisecond
+	lagFactor, maxLagDivisor = 2, 2
+	// MinServeMargin is how long before its end a node stops taking requests on persistent connections. Nearly all requests are
 	// answered in that time.
-	ServeLeast = 900 * time.Millisecond
+	MinServeMargin = 900 * time.Millisecond
 	// RememberFor is how long a node with a cached endpoint list waits for one from a source before it reports ready. The cached
 	// list may name backends that have been replaced since.
 	RememberFor = 300 * time.Millisecond
@@ -50,13 +50,13 @@
 
 // Phases, in order. A node never goes back to an earlier one.
 const (
-	Starting    Phase = iota // accepts no clients
-	Remembering              // accepts clients; no source has sent an endpoint list yet
-	Serving                  // reports ready, as long as some backend can be sent to
-	Leaving                  // shutdown has begun: not ready, still accepting
-	Staying                  // accepts no connections, keeps the open ones
-	Closing                  // each connection closes with its answer; near the end, idle ones close at once
-	Last                     // all requests should have their answers: connections with a partial request close too
+	Starting           Phase = iota // accepts no clients
+	AwaitingList                    // accepts clients; no source has sent an endpoint list yet
+	Serving                         // reports ready, as long as some backend can be sent to
+	Leaving                         // shutdown has begun: not ready, still accepting
+	KeepingConnections              // accepts no connections, keeps the open ones
+	Closing                         // each connection closes with its answer; near the end, idle ones close at once
+	ClosingIncomplete               // all requests should have their answers: connections with a partial request close too
 	Ended
 )
 
@@ -65,22 +65,22 @@
 	return [...]string{"starting", "remembering", "serving", "leaving", "staying", "closing", "last", "ended"}[p]
 }
 
-// Kind is the kind of an event.
-type Kind uint8
+// EventKind is the kind of an event.
+type EventKind uint8
 
 // Kinds of events. Told comes with SIGTERM, and only the first one counts. The others may come at any time.
 const (
-	Opened  Kind = iota // clients are accepted from now on
-	Heard               // a source has sent an endpoint list
-	Told                // the shutdown begins; Followed: a successor has taken over
-	Changed             // settings have changed; Deadline is the longest one now
-	Seen                // a snapshot of Conns, Asked, Queued and Lag
-	Tick                // time has passed
+	Opened  EventKind = iota // clients are accepted from now on
+	Heard                    // a source has sent an endpoint list
+	Told                     // the shutdown begins; Followed: a successor has taken over
+	Changed                  // settings have changed; Deadline is the longest one now
+	Seen                     // a snapshot of Conns, Asked, Queued and Lag
+	Tick                     // time has passed
 )
 
 // Event is an input of Handle.
 type Event struct {
-	Kind     Kind
+	Kind     EventKind
 	Followed bool
 	Deadline time.Duration // 0: not known, treated as the longest that Terms allow
 	Conns    int           // open connections of clients
@@ -94,74 +94,77 @@
 
 // Kinds of actions.
 const (
-	BeReady       ActionKind = iota // report ready
-	BeUnready                       // report not ready
-	AnswerBy                        // answer every open and every new request by At
-	StopAccepting                   // close the listener; idle connections no longer close to make room for new ones
-	CloseAnswered                   // close each connection with its answer from now on
-	CloseQuiet                      // close the connections on which no byte of a request has arrived
-	CloseHalf                       // close also those on which no complete request has arrived
-	End                             // end the process; Left requests are cut off
+	ReportReady      ActionKind = iota // report ready
+	ReportUnready                      // report not ready
+	AnswerBy                           // answer every open and every new request by At
+	StopAccepting                      // close the listener; idle connections no longer close to make room for new ones
+	CloseAfterAnswer                   // close each connection with its answer from now on
+	CloseIdle                          // close the connections on which no byte of a request has arrived
+	CloseIncomplete                    // close also those on which no complete request has arrived
+	End                                // end the process; Unanswered requests are cut off
 )
 
 // Action is an output of Handle.
 type Action struct {
-	Kind ActionKind
-	At   time.Duration // set for AnswerBy; same clock as the times passed to Handle
-	Left int           // set for End
+	Kind       ActionKind
+	At         time.Duration // set for AnswerBy; same clock as the times passed to Handle
+	Unanswered int           // set for End
 }
 
 // Life is the lifecycle of one node. New returns one.
 type Life struct {
-	terms    Terms
-	phase    Phase
-	followed bool
-	deadline time.Duration
-	openedAt time.Duration
-	heard    bool
-	ready    bool
+	terms        Terms
+	phase        Phase
+	hasSuccessor bool
+	deadline     time.Duration
+	openedAt     time.Duration
+	hasList      bool
+	isReady      bool
 
-	told     time.Duration // when the shutdown began
-	kill     time.Duration // the earliest time at which SIGKILL may come; it never moves later
-	answerBy time.Duration
-	quiet    time.Duration // since when the accept queue has been empty; -1: it is not empty
-	stopped  bool          // no longer accepts connections
-	closing  bool          // each answer closes its connection
+	shutdownAt        time.Duration // when the shutdown began
+	sigkillAt         time.Duration // the earliest time at which SIGKILL may come; it never moves later
+	answerBy          time.Duration
+	queueEmptyAt      time.Duration // since when the accept queue has been empty; -1: it is not empty
+	stoppedAccepting  bool          // no longer accepts connections
+	closesAfterAnswer bool          // each answer closes its connection
 }
 
 // New returns the lifecycle of a node. deadline is the longest one in the settings; 0: not known.
 func New(terms Terms, deadline time.Duration) *Life {
-	return &Life{terms: terms, deadline: deadline, quiet: -1}
+	return &Life{terms: terms, deadline: deadline, queueEmptyAt: -1}
 }
 
-// acceptFor is the least time for which a node accepts after SIGTERM: until no new connection can arrive, even a late one.
-func (l *Life) acceptFor() time.Duration { return l.terms.Still + Late }
+// minAcceptDuration is the least time for which a node accepts after SIGTERM: until no new connection can arrive, even a late one.
+func (l *Life) minAcceptDuration() time.Duration { return l.terms.Still + Late }
 
-// closes reports whether open connections may close: clients don't depend on them, or at most ServeLeast remains.
-func (l *Life) closes(now time.Duration) bool { return !l.terms.Stay || now >= l.End()-ServeLeast }
+// mayCloseConnections reports whether open connections may close: clients don't depend on them, or at most MinServeMargin remains.
+func (l *Life) mayCloseConnections(now time.Duration) bool {
+	return !l.terms.KeepsConnections || now >= l.EndsAt()-MinServeMargin
+}
 
 // Phase returns the current phase.
 func (l *Life) Phase() Phase { return l.phase }
 
-// Told reports whether the shutdown has begun.
-func (l *Life) Told() bool { return l.phase >= Leaving }
+// ShuttingDown reports whether the shutdown has begun.
+func (l *Life) ShuttingDown() bool { return l.phase >= Leaving }
 
-// End returns the latest time at which the node ends in normal operation: Late before SIGKILL may come. It is valid from Told on.
-func (l *Life) End() time.Duration { return l.kill - Late }
+// EndsAt returns the latest time at which the node ends in normal operation: Late before SIGKILL may come. It is valid once the
+// shutdown has begun.
+func (l *Life) EndsAt() time.Duration { return l.sigkillAt - Late }
 
-// cutAt returns when the node ends even if something is open. A request has until the last moment that still leaves time for the
+// cutoffAt returns when the node ends even if something is open. A request has until the last moment that still leaves time for the
 // process to exit. Connections without a request, which only wait for their clients to close, are not worth the risk that a busy
 // machine exits late.
-func (l *Life) cutAt(ev Event) time.Duration {
+func (l *Life) cutoffAt(ev Event) time.Duration {
 	if ev.Kind == Seen && ev.Asked == 0 {
-		return l.kill - Late/2
+		return l.sigkillAt - Late/2
 	}
-	return l.kill - Late/4
+	return l.sigkillAt - Late/4
 }
 
 // String returns the state in short, for test failures and traces.
 func (l *Life) String() string {
-	return fmt.Sprintf("%s ready=%t stopped=%t closing=%t", l.phase, l.ready, l.stopped, l.closing)
+	return fmt.Sprintf("%s ready=%t stopped=%t closing=%t", l.phase, l.isReady, l.stoppedAccepting, l.closesAfterAnswer)
 }
 
 // Handle takes one event and appends the resulting actions to out. Times may come from any clock that never goes back.
@@ -172,115 +175,117 @@
 	switch ev.Kind {
 	case Opened:
 		if l.phase == Starting {
-			l.phase, l.openedAt = Remembering, now
+			l.phase, l.openedAt = AwaitingList, now
 		}
 	case Heard:
-		l.heard = true
+		l.hasList = true
 	case Changed:
 		l.deadline = ev.Deadline
-		if l.Told() { // SIGKILL may follow the old deadline or the new one, so the earlier of the two counts
+		if l.ShuttingDown() { // SIGKILL may follow the old deadline or the new one, so the earlier of the two counts
 			// A shorter deadline may put SIGKILL into the past. The platform can't have planned with an instant that has
-			// passed, so the open requests still get AnswerLeast.
-			l.kill = min(l.kill, max(l.killAt(), now+AnswerLeast+Late))
+			// passed, so the open requests still get MinAnswerMargin.
+			l.sigkillAt = min(l.sigkillAt, max(l.computeSigkillAt(), now+MinAnswerMargin+Late))
 		}
 	case Told:
-		if !l.Told() {
-			out = l.tell(now, ev.Followed, out)
+		if !l.ShuttingDown() {
+			out = l.beginShutdown(now, ev.Followed, out)
 		}
 	}
 	switch {
-	case l.phase == Remembering && (l.heard || now-l.openedAt >= RememberFor):
-		l.phase, l.ready = Serving, true
-		return append(out, Action{Kind: BeReady})
-	case l.Told() && l.phase != Ended:
-		return l.leave(now, ev, out)
+	case l.phase == AwaitingList && (l.hasList || now-l.openedAt >= RememberFor):
+		l.phase, l.isReady = Serving, true
+		return append(out, Action{Kind: ReportReady})
+	case l.ShuttingDown() && l.phase != Ended:
+		return l.advanceShutdown(now, ev, out)
 	}
 	return out
 }
 
-func (l *Life) killAt() time.Duration {
+// computeSigkillAt returns the earliest time at which SIGKILL may come under the current settings.
+func (l *Life) computeSigkillAt() time.Duration {
 	d := l.deadline
-	if d <= 0 || d > l.terms.Most {
-		d = l.terms.Most
+	if d <= 0 || d > l.terms.MaxDeadline {
+		d = l.terms.MaxDeadline
 	}
-	return l.told + d + l.terms.Grace
+	return l.shutdownAt + d + l.terms.Grace
 }
 
-// tell begins the shutdown.
-func (l *Life) tell(now time.Duration, followed bool, out []Action) []Action {
+// beginShutdown begins the shutdown.
+func (l *Life) beginShutdown(now time.Duration, hasSuccessor bool, out []Action) []Action {
 	if l.phase == Starting { // no client has been accepted
 		l.phase = Ended
 		return append(out, Action{Kind: End})
 	}
-	l.phase, l.told, l.followed = Leaving, now, followed
-	l.kill = l.killAt()
-	l.ready = false
-	out = append(out, Action{Kind: BeUnready})
-	l.answerBy = l.kill
-	if !l.terms.Stay && !followed { // busy connections close with an answer, before idle ones close
-		l.closing = true
-		out = append(out, Action{Kind: CloseAnswered})
+	l.phase, l.shutdownAt, l.hasSuccessor = Leaving, now, hasSuccessor
+	l.sigkillAt = l.computeSigkillAt()
+	l.isReady = false
+	out = append(out, Action{Kind: ReportUnready})
+	l.answerBy = l.sigkillAt
+	if !l.terms.KeepsConnections && !hasSuccessor { // busy connections close with an answer, before idle ones close
+		l.closesAfterAnswer = true
+		out = append(out, Action{Kind: CloseAfterAnswer})
 	}
-	if followed { // the successor takes the connections in the accept queue, and clients can reconnect to it
-		l.stopped, l.closing = true, true
+	if hasSuccessor { // the successor takes the connections in the accept queue, and clients can reconnect to it
+		l.stoppedAccepting, l.closesAfterAnswer = true, true
 		l.phase = Closing
-		out = append(out, Action{Kind: StopAccepting}, Action{Kind: CloseAnswered})
+		out = append(out, Action{Kind: StopAccepting}, Action{Kind: CloseAfterAnswer})
 	}
 	return out
 }
 
-// leave moves a node through the shutdown phases.
-func (l *Life) leave(now time.Duration, ev Event, out []Action) []Action {
-	seen, stopped := ev.Kind == Seen, l.stopped
-	if by := l.End() - AnswerLeast; by < l.answerBy {
+// advanceShutdown moves a node through the shutdown phases.
+func (l *Life) advanceShutdown(now time.Duration, ev Event, out []Action) []Action {
+	isSnapshot, wasStopped := ev.Kind == Seen, l.stoppedAccepting
+	if by := l.EndsAt() - MinAnswerMargin; by < l.answerBy {
 		l.answerBy = by
 		out = append(out, Action{Kind: AnswerBy, At: by})
 	}
 	// A lag counts only once the end is so near that the answers need that time. A lag that passes before shortens no request.
-	if by := l.End() - min(lagTimes*ev.Lag, (l.End()-l.told)/lagParts); seen && by <= now && now < l.answerBy {
+	if by := l.EndsAt() - min(lagFactor*ev.Lag, (l.EndsAt()-l.shutdownAt)/maxLagDivisor); isSnapshot && by <= now && now < l.answerBy {
 		l.answerBy = now
 		out = append(out, Action{Kind: AnswerBy, At: now})
 	}
-	if seen && !l.stopped {
+	if isSnapshot && !l.stoppedAccepting {
 		switch {
 		case ev.Queued:
-			l.quiet = -1
-		case l.quiet < 0:
-			l.quiet = now
+			l.queueEmptyAt = -1
+		case l.queueEmptyAt < 0:
+			l.queueEmptyAt = now
 		}
 	}
 	// Closing the listener resets the connections in its accept queue, so the queue has to be empty first.
-	if l.phase == Leaving && (now-l.told >= l.acceptFor() && l.quiet >= 0 && now-l.quiet >= QuietFor || now >= l.End()) {
-		l.phase, l.stopped = Staying, true
+	if l.phase == Leaving && (now-l.shutdownAt >= l.minAcceptDuration() && l.queueEmptyAt >= 0 && now-l.queueEmptyAt >= QueueEmptyWindow ||
+		now >= l.EndsAt()) {
+		l.phase, l.stoppedAccepting = KeepingConnections, true
 		out = append(out, Action{Kind: StopAccepting})
 	}
-	if l.phase == Staying && l.closes(now) {
+	if l.phase == KeepingConnections && l.mayCloseConnections(now) {
 		l.phase = Closing
-		if !l.closing {
-			l.closing = true
-			out = append(out, Action{Kind: CloseAnswered})
+		if !l.closesAfterAnswer {
+			l.closesAfterAnswer = true
+			out = append(out, Action{Kind: CloseAfterAnswer})
 		}
 	}
-	if l.phase == Closing && now >= l.End() {
-		l.phase = Last
+	if l.phase == Closing && now >= l.EndsAt() {
+		l.phase = ClosingIncomplete
 	}
 	switch {
-	case l.phase == Last && seen:
-		out = append(out, Action{Kind: CloseHalf})
-	case l.phase == Closing && seen && l.closes(now):
-		out = append(out, Action{Kind: CloseQuiet})
+	case l.phase == ClosingIncomplete && isSnapshot:
+		out = append(out, Action{Kind: CloseIncomplete})
+	case l.phase == Closing && isSnapshot && l.mayCloseConnections(now):
+		out = append(out, Action{Kind: CloseIdle})
 	}
 	switch {
-	case seen && stopped && ev.Conns == 0 && !ev.Queued: // a snapshot taken after the listener was closed
+	case isSnapshot && wasStopped && ev.Conns == 0 && !ev.Queued: // a snapshot taken after the listener was closed
 		l.phase = Ended
 		out = append(out, Action{Kind: End})
-	case now >= l.cutAt(ev):
+	case now >= l.cutoffAt(ev):
 		l.phase = Ended
-		left := 0
-		if seen {
-			left = ev.Asked
+		unanswered := 0
+		if isSnapshot {
+			unanswered = ev.Asked
 		}
-		out = append(out, Action{Kind: End, Left: left})
+		out = append(out, Action{Kind: End, Unanswered: unanswered})
 	}
 	return out
 }
--- a/life/life_test.go
+++ b/life/life_test.go
@@ -8,11 +8,11 @@
 
 const ms = time.Millisecond
 
-// A world simulates what surrounds a Life: connections with requests, the accept queue of a listener, and a platform that sends
+// A simulation models what surrounds a Life: connections with requests, the accept queue of a listener, and a platform that sends
 // SIGKILL. It carries out the actions as the real node does, and checks the invariants.
-type world struct {
-	t        failer
-	l        *Life
+type simulation struct {
+	t        fataler
+	life     *Life
 	terms    Terms
 	now      time.Duration
 	log      []string
@@ -20,224 +20,226 @@
 	conns    []conn
 	queue    []time.Duration // requests that wait to be accepted, each with the time until which it waits
 
-	opened, accepting, ready, closes, ended bool
-	answerBy                                time.Duration
-	toldAt                                  time.Duration
-	kill                                    time.Duration // when SIGKILL may come
-	lag                                     time.Duration // of the loop: each answer is that late
-	mute                                    bool          // backends never answer: answers come at their deadline, or by answerBy
-	lost                                    int           // requests accepted and not answered
-	catches, inHand                         bool          // a connection is accepted while the listener closes, and not counted yet
+	opened, accepting, ready, closesAfterAnswer, ended bool
+	answerBy                                           time.Duration
+	shutdownAt                                         time.Duration
+	sigkillAt                                          time.Duration // when SIGKILL may come
+	lag                                                time.Duration // of the loop: each answer is that late
+	neverAnswers                                       bool          // backends never answer: answers come at their deadline, or by answerBy
+	unanswered                                         int           // requests accepted and not answered
+	acceptsOnClose, uncounted                          bool          // a connection is accepted while the listener closes, and not counted yet
 }
 
 type conn struct {
-	half, asked bool
-	due         time.Duration // when the answer is due
+	started, complete bool
+	due               time.Duration // when the answer is due
 }
 
-type failer interface{ Fatalf(string, ...any) }
+type fataler interface{ Fatalf(string, ...any) }
 
-func (w *world) say(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf("%v "+format, append([]any{w.now}, args...)...))
+func (s *simulation) logf(format string, args ...any) {
+	s.log = append(s.log, fmt.Sprintf("%v "+format, append([]any{s.now}, args...)...))
 }
 
-func (w *world) fail(format string, args ...any) {
-	w.t.Fatalf("%s; %s; %v", fmt.Sprintf(format, args...), w.l, w.log)
+func (s *simulation) fail(format string, args ...any) {
+	s.t.Fatalf("%s; %s; %v", fmt.Sprintf(format, args...), s.life, s.log)
 }
 
-// tell passes an event to the Life and carries out its actions.
-func (w *world) tell(ev Event) {
-	before := w.l.Phase()
-	for _, a := range w.l.Handle(w.now, ev, nil) {
+// handle passes an event to the Life and carries out its actions.
+func (s *simulation) handle(ev Event) {
+	before := s.life.Phase()
+	for _, a := range s.life.Handle(s.now, ev, nil) {
 		switch a.Kind {
-		case BeReady:
-			if !w.opened || w.ready || w.l.Told() {
-				w.fail("BeReady twice, before Opened or during the shutdown; opened %t", w.opened)
+		case ReportReady:
+			if !s.opened || s.ready || s.life.ShuttingDown() {
+				s.fail("ReportReady twice, before Opened or during the shutdown; opened %t", s.opened)
 			}
-			w.ready = true
-		case BeUnready:
-			w.ready = false
+			s.ready = true
+		case ReportUnready:
+			s.ready = false
 		case AnswerBy:
-			if w.answerBy > 0 && a.At > w.answerBy {
-				w.fail("AnswerBy moved from %v to the later %v", w.answerBy, a.At)
+			if s.answerBy > 0 && a.At > s.answerBy {
+				s.fail("AnswerBy moved from %v to the later %v", s.answerBy, a.At)
 			}
-			w.answerBy = a.At
-			for i := range w.conns {
-				w.conns[i].due = min(w.conns[i].due, max(w.answerBy, w.now)+w.lag)
+			s.answerBy = a.At
+			for i := range s.conns {
+				s.conns[i].due = min(s.conns[i].due, max(s.answerBy, s.now)+s.lag)
 			}
 		case StopAccepting:
-			w.accepting = false
-			w.lost += len(w.queue)
-			w.queue = nil
-			w.inHand = w.catches
-			w.say("stops accepting")
-		case CloseAnswered:
-			w.closes = true
-		case CloseQuiet, CloseHalf:
-			kept := w.conns[:0]
-			for _, c := range w.conns {
-				if c.asked || c.half && a.Kind == CloseQuiet {
+			s.accepting = false
+			s.unanswered += len(s.queue)
+			s.queue = nil
+			s.uncounted = s.acceptsOnClose
+			s.logf("stops accepting")
+		case CloseAfterAnswer:
+			s.closesAfterAnswer = true
+		case CloseIdle, CloseIncomplete:
+			kept := s.conns[:0]
+			for _, c := range s.conns {
+				if c.complete || c.started && a.Kind == CloseIdle {
 					kept = append(kept, c)
 				}
 			}
-			w.conns = kept
+			s.conns = kept
 		case End:
-			w.ended = true
-			if w.inHand {
-				w.lost++
+			s.ended = true
+			if s.uncounted {
+				s.unanswered++
 			}
-			for _, c := range w.conns {
-				if c.asked {
-					w.lost++
+			for _, c := range s.conns {
+				if c.complete {
+					s.unanswered++
 				}
 			}
-			w.say("ends, %d connections", len(w.conns))
+			s.logf("ends, %d connections", len(s.conns))
 		}
 	}
-	if w.l.Phase() < before {
-		w.fail("phase went back from %s to %s", before, w.l.Phase())
+	if s.life.Phase() < before {
+		s.fail("phase went back from %s to %s", before, s.life.Phase())
 	}
-	if w.l.Told() && w.ready {
-		w.fail("ready after the shutdown began")
+	if s.life.ShuttingDown() && s.ready {
+		s.fail("ready after the shutdown began")
 	}
 }
 
-func newWorld(t failer, deadline time.Duration) *world { return newWorldOn(t, Platform, deadline) }
+func newSimulation(t fataler, deadline time.Duration) *simulation {
+	return newSimulationWithTerms(t, Platform, deadline)
+}
 
-func newWorldOn(t failer, terms Terms, deadline time.Duration) *world {
-	return &world{t: t, l: New(terms, deadline), terms: terms, deadline: deadline, now: time.Second}
+func newSimulationWithTerms(t fataler, terms Terms, deadline time.Duration) *simulation {
+	return &simulation{t: t, life: New(terms, deadline), terms: terms, deadline: deadline, now: time.Second}
 }
 
-func (w *world) open() {
-	w.opened, w.accepting = true, true
-	w.tell(Event{Kind: Opened})
+func (s *simulation) open() {
+	s.opened, s.accepting = true, true
+	s.handle(Event{Kind: Opened})
 }
 
 // sigterm sends SIGTERM.
-func (w *world) sigterm(followed bool) {
-	if w.toldAt == 0 {
-		d := min(w.deadline, w.terms.Most)
+func (s *simulation) sigterm(hasSuccessor bool) {
+	if s.shutdownAt == 0 {
+		d := min(s.deadline, s.terms.MaxDeadline)
 		if d == 0 {
-			d = w.terms.Most
+			d = s.terms.MaxDeadline
 		}
-		w.toldAt, w.kill = w.now, w.now+d+w.terms.Grace
+		s.shutdownAt, s.sigkillAt = s.now, s.now+d+s.terms.Grace
 	}
-	w.say("SIGTERM")
-	w.tell(Event{Kind: Told, Followed: followed})
+	s.logf("SIGTERM")
+	s.handle(Event{Kind: Told, Followed: hasSuccessor})
 }
 
-// change applies new settings. The platform computes the time of SIGKILL from the settings at SIGTERM.
-func (w *world) change(deadline time.Duration) {
-	w.deadline = deadline
-	w.tell(Event{Kind: Changed, Deadline: deadline})
+// changeSettings applies new settings. The platform computes the time of SIGKILL from the settings at SIGTERM.
+func (s *simulation) changeSettings(deadline time.Duration) {
+	s.deadline = deadline
+	s.handle(Event{Kind: Changed, Deadline: deadline})
 }
 
-// ask lets a client send a complete request, or half of one.
-func (w *world) ask(whole bool, budget time.Duration) {
-	if !w.accepting || w.toldAt > 0 && w.now-w.toldAt > w.terms.Still+650*ms {
+// request lets a client send a complete request, or half of one.
+func (s *simulation) request(whole bool, budget time.Duration) {
+	if !s.accepting || s.shutdownAt > 0 && s.now-s.shutdownAt > s.terms.Still+650*ms {
 		return // no new connections arrive any more
 	}
-	w.conns = append(w.conns, conn{half: true, asked: whole, due: w.due(budget)})
-	w.say("a request, whole %t", whole)
+	s.conns = append(s.conns, conn{started: true, complete: whole, due: s.due(budget)})
+	s.logf("a request, whole %t", whole)
 }
 
 // due returns when a request that arrives now is answered.
-func (w *world) due(budget time.Duration) time.Duration {
-	at := w.now + budget
-	if !w.mute {
-		at = w.now + min(budget, 30*ms)
+func (s *simulation) due(budget time.Duration) time.Duration {
+	at := s.now + budget
+	if !s.neverAnswers {
+		at = s.now + min(budget, 30*ms)
 	}
-	if w.answerBy > 0 {
-		at = min(at, max(w.answerBy, w.now))
+	if s.answerBy > 0 {
+		at = min(at, max(s.answerBy, s.now))
 	}
-	return at + w.lag
+	return at + s.lag
 }
 
 // step advances the time, answers the requests that are due, and passes a snapshot to the Life.
-func (w *world) step(d time.Duration) {
-	w.now += d
-	kept := w.conns[:0]
-	for _, c := range w.conns {
+func (s *simulation) step(d time.Duration) {
+	s.now += d
+	kept := s.conns[:0]
+	for _, c := range s.conns {
 		switch {
-		case !c.asked || c.due > w.now:
+		case !c.complete || c.due > s.now:
 			kept = append(kept, c)
-		case !w.closes:
+		case !s.closesAfterAnswer:
 			kept = append(kept, conn{})
 		}
 	}
-	w.conns = kept
-	if w.ended {
+	s.conns = kept
+	if s.ended {
 		return
 	}
 	// There is room as soon as all open requests have been answered.
-	for len(w.queue) > 0 && (w.now >= w.queue[0] || w.answerBy > 0 && w.now >= w.answerBy+w.lag) {
-		w.queue = w.queue[1:]
-		w.ask(true, w.deadline)
+	for len(s.queue) > 0 && (s.now >= s.queue[0] || s.answerBy > 0 && s.now >= s.answerBy+s.lag) {
+		s.queue = s.queue[1:]
+		s.request(true, s.deadline)
 	}
-	if w.toldAt > 0 && w.now >= w.kill {
-		w.fail("SIGKILL")
+	if s.shutdownAt > 0 && s.now >= s.sigkillAt {
+		s.fail("SIGKILL")
 	}
-	ev := Event{Kind: Seen, Conns: len(w.conns), Queued: len(w.queue) > 0 || w.inHand, Lag: w.lag}
-	if w.inHand {
-		w.inHand = false
-		w.conns = append(w.conns, conn{half: true, asked: true, due: w.due(w.deadline)})
+	ev := Event{Kind: Seen, Conns: len(s.conns), Queued: len(s.queue) > 0 || s.uncounted, Lag: s.lag}
+	if s.uncounted {
+		s.uncounted = false
+		s.conns = append(s.conns, conn{started: true, complete: true, due: s.due(s.deadline)})
 	}
-	for _, c := range w.conns {
-		if c.asked {
+	for _, c := range s.conns {
+		if c.complete {
 			ev.Asked++
 		}
 	}
-	w.tell(ev)
+	s.handle(ev)
 }
 
 // Runs a few events in every order at a few instants. Guards against accepted requests without an answer, readiness reported to
 // clients that are not accepted, and a node that has not ended by itself when SIGKILL may come.
-func TestAllOrders(t *testing.T) {
+func TestEventsInAnyOrderLoseNoRequest(t *testing.T) {
 	if n := explore(t); n < 100000 {
 		t.Errorf("only %d sequences", n)
 	}
 }
 
-func explore(t failer) (lives int) {
+func explore(t fataler) (sequences int) {
 	events := []struct {
 		name string
-		do   func(w *world, deadline time.Duration)
+		do   func(s *simulation, deadline time.Duration)
 	}{
-		{"whole", func(w *world, d time.Duration) { w.ask(true, d) }},
-		{"half", func(w *world, d time.Duration) { w.ask(false, d) }},
-		{"completes", func(w *world, d time.Duration) {
-			for i, c := range w.conns {
-				if c.half && !c.asked {
-					w.conns[i].asked, w.conns[i].due = true, w.due(d)
+		{"whole", func(s *simulation, d time.Duration) { s.request(true, d) }},
+		{"half", func(s *simulation, d time.Duration) { s.request(false, d) }},
+		{"completes", func(s *simulation, d time.Duration) {
+			for i, c := range s.conns {
+				if c.started && !c.complete {
+					s.conns[i].complete, s.conns[i].due = true, s.due(d)
 					return
 				}
 			}
 		}},
-		{"request on an idle connection", func(w *world, d time.Duration) {
-			for i, c := range w.conns {
-				if !c.half {
-					w.conns[i] = conn{half: true, asked: true, due: w.due(d)}
+		{"request on an idle connection", func(s *simulation, d time.Duration) {
+			for i, c := range s.conns {
+				if !c.started {
+					s.conns[i] = conn{started: true, complete: true, due: s.due(d)}
 					return
 				}
 			}
 		}},
-		{"in the accept queue", func(w *world, d time.Duration) {
-			if w.accepting && (w.toldAt == 0 || w.now-w.toldAt <= w.terms.Still) {
-				w.queue = append(w.queue, w.now+150*ms) // until there is room
+		{"in the accept queue", func(s *simulation, d time.Duration) {
+			if s.accepting && (s.shutdownAt == 0 || s.now-s.shutdownAt <= s.terms.Still) {
+				s.queue = append(s.queue, s.now+150*ms) // until there is room
 			}
 		}},
-		{"in a full accept queue", func(w *world, d time.Duration) {
-			if w.accepting && (w.toldAt == 0 || w.now-w.toldAt <= w.terms.Still) {
-				w.queue = append(w.queue, w.now+650*ms)
+		{"in a full accept queue", func(s *simulation, d time.Duration) {
+			if s.accepting && (s.shutdownAt == 0 || s.now-s.shutdownAt <= s.terms.Still) {
+				s.queue = append(s.queue, s.now+650*ms)
 			}
 		}},
-		{"SIGTERM", func(w *world, d time.Duration) { w.sigterm(false) }},
-		{"shorter settings", func(w *world, d time.Duration) { w.change(d / 2) }},
-		{"longer settings", func(w *world, d time.Duration) { w.change(2 * d) }},
-		{"list from a source", func(w *world, d time.Duration) { w.tell(Event{Kind: Heard}) }},
+		{"SIGTERM", func(s *simulation, d time.Duration) { s.sigterm(false) }},
+		{"shorter settings", func(s *simulation, d time.Duration) { s.changeSettings(d / 2) }},
+		{"longer settings", func(s *simulation, d time.Duration) { s.changeSettings(2 * d) }},
+		{"list from a source", func(s *simulation, d time.Duration) { s.handle(Event{Kind: Heard}) }},
 	}
 	gaps := []time.Duration{0, 40 * ms, 590 * ms}
-	for _, place := range []struct {
+	for _, setup := range []struct {
 		terms    Terms
 		deadline time.Duration
 	}{
@@ -247,38 +249,38 @@
 		for _, lag := range []time.Duration{0, 120 * ms} {
 			const length = 3
 			for code := range pow(len(events), length) * pow(len(gaps), length) {
-				w := newWorldOn(t, place.terms, place.deadline)
-				w.lag, w.mute = lag, code%2 == 0
-				w.open()
-				w.ask(true, place.deadline)
+				s := newSimulationWithTerms(t, setup.terms, setup.deadline)
+				s.lag, s.neverAnswers = lag, code%2 == 0
+				s.open()
+				s.request(true, setup.deadline)
 				for range length {
 					ev := events[code%len(events)]
 					code /= len(events)
 					gap := gaps[code%len(gaps)]
 					code /= len(gaps)
-					w.say("%s", ev.name)
-					ev.do(w, place.deadline)
-					w.run(gap)
+					s.logf("%s", ev.name)
+					ev.do(s, setup.deadline)
+					s.run(gap)
 				}
-				w.sigterm(false)
-				w.run(5*time.Second + 2*place.deadline)
-				if !w.ended {
-					w.fail("the node does not end")
+				s.sigterm(false)
+				s.run(5*time.Second + 2*setup.deadline)
+				if !s.ended {
+					s.fail("the node does not end")
 				}
-				if w.lost > 0 {
-					w.fail("%d accepted requests have no answer", w.lost)
+				if s.unanswered > 0 {
+					s.fail("%d accepted requests have no answer", s.unanswered)
 				}
-				lives++
+				sequences++
 			}
 		}
 	}
-	return lives
+	return sequences
 }
 
 // run advances the time in steps as long as those of the real node.
-func (w *world) run(d time.Duration) {
-	for end := w.now + d; w.now < end && !w.ended; {
-		w.step(min(10*ms, end-w.now))
+func (s *simulation) run(d time.Duration) {
+	for end := s.now + d; s.now < end && !s.ended; {
+		s.step(min(10*ms, end-s.now))
 	}
 }
 
@@ -292,7 +294,7 @@
 
 // Checks the instants of a shutdown, from the shortest to the longest deadlines. Guards against phases that don't fit before SIGKILL,
 // new connections that are refused while they may still arrive, and requests that are cut off while there is time left.
-func TestInstants(t *testing.T) {
+func TestShutdownTimesByDeadline(t *testing.T) {
 	for _, c := range []struct{ deadline, accepts, answers, end time.Duration }{
 		{50 * ms, 550 * ms, 400 * ms, 550 * ms},
 		{300 * ms, 600 * ms, 650 * ms, 800 * ms},
@@ -302,71 +304,72 @@
 		{12 * time.Second, 600 * ms, 3350 * ms, 3500 * ms},
 		{0, 600 * ms, 3350 * ms, 3500 * ms}, // not known
 	} {
-		w := newWorld(t, c.deadline)
-		w.mute = true
-		w.open()
-		w.tell(Event{Kind: Heard})
-		w.ask(true, time.Minute)
-		w.sigterm(false)
-		at := w.now
-		for w.accepting {
-			w.step(10 * ms)
+		s := newSimulation(t, c.deadline)
+		s.neverAnswers = true
+		s.open()
+		s.handle(Event{Kind: Heard})
+		s.request(true, time.Minute)
+		s.sigterm(false)
+		at := s.now
+		for s.accepting {
+			s.step(10 * ms)
 		}
-		accepts := w.now - at
-		for !w.ended {
-			w.step(10 * ms)
+		accepts := s.now - at
+		for !s.ended {
+			s.step(10 * ms)
 		}
-		if accepts < c.accepts || accepts > c.accepts+20*ms || w.answerBy-at != c.answers || w.now-at > c.end+10*ms || w.lost > 0 {
-			t.Errorf("%v: accepts for %v, answers by %v, ends after %v, lost %d; want %v", c.deadline, accepts, w.answerBy-at, w.now-at, w.lost, c)
+		if accepts < c.accepts || accepts > c.accepts+20*ms || s.answerBy-at != c.answers || s.now-at > c.end+10*ms || s.unanswered > 0 {
+			t.Errorf("%v: accepts for %v, answers by %v, ends after %v, lost %d; want %v",
+				c.deadline, accepts, s.answerBy-at, s.now-at, s.unanswered, c)
 		}
 	}
 }
 
 // Guards against a node without connections that ends while new ones may still arrive, and against losing a connection that is
 // accepted while the listener closes.
-func TestEmptyNodeAccepts(t *testing.T) {
-	w := newWorld(t, time.Second)
-	w.catches = true
-	w.open()
-	w.sigterm(false)
-	at := w.now
-	w.run(time.Minute)
-	if d := w.now - at; !w.ended || d < w.l.acceptFor() || w.lost > 0 {
-		t.Errorf("ended %t after %v, lost %d", w.ended, d, w.lost)
+func TestNodeWithoutConnectionsKeepsAccepting(t *testing.T) {
+	s := newSimulation(t, time.Second)
+	s.acceptsOnClose = true
+	s.open()
+	s.sigterm(false)
+	at := s.now
+	s.run(time.Minute)
+	if d := s.now - at; !s.ended || d < s.life.minAcceptDuration() || s.unanswered > 0 {
+		t.Errorf("ended %t after %v, lost %d", s.ended, d, s.unanswered)
 	}
 }
 
 // Guards against a standalone server whose shutdown waits for clients. Idle connections close as soon as the server stops
 // accepting, and it ends with the last answer, long before the shutdown timeout.
-func TestOwnTermsKeepNobody(t *testing.T) {
-	w := newWorldOn(t, Own, 10*time.Second)
-	w.open()
-	w.conns = append(w.conns, conn{}) // idle
-	w.ask(true, 10*time.Second)
-	w.ask(false, 0) // half a request, until near the end
-	w.sigterm(false)
-	at := w.now
-	w.run(500 * ms)
-	if len(w.conns) != 1 || !w.conns[0].half || !w.closes {
-		t.Errorf("after %v: %v, closes %t", w.now-at, w.conns, w.closes)
+func TestStandaloneShutdownClosesIdleConnections(t *testing.T) {
+	s := newSimulationWithTerms(t, Own, 10*time.Second)
+	s.open()
+	s.conns = append(s.conns, conn{}) // idle
+	s.request(true, 10*time.Second)
+	s.request(false, 0) // half a request, until near the end
+	s.sigterm(false)
+	at := s.now
+	s.run(500 * ms)
+	if len(s.conns) != 1 || !s.conns[0].started || !s.closesAfterAnswer {
+		t.Errorf("after %v: %v, closes %t", s.now-at, s.conns, s.closesAfterAnswer)
 	}
-	w.conns[0].asked, w.conns[0].due = true, w.due(time.Second)
-	w.run(time.Minute)
-	if d := w.now - at; !w.ended || d > time.Second || w.lost > 0 {
-		t.Errorf("ended %t after %v, lost %d", w.ended, d, w.lost)
+	s.conns[0].complete, s.conns[0].due = true, s.due(time.Second)
+	s.run(time.Minute)
+	if d := s.now - at; !s.ended || d > time.Second || s.unanswered > 0 {
+		t.Errorf("ended %t after %v, lost %d", s.ended, d, s.unanswered)
 	}
 }
 
 // Guards against a request that never ends holding the process until SIGKILL. The request is cut off before and reported.
-func TestStuckRequestIsCut(t *testing.T) {
+func TestStuckRequestIsCutOffBeforeSIGKILL(t *testing.T) {
 	l := New(Platform, time.Second)
 	l.Handle(0, Event{Kind: Opened}, nil)
 	l.Handle(0, Event{Kind: Told}, nil)
 	for now := time.Duration(0); now < time.Second+Platform.Grace; now += 10 * ms {
 		for _, a := range l.Handle(now, Event{Kind: Seen, Conns: 1, Asked: 1}, nil) {
 			if a.Kind == End {
-				if now <= time.Second+Platform.Grace-Late || a.Left != 1 {
-					t.Errorf("cut at %v, %d left", now, a.Left)
+				if now <= time.Second+Platform.Grace-Late || a.Unanswered != 1 {
+					t.Errorf("cut at %v, %d left", now, a.Unanswered)
 				}
 				return
 			}
@@ -377,16 +380,16 @@
 
 // Guards against waiting until the last moment for connections without a request. The exit of the process takes time too, and
 // more on a busy machine.
-func TestLingeringConnectionsLeaveRoomForTheExit(t *testing.T) {
+func TestConnectionsWithoutRequestLeaveTimeToExit(t *testing.T) {
 	l := New(Platform, time.Second)
 	l.Handle(0, Event{Kind: Opened}, nil)
 	l.Handle(0, Event{Kind: Told}, nil)
-	kill := time.Second + Platform.Grace
-	for now := time.Duration(0); now < kill; now += 10 * ms {
+	sigkillAt := time.Second + Platform.Grace
+	for now := time.Duration(0); now < sigkillAt; now += 10 * ms {
 		for _, a := range l.Handle(now, Event{Kind: Seen, Conns: 1}, nil) {
 			if a.Kind == End {
-				if now > kill-Late/2 {
-					t.Errorf("ends at %v, SIGKILL may come at %v", now, kill)
+				if now > sigkillAt-Late/2 {
+					t.Errorf("ends at %v, SIGKILL may come at %v", now, sigkillAt)
 				}
 				return
 			}
@@ -396,66 +399,66 @@
 }
 
 // Guards against a short lag that shortens requests. Only a lag that is present when the last answers are due makes them due sooner.
-func TestLagThatPasses(t *testing.T) {
-	w := newWorld(t, 3*time.Second)
-	w.open()
-	w.sigterm(false)
-	at := w.now
-	w.lag = time.Second
-	w.step(10 * ms)
-	w.lag = 0
-	w.run(time.Second)
-	if by := w.answerBy - at; by != 3*time.Second+Platform.Grace-Late-AnswerLeast {
+func TestPassingLagShortensNoRequest(t *testing.T) {
+	s := newSimulation(t, 3*time.Second)
+	s.open()
+	s.sigterm(false)
+	at := s.now
+	s.lag = time.Second
+	s.step(10 * ms)
+	s.lag = 0
+	s.run(time.Second)
+	if by := s.answerBy - at; by != 3*time.Second+Platform.Grace-Late-MinAnswerMargin {
 		t.Errorf("answers are due after %v", by)
 	}
 }
 
 // Guards against lost requests when timers fire 200 ms late and the loop is slow.
-func TestLateTimers(t *testing.T) {
+func TestLateTimersLoseNoRequest(t *testing.T) {
 	for deadline, lag := range map[time.Duration]time.Duration{300 * ms: 120 * ms, time.Second: 120 * ms, 3 * time.Second: 400 * ms} {
-		w := newWorld(t, deadline)
-		w.lag, w.mute = lag, true
-		w.open()
-		w.ask(true, time.Minute)
-		w.sigterm(false)
-		for !w.ended {
-			w.ask(true, time.Minute) // for as long as connections are accepted
-			w.step(199 * ms)
+		s := newSimulation(t, deadline)
+		s.lag, s.neverAnswers = lag, true
+		s.open()
+		s.request(true, time.Minute)
+		s.sigterm(false)
+		for !s.ended {
+			s.request(true, time.Minute) // for as long as connections are accepted
+			s.step(199 * ms)
 		}
-		if w.lost > 0 {
-			t.Errorf("%v: lost %d: %v", deadline, w.lost, w.log)
+		if s.unanswered > 0 {
+			t.Errorf("%v: lost %d: %v", deadline, s.unanswered, s.log)
 		}
 	}
 }
 
 // Guards against faults in unusual shutdowns: SIGTERM before the first client ends the node at once, a node with a successor accepts
 // no more, and a second SIGTERM changes nothing. A node that gets no list from a source in time reports ready with its cached one.
-func TestOddEnds(t *testing.T) {
-	w := newWorld(t, time.Second)
-	w.sigterm(false)
-	if !w.ended {
+func TestUnusualShutdowns(t *testing.T) {
+	s := newSimulation(t, time.Second)
+	s.sigterm(false)
+	if !s.ended {
 		t.Error("SIGTERM before the first client does not end the node")
 	}
-	w = newWorld(t, time.Second)
-	w.open()
-	w.ask(true, time.Second)
-	w.sigterm(true)
-	if w.accepting || !w.closes {
+	s = newSimulation(t, time.Second)
+	s.open()
+	s.request(true, time.Second)
+	s.sigterm(true)
+	if s.accepting || !s.closesAfterAnswer {
 		t.Error("still accepts, or keeps connections open, with a successor")
 	}
-	w.run(time.Second)
-	w.sigterm(true)
-	w.run(time.Second)
-	if !w.ended || w.lost > 0 {
-		t.Errorf("with a successor: ended %t, lost %d", w.ended, w.lost)
+	s.run(time.Second)
+	s.sigterm(true)
+	s.run(time.Second)
+	if !s.ended || s.unanswered > 0 {
+		t.Errorf("with a successor: ended %t, lost %d", s.ended, s.unanswered)
 	}
-	w = newWorld(t, time.Second)
-	w.open()
-	w.now += RememberFor - ms
-	w.tell(Event{Kind: Tick})
-	early := w.ready
-	w.now += ms
-	if w.tell(Event{Kind: Tick}); early || !w.ready {
-		t.Errorf("ready before RememberFor %t, after it %t", early, w.ready)
+	s = newSimulation(t, time.Second)
+	s.open()
+	s.now += RememberFor - ms
+	s.handle(Event{Kind: Tick})
+	early := s.ready
+	s.now += ms
+	if s.handle(Event{Kind: Tick}); early || !s.ready {
+		t.Errorf("ready before RememberFor %t, after it %t", early, s.ready)
 	}
 }
--- a/members/hand_test.go
+++ b/members/members_test.go
@@ -15,7 +15,7 @@
 
 var phases = []string{"ready", "draining", "gone"}
 
-func word(lines []Line) string {
+func format(lines []Line) string {
 	var b strings.Builder
 	for _, l := range lines {
 		fmt.Fprintf(&b, "%s %s started %d returned %t\n", l.ID, phases[l.Phase], l.Launched/time.Second, l.Returned)
@@ -23,15 +23,15 @@
 	return b.String()
 }
 
-// TestScripts runs the scripts of testdata/. Each states what discovery and operators send in turn and what the engine receives. Guards
-// against an override that an update of the list undoes, or that another process of the node doesn't apply. Times are in seconds.
-// "other" is a second process that receives the calls of the first.
+// TestListsAndOverrides runs the scripts of testdata/. Each states what discovery and operators send in turn and what the engine
+// receives. Guards against an override that an update of the list undoes, or that another process of the node doesn't apply. Times
+// are in seconds. "other" is a second process that receives the calls of the first.
 //
 //	list whole|changes [at=..]    lines of: id phase started
 //	out|back id=.. at=..
 //	other                         the lines of the other process after it receives the calls so far
 //	counts
-func TestScripts(t *testing.T) {
+func TestListsAndOverrides(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var h, other Hand
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -51,14 +51,14 @@
 				}
 				whole := d.CmdArgs[0].Key == "whole"
 				other.Take(lines, whole, now)
-				return word(h.Take(lines, whole, now))
+				return format(h.Take(lines, whole, now))
 			case "out", "back":
 				var id string
 				d.ScanArgs(t, "id", &id)
 				lines, _, known := h.Say(id, d.Cmd == "out", now)
-				return fmt.Sprintf("%sknown %t\n", word(lines), known)
+				return fmt.Sprintf("%sknown %t\n", format(lines), known)
 			case "other":
-				return word(other.Hear(h.Calls(), now))
+				return format(other.Hear(h.Calls(), now))
 			case "counts":
 				listed, out := h.Counts()
 				return fmt.Sprintf("%d listed, %d out\n", listed, out)
@@ -72,27 +72,27 @@
 // Guards against results that depend on the order in which discovery and operators send. A backend that is out is never reported as
 // ready. One that was put back is ready as soon as discovery reports it, with a start no earlier than its return. A process that
 // receives the calls in any order reports the same.
-func TestAnyOrder(t *testing.T) {
+func TestResultsDoNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Hand
 		out, back, listed := map[string]bool{}, map[string]time.Duration{}, map[string]Line{}
-		told := map[string]Line{}
+		reported := map[string]Line{}
 		var calls []Call
 		for now := time.Duration(1); now < 40; now++ {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			var lines []Line
 			if rapid.Bool().Draw(t, "operators") {
-				way := rapid.Bool().Draw(t, "out")
-				said, call, known := h.Say(id, way, now)
-				lines = said
+				takeOut := rapid.Bool().Draw(t, "out")
+				changed, call, known := h.Say(id, takeOut, now)
+				lines = changed
 				if known != (listed[id].ID != "") {
 					t.Fatalf("%s: Say returned known %t", id, known)
 				}
 				if known {
-					if out[id] && !way {
+					if out[id] && !takeOut {
 						back[id] = now
 					}
-					out[id] = way
+					out[id] = takeOut
 					if call.At > 0 {
 						calls = append(calls, call)
 					}
@@ -107,10 +107,10 @@
 				}
 			}
 			for _, l := range lines {
-				told[l.ID] = l
+				reported[l.ID] = l
 			}
 			for id, l := range listed {
-				got := told[id]
+				got := reported[id]
 				switch {
 				case out[id] && got.Phase == balance.Ready:
 					t.Fatalf("%s is out and reported as ready", id)
@@ -130,19 +130,19 @@
 }
 
 // Guards against memory that grows with each backend that leaves the list, and against dropping one that is out of service.
-func TestGoneAreBounded(t *testing.T) {
+func TestGoneBackendsAreBounded(t *testing.T) {
 	var h Hand
 	line := func(i int, p balance.Phase) []Line {
 		return []Line{{ID: fmt.Sprint(i), Member: balance.Member{Phase: p}}}
 	}
 	h.Take(line(0, balance.Ready), false, 1)
 	h.Say("0", true, 1)
-	for i := range 3 * goneLeast {
+	for i := range 3 * minGone {
 		h.Take(line(i, balance.Ready), false, time.Duration(i+2))
 		h.Take(line(i, balance.Gone), false, time.Duration(i+2))
 	}
-	if len(h.all) > goneLeast+1 {
-		t.Errorf("%d backends are kept", len(h.all))
+	if len(h.backends) > minGone+1 {
+		t.Errorf("%d backends are kept", len(h.backends))
 	}
 	if l := h.Take(line(0, balance.Ready), false, 9999); l[0].Phase != balance.Draining {
 		t.Errorf("a backend out of service returned as %v", l[0].Phase)
@@ -151,7 +151,7 @@
 
 // Guards against a restarted backend that counts as warm because discovery reports its restart late or never. A backend that refused
 // a connection and then answers is a new process until discovery reports one, however long that takes.
-func TestRefusedAndAnswers(t *testing.T) {
+func TestAnswerAfterRefusalIsNewProcess(t *testing.T) {
 	const sec = time.Second
 	old := Line{ID: "s", Addr: "a:1", Member: balance.Member{Phase: balance.Ready, Launched: 5 * sec}}
 	begin := func() *Hand {
@@ -195,8 +195,8 @@
 	h.Refused("s", 20*sec)
 	h.Take([]Line{{ID: "s", Member: balance.Member{Phase: balance.Gone}}}, false, 21*sec)
 	launched("gone", h.Answered("s", 23*sec))
-	if h.doubted != 0 {
-		t.Errorf("%d backends count as refused", h.doubted)
+	if h.refusedCount != 0 {
+		t.Errorf("%d backends count as refused", h.refusedCount)
 	}
 	h = begin()
 	h.Refused("s", 20*sec)
@@ -204,7 +204,7 @@
 	h.Refused("s", 24*sec) // it crashes again
 	launched("answers after a second refusal", h.Answered("s", 26*sec), 26*sec)
 	h.Take(nil, true, 27*sec)
-	if h.doubted != 0 {
-		t.Errorf("%d backends count as refused", h.doubted)
+	if h.refusedCount != 0 {
+		t.Errorf("%d backends count as refused", h.refusedCount)
 	}
 }
--- a/reserve/reserve.go
+++ b/reserve/reserve.go
@@ -26,18 +26,18 @@
 
 // Reserve holds the state of one pool.
 type Reserve struct {
-	cfg   Config
-	boxes map[string]*state
-	up    int // primary backends that can be sent to
-	on    bool
+	cfg      Config
+	backends map[string]*backendState
+	usable   int // primary backends that can be sent to
+	isOn     bool
 }
 
-type state struct {
+type backendState struct {
 	Box
-	fails   []time.Duration // the latest ones, oldest first; MaxFails at most
-	down    bool
-	refused bool // refused a connection since its last answer
-	counted bool // included in up
+	failedAt   []time.Duration // the latest ones, oldest first; MaxFails at most
+	isDown     bool
+	hasRefused bool // refused a connection since its last answer
+	isCounted  bool // included in usable
 }
 
 // End is how an attempt at a backend ended. An attempt without information on the backend (given up, never sent) has no End.
@@ -58,131 +58,132 @@
 	if cfg.FailWithin <= 0 {
 		cfg.FailWithin = 10 * time.Second
 	}
-	return &Reserve{cfg: cfg, boxes: map[string]*state{}}
+	return &Reserve{cfg: cfg, backends: map[string]*backendState{}}
 }
 
 // On reports whether the endpoint list should include the backups.
-func (r *Reserve) On() bool { return r.on }
+func (r *Reserve) On() bool { return r.isOn }
 
 // Down reports whether a backend counts as down.
 func (r *Reserve) Down(id string) bool {
-	s := r.boxes[id]
-	return s != nil && s.down
+	s := r.backends[id]
+	return s != nil && s.isDown
 }
 
 // List replaces the endpoint list of the pool and reports whether On has changed. A backend that stays listed keeps its state.
-func (r *Reserve) List(boxes []Box) bool {
-	old := r.boxes
-	r.boxes = make(map[string]*state, len(boxes))
-	for _, b := range boxes {
+func (r *Reserve) List(backends []Box) bool {
+	old := r.backends
+	r.backends = make(map[string]*backendState, len(backends))
+	for _, b := range backends {
 		s := old[b.ID]
 		if s == nil {
-			s = &state{}
+			s = &backendState{}
 		}
 		s.Box = b
-		r.boxes[b.ID] = s
+		r.backends[b.ID] = s
 	}
-	r.up = 0
-	for _, s := range r.boxes {
-		s.counted = false
-		r.count(s)
+	r.usable = 0
+	for _, s := range r.backends {
+		s.isCounted = false
+		r.updateUsable(s)
 	}
-	return r.decide()
+	return r.updateOn()
 }
 
 // Set adds or changes one backend. It reports whether On has changed.
 func (r *Reserve) Set(b Box) bool {
-	s := r.boxes[b.ID]
+	s := r.backends[b.ID]
 	if s == nil {
-		s = &state{}
-		r.boxes[b.ID] = s
+		s = &backendState{}
+		r.backends[b.ID] = s
 	}
 	s.Box = b
-	r.count(s)
-	return r.decide()
+	r.updateUsable(s)
+	return r.updateOn()
 }
 
 // Remove removes a backend. It reports whether On has changed.
 func (r *Reserve) Remove(id string) bool {
-	if s := r.boxes[id]; s != nil {
+	if s := r.backends[id]; s != nil {
 		s.Ready = false
-		r.count(s)
-		delete(r.boxes, id)
+		r.updateUsable(s)
+		delete(r.backends, id)
 	}
-	return r.decide()
+	return r.updateOn()
 }
 
 // Listed reports whether a backend is listed.
-func (r *Reserve) Listed(id string) bool { return r.boxes[id] != nil }
-
-// count updates up when a backend becomes one that can be sent to, or stops being one.
-func (r *Reserve) count(s *state) {
-	if can := !s.Backup && s.Ready && !s.down; can != s.counted {
-		s.counted = can
-		if can {
-			r.up++
+func (r *Reserve) Listed(id string) bool { return r.backends[id] != nil }
+
+// updateUsable updates usable when a backend becomes one that can be sent to, or stops being one.
+func (r *Reserve) updateUsable(s *backendState) {
+	if canSend := !s.Backup && s.Ready && !s.isDown; canSend != s.isCounted {
+		s.isCounted = canSend
+		if canSend {
+			r.usable++
 		} else {
-			r.up--
+			r.usable--
 		}
 	}
 }
 
 // Restarted records that a backend is a new process, and drops what was recorded of the old one. It reports whether On has changed.
 func (r *Reserve) Restarted(id string) bool {
-	if s := r.boxes[id]; s != nil {
-		s.fails, s.down, s.refused = nil, false, false
-		r.count(s)
+	if s := r.backends[id]; s != nil {
+		s.failedAt, s.isDown, s.hasRefused = nil, false, false
+		r.updateUsable(s)
 	}
-	return r.decide()
+	return r.updateOn()
 }
 
 // Takes records that a backend accepted a connection outside of any attempt. It matters only after a refused one. It reports
 // whether On has changed, and whether the backend is a new process.
 func (r *Reserve) Takes(id string) (changed, restarted bool) {
-	s := r.boxes[id]
-	if s == nil || !s.refused {
+	s := r.backends[id]
+	if s == nil || !s.hasRefused {
 		return false, false
 	}
-	s.fails, s.down, s.refused = nil, false, false
-	r.count(s)
-	return r.decide(), true
+	s.failedAt, s.isDown, s.hasRefused = nil, false, false
+	r.updateUsable(s)
+	return r.updateOn(), true
 }
 
 // Ended records how an attempt at a backend ended. It reports whether On has changed, and whether the backend is a new process.
 func (r *Reserve) Ended(now time.Duration, id string, end End) (changed, restarted bool) {
-	s := r.boxes[id]
+	s := r.backends[id]
 	if s == nil {
 		return false, false
 	}
 	if end == Answered {
-		restarted, s.refused = s.refused, false
+		restarted, s.hasRefused = s.hasRefused, false
 	}
-	s.refused = s.refused || end == Refused
+	s.hasRefused = s.hasRefused || end == Refused
 	if s.Backup {
 		return false, restarted
 	}
 	if end == Answered {
-		if s.down && now-s.fails[len(s.fails)-1] >= r.cfg.FailWithin {
-			s.down, s.fails = false, s.fails[:0]
-			r.count(s)
+		if s.isDown && now-s.failedAt[len(s.failedAt)-1] >= r.cfg.FailWithin {
+			s.isDown, s.failedAt = false, s.failedAt[:0]
+			r.updateUsable(s)
 		}
-		return r.decide(), restarted
+		return r.updateOn(), restarted
 	}
-	if len(s.fails) == r.cfg.MaxFails {
-		copy(s.fails, s.fails[1:])
-		s.fails = s.fails[:len(s.fails)-1]
+	if len(s.failedAt) == r.cfg.MaxFails {
+		copy(s.failedAt, s.failedAt[1:])
+		s.failedAt = s.failedAt[:len(s.failedAt)-1]
 	}
-	s.fails = append(s.fails, now)
-	if len(s.fails) == r.cfg.MaxFails && now-s.fails[0] <= r.cfg.FailWithin {
-		s.down = true
-		r.count(s)
+	s.failedAt = append(s.failedAt, now)
+	if len(s.failedAt) == r.cfg.MaxFails && now-s.failedAt[0] <= r.cfg.FailWithin {
+		s.isDown = true
+		r.updateUsable(s)
 	}
-	return r.decide(), false
+	return r.updateOn(), false
 }
 
-func (r *Reserve) decide() bool {
-	on := r.up == 0
-	changed := on != r.on
-	r.on = on
+// updateOn recomputes On and reports whether it has changed.
+func (r *Reserve) updateOn() bool {
+	on := r.usable == 0
+	changed := on != r.isOn
+	r.isOn = on
 	return changed
 }
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -12,14 +12,14 @@
 
 // Series is one quantity measured at several sizes.
 type Series struct {
-	Name   string    `json:"name"`
-	Unit   string    `json:"unit"`
-	Of     string    `json:"of"` // what the sizes count
-	Sizes  []float64 `json:"sizes"`
-	Values []float64 `json:"values"`
-	// Exponent is the slope in the log-log plot: 1 is linear growth. Fit is the coefficient of determination (r squared).
+	Name     string    `json:"name"`
+	Unit     string    `json:"unit"`
+	SizeName string    `json:"of"` // what the sizes count
+	Sizes    []float64 `json:"sizes"`
+	Values   []float64 `json:"values"`
+	// Exponent is the slope in the log-log plot: 1 is linear growth. R2 is the coefficient of determination (r squared).
 	Exponent float64 `json:"exponent"`
-	Fit      float64 `json:"r2"`
+	R2       float64 `json:"r2"`
 }
 
 // Add appends a measurement.
@@ -28,21 +28,21 @@
 	s.Values = append(s.Values, value)
 }
 
-// Solve computes Exponent and Fit.
-func (s *Series) Solve() {
+// ComputeFit computes Exponent and R2.
+func (s *Series) ComputeFit() {
 	x, y := make([]float64, len(s.Sizes)), make([]float64, len(s.Values))
 	for i := range x {
 		x[i], y[i] = math.Log(s.Sizes[i]), math.Log(math.Max(s.Values[i], math.SmallestNonzeroFloat64))
 	}
 	alpha, beta := stat.LinearRegression(x, y, nil, false)
-	s.Exponent, s.Fit = beta, stat.RSquared(x, y, nil, alpha, beta)
-	if math.IsNaN(s.Fit) { // all values are equal
-		s.Fit = 1
+	s.Exponent, s.R2 = beta, stat.RSquared(x, y, nil, alpha, beta)
+	if math.IsNaN(s.R2) { // all values are equal
+		s.R2 = 1
 	}
 }
 
-// At returns the value that the fit predicts for a size.
-func (s *Series) At(size float64) float64 {
+// Predict returns the value that the fit predicts for a size.
+func (s *Series) Predict(size float64) float64 {
 	last := len(s.Sizes) - 1
 	return s.Values[last] * math.Pow(size/s.Sizes[last], s.Exponent)
 }
@@ -50,17 +50,17 @@
 // String returns all measurements and the fit on one line.
 func (s *Series) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s (%s) by %s:", s.Name, s.Unit, s.Of)
+	fmt.Fprintf(&b, "%s (%s) by %s:", s.Name, s.Unit, s.SizeName)
 	for i := range s.Sizes {
 		fmt.Fprintf(&b, " %.0f: %.4g;", s.Sizes[i], s.Values[i])
 	}
-	fmt.Fprintf(&b, " exponent %.2f, r2 %.3f", s.Exponent, s.Fit)
+	fmt.Fprintf(&b, " exponent %.2f, r2 %.3f", s.Exponent, s.R2)
 	return b.String()
 }
 
 // Installation gives the sizes of a generated installation.
 type Installation struct {
-	Pools, BackendsAPool, RoutesAPool, Tenants int
+	Pools, BackendsPerPool, RoutesPerPool, Tenants int
 }
 
 // Text returns a configuration file of serve for the installation.
@@ -70,7 +70,7 @@
 	backend := 0
 	for i := range n.Pools {
 		fmt.Fprintf(&b, "\n[[pool]]\nname = \"service-%d\"\nboxes = [", i)
-		for range n.BackendsAPool {
+		for range n.BackendsPerPool {
 			backend++
 			fmt.Fprintf(&b, "{ address = \"10.%d.%d.%d:80\" }, ", backend>>16, backend>>8&255, backend&255)
 		}
@@ -81,7 +81,7 @@
 	}
 	for i := range n.Pools {
 		fmt.Fprintf(&b, "\n[[server]]\nnames = [\"service-%d.example\"]\n", i)
-		for j := range n.RoutesAPool {
+		for j := range n.RoutesPerPool {
 			fmt.Fprintf(&b, "[[server.location]]\npath = \"/r%d/\"\n[[server.location.route]]\npool = \"service-%d\"\n", j, i)
 		}
 	}
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -23,39 +23,39 @@
 )
 
 var (
-	whole = flag.Bool("whole", false, "measure sizes up to those of docs/CAPACITY.md instead of the small ones for CI")
-	into  = flag.String("into", "", "folder for slopes.json and slopes.png; empty: nothing is written")
+	allSizes     = flag.Bool("whole", false, "measure sizes up to those of docs/CAPACITY.md instead of the small ones for CI")
+	outputFolder = flag.String("into", "", "folder for slopes.json and slopes.png; empty: nothing is written")
 )
 
 // sizes returns the small sizes for CI, or all of them with -whole.
 func sizes(all ...int) []int {
-	if *whole {
+	if *allSizes {
 		return all
 	}
 	return all[:3]
 }
 
-// measured holds the series of all tests of this run.
-var measured []*Series
+// allSeries holds the series of all tests of this run.
+var allSeries []*Series
 
-func newSeries(name, unit, of string) *Series {
-	s := &Series{Name: name, Unit: unit, Of: of}
-	measured = append(measured, s)
+func newSeries(name, unit, sizeName string) *Series {
+	s := &Series{Name: name, Unit: unit, SizeName: sizeName}
+	allSeries = append(allSeries, s)
 	return s
 }
 
-// growsAtMost fails the test if a series of counts or bytes grows with a larger exponent. With exponent 0, as for times, it only logs.
-func growsAtMost(t *testing.T, s *Series, exponent float64) {
+// checkGrowth fails the test if a series of counts or bytes grows with a larger exponent. With exponent 0, as for times, it only logs.
+func checkGrowth(t *testing.T, s *Series, exponent float64) {
 	t.Helper()
-	s.Solve()
+	s.ComputeFit()
 	t.Log(s)
 	if exponent > 0 && s.Exponent > exponent {
-		t.Errorf("%s grows with exponent %.2f in %s, want at most %.2f", s.Name, s.Exponent, s.Of, exponent)
+		t.Errorf("%s grows with exponent %.2f in %s, want at most %.2f", s.Name, s.Exponent, s.SizeName, exponent)
 	}
 }
 
-// held returns the heap bytes that the result of make keeps in use, and the bytes allocated in all.
-func held(make func() any) (live, allocated float64) {
+// heapUse returns the heap bytes that the result of make keeps in use, and the bytes allocated in all.
+func heapUse(make func() any) (live, allocated float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -68,8 +68,8 @@
 	return max(float64(after.HeapAlloc)-float64(before.HeapAlloc), 1), allocated
 }
 
-// each returns the time of one call in microseconds: the lowest mean of five rounds.
-func each(calls int, do func(i int)) float64 {
+// timePerCall returns the time of one call in microseconds: the lowest mean of five rounds.
+func timePerCall(calls int, do func(i int)) float64 {
 	best := time.Duration(1 << 62)
 	for range 5 {
 		start := time.Now()
@@ -88,12 +88,12 @@
 	live := newSeries("configuration: bytes held", "bytes", "resources")
 	times := newSeries("configuration: time to read", "ms", "resources")
 	routes := newSeries("route table: bytes held", "bytes", "routes")
-	for _, part := range sizes(1000, 300, 100, 10, 1) {
-		n := Installation{Pools: max(3900/part, 1), BackendsAPool: 36, RoutesAPool: 15, Tenants: 550_000 / part}
+	for _, divisor := range sizes(1000, 300, 100, 10, 1) {
+		n := Installation{Pools: max(3900/divisor, 1), BackendsPerPool: 36, RoutesPerPool: 15, Tenants: 550_000 / divisor}
 		text := n.Text()
-		count := float64(n.Pools*(1+n.BackendsAPool+n.RoutesAPool) + n.Tenants)
+		count := float64(n.Pools*(1+n.BackendsPerPool+n.RoutesPerPool) + n.Tenants)
 		start := time.Now()
-		l, a := held(func() any {
+		l, a := heapUse(func() any {
 			s, err := site.Parse("site.toml", text)
 			if err != nil {
 				t.Fatal(err)
@@ -103,13 +103,13 @@
 		times.Add(count, float64(time.Since(start).Microseconds())/1e3)
 		bytes.Add(count, a)
 		live.Add(count, l)
-		table, _ := held(func() any { return routeTable(t, n) })
-		routes.Add(float64(n.Pools*n.RoutesAPool), table)
+		table, _ := heapUse(func() any { return routeTable(t, n) })
+		routes.Add(float64(n.Pools*n.RoutesPerPool), table)
 	}
-	growsAtMost(t, bytes, 1.1)
-	growsAtMost(t, live, 1.1)
-	growsAtMost(t, routes, 1.1)
-	growsAtMost(t, times, 0)
+	checkGrowth(t, bytes, 1.1)
+	checkGrowth(t, live, 1.1)
+	checkGrowth(t, routes, 1.1)
+	checkGrowth(t, times, 0)
 }
 
 func routeTable(t *testing.T, n Installation) *route.Table {
@@ -117,7 +117,7 @@
 	number := 0
 	for i := range n.Pools {
 		s := route.Server{Listen: []string{"web"}, Names: []string{fmt.Sprintf("service-%d.example", i)}}
-		for j := range n.RoutesAPool {
+		for j := range n.RoutesPerPool {
 			s.Locations = append(s.Locations, route.Location{Path: fmt.Sprintf("/r%d/", j), Targets: []route.Target{{Route: number}}})
 			number++
 		}
@@ -131,15 +131,15 @@
 }
 
 const (
-	zones        = 11
-	nodesOfFleet = 6100
-	peakRate     = 3.2e6 // requests per second of all nodes
+	zones                  = 11
+	fleetNodes             = 6100
+	fleetRequestsPerSecond = 3.2e6 // requests per second of all nodes
 )
 
 // newBalancer returns the Balancer of a node with that many backends. rate is the request rate of the whole fleet in the settings,
 // per second; 0: the settings have none, and the node keeps all backends.
 func newBalancer(t *testing.T, backends, tenants int, rate float64) *balance.Balancer {
-	cfg := balance.Config{Instances: nodesOfFleet,
+	cfg := balance.Config{Instances: fleetNodes,
 		Classes: []balance.Class{{Aim: 200 * time.Millisecond, Deadline: time.Second, Effect: balance.Safe, Points: 1}},
 		Limits:  balance.Limits{Probing: true, MaxAttempts: 3}, Reports: balance.InlineReports, Columns: balance.HasActive,
 		Prices: balance.Prices{Probe: 0.01}, Rules: balance.Rules{WarmWithin: 10 * time.Second, FallMultiple: 3, OverloadFor: 2 * time.Second}}
@@ -167,7 +167,7 @@
 	memory := newSeries("decision: bytes held", "bytes", "backends")
 	allocations := newSeries("decision: allocations a request", "allocations", "backends")
 	for _, n := range sizes(36, 360, 1000, 14_000, 140_000) {
-		live, _ := held(func() any { return newBalancer(t, n, 1, 0) })
+		live, _ := heapUse(func() any { return newBalancer(t, n, 1, 0) })
 		memory.Add(float64(n), live)
 		request := func(b *balance.Balancer) func(int) {
 			now, out, next := time.Hour, []balance.Action(nil), 0
@@ -184,42 +184,43 @@
 			}
 		}
 		calls := max(20, min(2000, 2_000_000/n))
-		all.Add(float64(n), each(calls, request(newBalancer(t, n, 1, 0))))
-		subset.Add(float64(n), each(calls, request(newBalancer(t, n, 1, peakRate))))
+		all.Add(float64(n), timePerCall(calls, request(newBalancer(t, n, 1, 0))))
+		subset.Add(float64(n), timePerCall(calls, request(newBalancer(t, n, 1, fleetRequestsPerSecond))))
 		do := request(newBalancer(t, n, 1, 0))
 		allocations.Add(float64(n), testing.AllocsPerRun(min(calls, 100), func() { do(0) }))
 		b := newBalancer(t, n, 1, 0)
-		change.Add(float64(n), each(max(5, min(200, 200_000/n)), func(i int) {
+		change.Add(float64(n), timePerCall(max(5, min(200, 200_000/n)), func(i int) {
 			b.Handle(time.Hour, balance.Event{Kind: balance.MembersChanged, Members: []balance.Member{{Backend: 1, Weight: float64(i)}}}, nil)
 		}))
 	}
-	growsAtMost(t, memory, 1.1)
-	growsAtMost(t, allocations, 0.2)
-	growsAtMost(t, all, 0)
-	growsAtMost(t, subset, 0)
-	growsAtMost(t, change, 0)
+	checkGrowth(t, memory, 1.1)
+	checkGrowth(t, allocations, 0.2)
+	checkGrowth(t, all, 0)
+	checkGrowth(t, subset, 0)
+	checkGrowth(t, change, 0)
 }
 
 // Guards against memory that grows faster than the number of tenants.
 func TestTenants(t *testing.T) {
 	memory := newSeries("tenants: bytes held by the decision", "bytes", "tenants")
 	for _, n := range sizes(550, 5500, 18_000, 55_000, 550_000) {
-		live, _ := held(func() any { return newBalancer(t, 36, n, peakRate) })
+		live, _ := heapUse(func() any { return newBalancer(t, 36, n, fleetRequestsPerSecond) })
 		memory.Add(float64(n), live)
 	}
-	growsAtMost(t, memory, 1.1)
+	checkGrowth(t, memory, 1.1)
 }
 
 // Guards against memory that grows faster than the number of members of the fleet, up to the most that detect accepts.
 func TestMembership(t *testing.T) {
 	memory := newSeries("membership: bytes held by detect", "bytes", "members")
 	for _, n := range sizes(36, 360, 1000, 4000) {
-		live, _ := held(func() any {
+		live, _ := heapUse(func() any {
 			d := detect.New(detect.Config{Name: "self", Addr: "10.0.0.1:7000", Seed: 1, Start: 1})
 			out := d.Handle(0, detect.Event{Kind: detect.Begin}, nil)
 			m := detect.Message{Kind: detect.Pull, From: detect.Word{ID: detect.ID{Name: "n0", Start: 1}, Addr: "10.0.0.2:7000"}}
 			for i := range n {
-				m.News = append(m.News, detect.Word{ID: detect.ID{Name: fmt.Sprint("n", i), Start: 1}, Addr: fmt.Sprintf("10.1.%d.%d:7000", i>>8, i&255)})
+				m.News = append(m.News, detect.Word{ID: detect.ID{Name: fmt.Sprint("n", i), Start: 1},
+					Addr: fmt.Sprintf("10.1.%d.%d:7000", i>>8, i&255)})
 			}
 			d.Handle(time.Millisecond, detect.Event{Kind: detect.Got, From: "10.0.0.2:7000", Message: m}, out[:0])
 			count := 0
@@ -231,15 +232,15 @@
 		})
 		memory.Add(float64(n), live)
 	}
-	growsAtMost(t, memory, 1.2)
+	checkGrowth(t, memory, 1.2)
 }
 
 // TestMain writes the measurements to the folder of -into.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	code := m.Run()
-	if *into != "" && code == 0 {
-		if err := write(*into); err != nil {
+	if *outputFolder != "" && code == 0 {
+		if err := write(*outputFolder); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			code = 1
 		}
@@ -248,7 +249,7 @@
 }
 
 func write(folder string) error {
-	text, err := json.MarshalIndent(measured, "", "  ")
+	text, err := json.MarshalIndent(allSeries, "", "  ")
 	if err != nil {
 		return err
 	}
@@ -260,7 +261,7 @@
 	p.X.Label.Text, p.Y.Label.Text = "size, part of the largest", "value, part of the largest"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
-	for i, s := range measured {
+	for i, s := range allSeries {
 		points := make(plotter.XYs, len(s.Sizes))
 		for j := range points {
 			points[j].X = s.Sizes[j] / slices.Max(s.Sizes)
--- a/wheel/wheel_test.go
+++ b/wheel/wheel_test.go
@@ -10,40 +10,40 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the reference implementation: it searches all timers each time.
-type plain struct {
-	timers []plainTimer
+// reference is the reference implementation: it searches all timers each time.
+type reference struct {
+	timers []referenceTimer
 	seq    int
 }
 
-type plainTimer struct {
+type referenceTimer struct {
 	at  time.Duration
 	seq int
 }
 
-func (p *plain) advance(now time.Duration) (fired []int) {
+func (p *reference) advance(now time.Duration) (fired []int) {
 	for {
-		least := -1
+		earliest := -1
 		for i, t := range p.timers {
-			if t.at <= now && (least < 0 || t.at < p.timers[least].at || t.at == p.timers[least].at && t.seq < p.timers[least].seq) {
-				least = i
+			if t.at <= now && (earliest < 0 || t.at < p.timers[earliest].at || t.at == p.timers[earliest].at && t.seq < p.timers[earliest].seq) {
+				earliest = i
 			}
 		}
-		if least < 0 {
+		if earliest < 0 {
 			return fired
 		}
-		fired = append(fired, p.timers[least].seq)
-		p.timers = append(p.timers[:least], p.timers[least+1:]...)
+		fired = append(fired, p.timers[earliest].seq)
+		p.timers = append(p.timers[:earliest], p.timers[earliest+1:]...)
 	}
 }
 
 // Guards against timers that fire in the wrong order, twice or not at all. A random sequence of Arm, Stop and Advance has to fire the
 // same timers as a linear search, including timers at the same instant, in the past and at the largest time.
-func TestSameAsPlain(t *testing.T) {
+func TestFiresLikeLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tick := time.Duration(rapid.SampledFrom([]int64{1, 1000, 1e6, 7e6}).Draw(t, "tick"))
 		now := time.Duration(rapid.SampledFrom([]int64{0, 5e9, 1.8e18}).Draw(t, "start"))
-		w, p, ids := New[int](tick, now), plain{}, map[int]ID{}
+		w, p, ids := New[int](tick, now), reference{}, map[int]ID{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
@@ -53,24 +53,24 @@
 				}
 				p.seq++
 				ids[p.seq] = w.Arm(at, p.seq)
-				p.timers = append(p.timers, plainTimer{at, p.seq})
+				p.timers = append(p.timers, referenceTimer{at, p.seq})
 			case 2:
 				if p.seq > 0 {
-					k, had := rapid.IntRange(1, p.seq).Draw(t, "stopped"), false
+					k, wasArmed := rapid.IntRange(1, p.seq).Draw(t, "stopped"), false
 					for i := range p.timers {
 						if p.timers[i].seq == k {
-							p.timers, had = append(p.timers[:i], p.timers[i+1:]...), true
+							p.timers, wasArmed = append(p.timers[:i], p.timers[i+1:]...), true
 							break
 						}
 					}
-					if w.Stop(ids[k]) != had {
-						t.Fatalf("Stop of %d returns %t", k, !had)
+					if w.Stop(ids[k]) != wasArmed {
+						t.Fatalf("Stop of %d returns %t", k, !wasArmed)
 					}
 				}
 			default:
 				now += time.Duration(rapid.Int64Range(0, 1<<rapid.IntRange(0, 41).Draw(t, "far")).Draw(t, "passes"))
 				var fired []int
-				if next, some := w.Next(); some {
+				if next, found := w.Next(); found {
 					for _, x := range p.timers {
 						if x.at < next && x.at > 0 && next > now {
 							t.Fatalf("Next returns %v, with a timer at %v", next, x.at)
@@ -92,7 +92,7 @@
 }
 
 // Guards against corrupt slots while timers fire: one timer arms another for the same instant and stops one that is due with it.
-func TestFiringArmsAndStops(t *testing.T) {
+func TestCallbackArmsAndStopsTimers(t *testing.T) {
 	w := New[string](time.Millisecond, 0)
 	w.Arm(5, "a")
 	b := w.Arm(5, "b")
@@ -146,17 +146,17 @@
 
 func (t *heapTimers) down(i int) {
 	for {
-		least := i
+		earliest := i
 		for _, c := range [2]int{2*i + 1, 2*i + 2} {
-			if c < len(t.h) && t.h[c].at < t.h[least].at {
-				least = c
+			if c < len(t.h) && t.h[c].at < t.h[earliest].at {
+				earliest = c
 			}
 		}
-		if least == i {
+		if earliest == i {
 			return
 		}
-		t.swap(i, least)
-		i = least
+		t.swap(i, earliest)
+		i = earliest
 	}
 }
 
