--- a/life/life.go
+++ b/life/life.go
@@ -72,8 +72,8 @@
 const (
 	Opened  EventKind = iota // clients are accepted from now on
 	Heard                    // a source has sent an endpoint list
-	Told                     // the shutdown begins; Followed: a successor has taken over
-	Changed                  // settings have changed; Deadline is the longest one now
+	Told                     // the shutdown begins; uses Followed
+	Changed                  // settings have changed; Deadline is their longest deadline now
 	Seen                     // a snapshot of Conns, Asked, Queued and Lag
 	Tick                     // time has passed
 )
@@ -81,7 +81,7 @@
 // Event is an input of Handle.
 type Event struct {
 	Kind     EventKind
-	Followed bool
+	Followed bool          // with Told: a successor has taken over
 	Deadline time.Duration // 0: not known, treated as the longest that Terms allow
 	Conns    int           // open connections of clients
 	Asked    int           // those of Conns with a complete request that has no answer yet
@@ -94,8 +94,8 @@
 
 // Kinds of actions.
 const (
-	ReportReady      ActionKind = iota // report ready
-	ReportUnready                      // report not ready
+	ReportReady      ActionKind = iota // readiness checks may succeed from now on
+	ReportUnready                      // readiness checks fail from now on
 	AnswerBy                           // answer every open and every new request by At
 	StopAccepting                      // close the listener; idle connections no longer close to make room for new ones
 	CloseAfterAnswer                   // close each connection with its answer from now on
--- a/members/members.go
+++ b/members/members.go
@@ -87,8 +87,8 @@
 }
 
 // minGone and maxGoneRatio bound the number of backends kept that have left the list and are not out of service: maxGoneRatio
-// times the listed ones, and at least minGone, at about 250 bytes each. They are kept so that an override for a backend that has just left
-// the list applies to a known backend.
+// times the listed ones, and at least minGone, at about 250 bytes each. They are kept so that an override for a backend that has
+// just left the list applies to a known backend.
 const minGone, maxGoneRatio = 1024, 2
 
 // Take merges a list, or an update of it, and returns the lines that the engine receives instead. It doesn't modify lines.
