--- a/internal/members/checks/checks_test.go
+++ b/internal/members/checks/checks_test.go
@@ -73,13 +73,16 @@
 		addr    string
 		wantErr string // part of the error; empty: healthy
 	}{
-		"http 200": {httpCheck, status(200), ""}, "http 302": {httpCheck, status(302), ""}, "http 500": {httpCheck, status(500), "500"}, "http 404": {httpCheck, status(404), "404"},
+		"http 200": {httpCheck, status(200), ""}, "http 302": {httpCheck, status(302), ""},
+		"http 500": {httpCheck, status(500), "500"}, "http 404": {httpCheck, status(404), "404"},
 		"accepts 204, gets 204": {noContentOnly, status(204), ""}, "accepts 204, gets 200": {noContentOnly, status(200), "200"},
 		"http unix": {notFound, "unix:" + path, ""}, "http unix 404": {plain, "unix:" + path, "404"},
 		"http silent": {httpCheck, silent, "deadline"}, "http gone": {httpCheck, gone, "refused"}, "http at a grpc server": {httpCheck, grpcAddr, " "},
-		"grpc whole": {health(""), grpcAddr, ""}, "grpc service": {health("menu"), grpcAddr, ""}, "grpc not serving": {health("dish"), grpcAddr, "NOT_SERVING"},
-		"grpc unknown service": {health("tea"), grpcAddr, "unknown service"}, "grpc gone": {health(""), gone, "refused"}, "grpc silent": {health(""), silent, "DeadlineExceeded"},
-		"tcp": {Config{}, silent, ""}, "tcp gone": {Config{}, gone, "refused"}, "tcp unix": {Config{}, "unix:" + path, ""},
+		"grpc whole": {health(""), grpcAddr, ""}, "grpc service": {health("menu"), grpcAddr, ""},
+		"grpc not serving":     {health("dish"), grpcAddr, "NOT_SERVING"},
+		"grpc unknown service": {health("tea"), grpcAddr, "unknown service"}, "grpc gone": {health(""), gone, "refused"},
+		"grpc silent": {health(""), silent, "DeadlineExceeded"},
+		"tcp":         {Config{}, silent, ""}, "tcp gone": {Config{}, gone, "refused"}, "tcp unix": {Config{}, "unix:" + path, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/members/follow/follow.go
+++ b/internal/members/follow/follow.go
@@ -130,7 +130,8 @@
 			log.Warn("cached endpoint list can't be used", "error", err)
 		}
 		if list != nil {
-			log.Info("starting with the cached endpoint list, which counts as stale", "boxes", len(list.Boxes), "age", time.Since(list.At).Round(time.Second))
+			log.Info("starting with the cached endpoint list, which counts as stale",
+				"boxes", len(list.Boxes), "age", time.Since(list.At).Round(time.Second))
 			list.Boxes = slices.DeleteFunc(list.Boxes, func(b kept.Box) bool { return listedOnlyBy(site.StaticSource, list.Sources, b.Says) })
 			m.cached = list.Entries(now)
 			m.initial = append(m.initial, merge.Event{Kind: merge.Listed, Source: len(m.Names), Entries: m.cached})
@@ -199,7 +200,8 @@
 // Run runs the sources and the checks until ctx ends. It calls deliver from several goroutines. deliver passes the event function
 // on to the goroutine that calls Hear; the function returns the event and whether it still counts. start runs a function in a
 // goroutine of its own.
-func (m *Membership) Run(ctx context.Context, start func(func()), deliver func(event func(now time.Duration) (ev merge.Event, counts bool))) {
+func (m *Membership) Run(ctx context.Context, start func(func()),
+	deliver func(event func(now time.Duration) (ev merge.Event, counts bool))) {
 	for i, src := range m.runners {
 		if src != nil {
 			start(func() {
--- a/internal/members/kept/kept_test.go
+++ b/internal/members/kept/kept_test.go
@@ -14,7 +14,8 @@
 	if l, err := Read(dir, "menu/1"); l != nil || err != nil {
 		t.Errorf("none: %v, %v", l, err)
 	}
-	l := List{Pool: "menu/1", At: time.Unix(5, 0), Boxes: []Box{{ID: "a", Named: true, Address: "10.0.0.1:80", Weight: 2, Draining: true}, {ID: "b", Address: "10.0.0.2:80"}}}
+	l := List{Pool: "menu/1", At: time.Unix(5, 0), Boxes: []Box{{ID: "a", Named: true, Address: "10.0.0.1:80", Weight: 2, Draining: true},
+		{ID: "b", Address: "10.0.0.2:80"}}}
 	if err := Write(dir, l); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/members/registry/pace/registry_test.go
+++ b/internal/members/registry/pace/registry_test.go
@@ -180,7 +180,8 @@
 		factor         time.Duration   // of the time of an answer, within which an answer is accepted then
 		grace          time.Duration   // from the first answer to any call until it is accepted; 0: not checked
 	}{
-		{"near", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(0, 0.3, 0.6, 1.1, 1.6, 2, 2.4, 3), seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
+		{"near", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(0, 0.3, 0.6, 1.1, 1.6, 2, 2.4, 3),
+			seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
 		{"near, slow", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(5, 10), nil, grace / 4, 2, 0},
 		{"near, 40 nodes", Near(grace, NearMost), 40, seconds(6), seconds(0, 1.1, 3), seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
 		{"near, 167 nodes", Near(grace, NearMost), 167, seconds(6), seconds(1.1), seconds(0.03, 0.2), grace / 4, 2, grace},
--- a/internal/members/registry/pace/terms.go
+++ b/internal/members/registry/pace/terms.go
@@ -89,15 +89,17 @@
 // calls continue beside the newer ones. maxCalls is NearMost, or less where file descriptors are few.
 func Near(grace time.Duration, maxCalls int) Terms {
 	step := min(max(graceOrDefault(grace)/4, minStep), watchWait/2)
-	return Terms{Wait: 2 * step, listHedgeDelay: step, watchHedgeDelay: step, maxOpen: min(max(maxCalls, NearLeast), NearMost), keepsCalls: true, evenSpacing: graceOrDefault(grace), silenceTimeout: (2 + silentSteps) * step,
-		minPause: step * 2 / 3, maxPause: step * 2 / 3, reportInterval: AnswerTimeout}
+	return Terms{Wait: 2 * step, listHedgeDelay: step, watchHedgeDelay: step,
+		maxOpen: min(max(maxCalls, NearLeast), NearMost), keepsCalls: true, evenSpacing: graceOrDefault(grace),
+		silenceTimeout: (2 + silentSteps) * step, minPause: step * 2 / 3, maxPause: step * 2 / 3, reportInterval: AnswerTimeout}
 }
 
 // Shared returns the terms of a registry with many callers, whose changes are late in any case. One call is open at a time. A
 // silent call gets another beside it, after a growing pause. The silent call continues, so that a slow registry can still answer
 // it.
 func Shared() Terms {
-	return Terms{Wait: watchWait, listHedgeDelay: AnswerTimeout, watchHedgeDelay: AnswerTimeout, maxOpen: MaxSharedCalls, keepsCalls: true, pausesBeforeHedge: true,
+	return Terms{Wait: watchWait, listHedgeDelay: AnswerTimeout, watchHedgeDelay: AnswerTimeout,
+		maxOpen: MaxSharedCalls, keepsCalls: true, pausesBeforeHedge: true,
 		minPause: minRetryPause, maxPause: maxRetryPause}
 }
 
--- a/internal/members/registry/registry.go
+++ b/internal/members/registry/registry.go
@@ -56,7 +56,8 @@
 // New returns a Source that is ready to run. onList receives each list, in order, and an empty list of changes about every two
 // seconds while there are none. onFailure is called when calls fail. Run calls both and waits for them.
 func New(addr string, names settings.Settings, log *slog.Logger, onList func(engine.List), onFailure func()) *Source {
-	d := &Source{addr: addr, names: names, log: log, onList: onList, onFailure: onFailure, addrChanged: make(chan struct{}, 1), http: newClient()}
+	d := &Source{addr: addr, names: names, log: log,
+		onList: onList, onFailure: onFailure, addrChanged: make(chan struct{}, 1), http: newClient()}
 	d.stats.origin = time.Now()
 	d.Grace(names.Config.Rules.DrainGrace)
 	if names.Config.AskDiscovery {
@@ -125,8 +126,10 @@
 // Run follows discovery until ctx ends.
 func (d *Source) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	r := &run{Source: d, ctx: ctx, beganAt: time.Now(), addr: d.currentAddr(), answers: make(chan answer, pace.NearMost), open: map[int]*openCall{},
-		pace: pace.New(d.terms(), d.hasList, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), failureLog: lograte.Limited{Log: d.log}, listLog: lograte.Limited{Log: d.log}}
+	r := &run{Source: d, ctx: ctx, beganAt: time.Now(), addr: d.currentAddr(),
+		answers: make(chan answer, pace.NearMost), open: map[int]*openCall{},
+		pace:       pace.New(d.terms(), d.hasList, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		failureLog: lograte.Limited{Log: d.log}, listLog: lograte.Limited{Log: d.log}}
 	defer r.calls.Wait()
 	defer cancel()
 	r.loop()
--- a/internal/members/registry/registry_test.go
+++ b/internal/members/registry/registry_test.go
@@ -353,7 +353,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := standin.ListText(41, true, standin.Listed{ID: "s", Addr: "127.0.0.1:1", Phase: "ready", Up: 5}, standin.Listed{ID: "t", Addr: "127.0.0.1:2", Phase: "draining"})
+	text := standin.ListText(41, true, standin.Listed{ID: "s", Addr: "127.0.0.1:1", Phase: "ready", Up: 5},
+		standin.Listed{ID: "t", Addr: "127.0.0.1:2", Phase: "draining"})
 	var indented bytes.Buffer
 	json.Indent(&indented, []byte(text), "", "\t")
 	for _, text := range []string{text, indented.String()} {
--- a/internal/members/registry/silence_test.go
+++ b/internal/members/registry/silence_test.go
@@ -221,10 +221,13 @@
 		s    *scenario
 	}{
 		{"first list", &scenario{onDemand: true, unanswered: 1, reportedAt: 6 * time.Second}},
-		{"first watch, from a remembered list", &scenario{onDemand: true, hasStoredList: true, unanswered: 1, drainAt: time.Second, reportedAt: 22 * time.Second}},
-		{"a watch later on", &scenario{onDemand: true, from: 3 * time.Second, to: 4 * time.Second, drainAt: 5 * time.Second, reportedAt: 22 * time.Second}},
+		{"first watch, from a stored list", &scenario{onDemand: true, hasStoredList: true, unanswered: 1,
+			drainAt: time.Second, reportedAt: 22 * time.Second}},
+		{"a watch later on", &scenario{onDemand: true, from: 3 * time.Second, to: 4 * time.Second,
+			drainAt: 5 * time.Second, reportedAt: 22 * time.Second}},
 		{"moved", &scenario{onDemand: true, moveAt: 3 * time.Second, unanswered: 1, drainAt: 3 * time.Second, reportedAt: 9 * time.Second}},
-		{"cut off until after the second call", &scenario{onDemand: true, from: 3 * time.Second, to: 21500 * ms, drainAt: 5 * time.Second, reportedAt: 22 * time.Second}},
+		{"cut off until after the second call", &scenario{onDemand: true, from: 3 * time.Second, to: 21500 * ms,
+			drainAt: 5 * time.Second, reportedAt: 22 * time.Second}},
 	} {
 		if late := c.s.play(t); late > 500*ms {
 			t.Errorf("%s: %v after the drain counts as reported", c.name, late)
@@ -258,10 +261,12 @@
 				return &scenario{from: time.Second + x, to: time.Second + x + 1, drainAt: time.Second + x + 2, reportedAt: time.Second + x + 2}
 			}},
 			{"asked, 503", 0, func(x time.Duration) *scenario {
-				return &scenario{onDemand: true, answerTime: maxQueueTime, failure: "503", from: 3 * time.Second, to: 3*time.Second + x, drainAt: 3*time.Second + x, reportedAt: 9*time.Second + x}
+				return &scenario{onDemand: true, answerTime: maxQueueTime, failure: "503", from: 3 * time.Second, to: 3*time.Second + x,
+					drainAt: 3*time.Second + x, reportedAt: 9*time.Second + x}
 			}},
 			{"asked, reset", 0, func(x time.Duration) *scenario {
-				return &scenario{onDemand: true, answerTime: maxQueueTime, failure: "reset", from: 3 * time.Second, to: 3*time.Second + x, drainAt: 3*time.Second + x, reportedAt: 9*time.Second + x}
+				return &scenario{onDemand: true, answerTime: maxQueueTime, failure: "reset", from: 3 * time.Second, to: 3*time.Second + x,
+					drainAt: 3*time.Second + x, reportedAt: 9*time.Second + x}
 			}},
 			{"asked, refused from the start", 0, func(x time.Duration) *scenario {
 				return &scenario{onDemand: true, answerTime: maxQueueTime, failure: "refused", to: x, drainAt: x, reportedAt: 6*time.Second + x}
@@ -271,7 +276,8 @@
 			}},
 			// The watch begins at 2 s, and may wait for 20 s.
 			{"asked, a silent watch", late, func(x time.Duration) *scenario {
-				return &scenario{onDemand: true, answerTime: maxQueueTime, from: 3 * time.Second, to: 4*time.Second + x, drainAt: 4*time.Second + x, reportedAt: max(24*time.Second, 10*time.Second+x)}
+				return &scenario{onDemand: true, answerTime: maxQueueTime, from: 3 * time.Second, to: 4*time.Second + x,
+					drainAt: 4*time.Second + x, reportedAt: max(24*time.Second, 10*time.Second+x)}
 			}},
 		} {
 			by, n := 23*ms*step/(125*ms), 40
--- a/internal/members/script_test.go
+++ b/internal/members/script_test.go
@@ -46,8 +46,9 @@
 	if w.resolver, err = lookup.New(lookup.Config{Name: "_menu._tcp.khuree.mn", Servers: 2, Seed: 1}, 0); err != nil {
 		t.Fatal(err)
 	}
-	w.m = merge.NewMerge(merge.Config{GuardPart: 0.5, GuardWindow: 10 * time.Second, GuardHold: time.Minute, PanicPart: 0.5, DrainFor: 2 * time.Minute, Sources: []merge.SourceConfig{
-		{Name: "registry", Keep: time.Hour}, {Name: "dns", Keep: time.Hour}, {Name: "file", Keep: time.Hour}}}, 0)
+	w.m = merge.NewMerge(merge.Config{GuardPart: 0.5, GuardWindow: 10 * time.Second, GuardHold: time.Minute, PanicPart: 0.5,
+		DrainFor: 2 * time.Minute, Sources: []merge.SourceConfig{
+			{Name: "registry", Keep: time.Hour}, {Name: "dns", Keep: time.Hour}, {Name: "file", Keep: time.Hour}}}, 0)
 	return w
 }
 
