--- a/internal/members/registry/follow.go
+++ b/internal/members/registry/follow.go
@@ -40,7 +40,7 @@
 	listLog           lograte.Limited // for accepted lists
 	lastErr           error           // of the last failure
 	failingSince      time.Time       // since when calls fail; zero: they don't
-	lastCallAtFailure int             // id of the last call begun at failingSince
+	lastCallAtFailure int             // id of the last call begun by failingSince
 	failureLoggedAt   time.Time       // when the failure was last logged
 }
 
--- a/internal/members/registry/pace/terms.go
+++ b/internal/members/registry/pace/terms.go
@@ -16,7 +16,7 @@
 	AnswerTimeout                             = time.Second
 	onDemandListTimeout, onDemandWatchTimeout = 6 * time.Second, 2 * time.Second
 	// maxQueueTime is how long a call may wait in the queue of such a registry; then it fails. So a call that begins
-	// maxRewatchDelay after a failure brings what was missed by onDemandListTimeout, when it counts as reported.
+	// maxRewatchDelay after a failure brings what was missed before onDemandListTimeout is over, when that counts as reported.
 	maxQueueTime, maxRewatchDelay = 2 * time.Second, onDemandListTimeout - maxQueueTime
 	// maxWatchGap is the longest time between two calls of a watch in which no change can be missed. It stays below the 200 ms
 	// after which discovery ends a watch.
@@ -53,7 +53,7 @@
 	// A silent call gets another call beside it after this delay, for a watch after its wait. The other call reads the complete
 	// list.
 	listHedgeDelay, watchHedgeDelay time.Duration
-	// A call ends after this timeout, for a watch after its wait; 0: it has none.
+	// The timeout of a call, for a watch after its wait; 0: none. handleTimeout may keep the call open for longer.
 	listTimeout, watchTimeout time.Duration
 	maxOpen                   int // calls open at once
 	maxCurrent                int // of these, calls before their timeout
--- a/internal/members/registry/registry.go
+++ b/internal/members/registry/registry.go
@@ -99,7 +99,7 @@
 	if addr == d.addr {
 		return
 	}
-	d.log.Info("discovery moves", "from", d.addr, "to", addr)
+	d.log.Info("discovery address changed", "from", d.addr, "to", addr)
 	d.addr = addr
 	select {
 	case d.addrChanged <- struct{}{}:
