--- a/internal/members/discovery/discovery.go
+++ b/internal/members/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery is the HTTP registry as one of several sources: package registry follows it.
+// Package discovery makes the HTTP registry one of several sources of a pool. Package registry follows the registry.
 package discovery
 
 import (
@@ -13,35 +13,35 @@
 	"glencart/merge"
 )
 
-// failedAfter is how long a registry may give no answer before its word is old.
-const failedAfter = 10 * time.Second
+// failureTimeout is how long a registry may give no answer before its list counts as stale.
+const failureTimeout = 10 * time.Second
 
-// Source is one registry.
+// Source follows one registry.
 type Source struct {
 	addr  string
 	names settings.Settings
 	log   *slog.Logger
 }
 
-// New returns a Source. names has the numbers of zones and kinds.
+// New returns a Source for the registry at addr. names has the numbers of zones and kinds.
 func New(addr string, names settings.Settings, log *slog.Logger) *Source {
 	return &Source{addr: addr, names: names, log: log}
 }
 
 // Run follows the registry until ctx ends.
-func (s *Source) Run(ctx context.Context, tell func(sources.Told)) {
-	heard := time.Now()
-	src := registry.New(s.addr, s.names, s.log, func(l engine.List) {
-		heard = time.Now()
-		t := sources.Told{Complete: l.Complete, Revision: l.Revision, Entries: make([]merge.Entry, 0, len(l.Members))}
-		for _, m := range l.Members {
-			t.Entries = append(t.Entries, merge.Entry{Name: m.ID, Knows: merge.AllFacts &^ merge.Tier, Line: m})
+func (s *Source) Run(ctx context.Context, report func(sources.Update)) {
+	lastListAt := time.Now()
+	follower := registry.New(s.addr, s.names, s.log, func(list engine.List) {
+		lastListAt = time.Now()
+		update := sources.Update{Complete: list.Complete, Revision: list.Revision, Entries: make([]merge.Entry, 0, len(list.Members))}
+		for _, m := range list.Members {
+			update.Entries = append(update.Entries, merge.Entry{Name: m.ID, Knows: merge.AllFacts &^ merge.Tier, Line: m})
 		}
-		tell(t)
+		report(update)
 	}, func() {
-		if time.Since(heard) > failedAfter {
-			tell(sources.Told{Failed: true})
+		if time.Since(lastListAt) > failureTimeout {
+			report(sources.Update{Failed: true})
 		}
 	})
-	src.Run(ctx)
+	follower.Run(ctx)
 }
--- a/internal/members/follow/follow.go
+++ b/internal/members/follow/follow.go
@@ -1,5 +1,6 @@
-// Package follow has a pool follow its sources: it makes them of the pool's settings, feeds the merge with what they and the checks
-// tell, and says which boxes the pool is to be told of, and when each began. Every front that takes sources uses it.
+// Package follow keeps the endpoint list of a pool up to date. It creates the sources from the settings of the pool, feeds the
+// merge with their updates and the results of active checks, and returns which backends changed and when each started. All front
+// ends with sources use it.
 package follow
 
 import (
@@ -29,70 +30,71 @@
 )
 
 const (
-	// guardPart is the part of a pool that may go at once, guardWindow how long at once is.
-	guardPart, guardWindow, guardHold = 0.5, 10 * time.Second, time.Minute
-	// firstWithin is how long after the start a source's first list names boxes that have been at work.
-	firstWithin = 10 * time.Second
-	// drainFor is how long a drain counts that its source has forgotten, while others still list the box.
-	drainFor = 5 * time.Minute
-	// keepLong is how long what was kept on disk counts: while nobody is heard, there is nothing better.
-	keepLong = 10 * 365 * 24 * time.Hour
-	// waitMost bounds how long nobody looks whether something is due.
-	waitMost = time.Second
-	// KeepEvery bounds how often a list is written to disk.
-	KeepEvery = time.Second
+	// guardFraction is the part of a pool that may leave within guardWindow. Removals beyond it are held for guardHold.
+	guardFraction, guardWindow, guardHold = 0.5, 10 * time.Second, time.Minute
+	// startupWindow is how long after the start the first list of a source counts as one of backends that are already running.
+	startupWindow = 10 * time.Second
+	// drainRetention is how long a drain counts after its source has removed the backend, while other sources still list it.
+	drainRetention = 5 * time.Minute
+	// cachedListRetention is how long the cached endpoint list counts. It is used while no source answers, and nothing better
+	// exists then.
+	cachedListRetention = 10 * 365 * 24 * time.Hour
+	// maxPassInterval bounds the time between two calls of Pass.
+	maxPassInterval = time.Second
+	// SaveInterval is the least time between two writes of the list to disk.
+	SaveInterval = time.Second
 )
 
-// Membership is the sources of one pool, the Merge that they feed and the list that comes of it. All but Run belongs to one
-// goroutine.
+// Membership has the sources of one pool, the Merge that they feed and the resulting endpoint list. It belongs to one goroutine.
+// Only Run, Passing and KeepLater run in other goroutines.
 type Membership struct {
-	Merge   *merge.Merge
-	Names   []string // of the sources, by rank
-	running []sources.Source
-	checker *checks.Checker // nil: boxes are not asked
-	first   []merge.Event   // what is known at the start
-	folder  string
-	pool    string
-	log     *slog.Logger
+	Merge       *merge.Merge
+	Names       []string // of the sources, by rank
+	runners     []sources.Source
+	checker     *checks.Checker // nil: no active checks
+	initial     []merge.Event   // what is known at the start
+	cacheFolder string
+	pool        string
+	log         *slog.Logger
 
-	have     map[string]merge.Change
-	since    map[string]time.Duration // when a box began, as found out here
-	heard    map[int]bool             // sources that have told a list
-	from     time.Duration            // when all began
-	begun    bool                     // sources are running
-	keeping  bool                     // KeepLater is under way
-	kept     []merge.Entry            // what was kept from before, while it counts; its source is the last
-	complete map[int]bool             // sources that have told a whole list since the start
-	changes  []merge.Change
+	backends        map[string]merge.Change
+	startedAt       map[string]time.Duration // when a backend started, as observed here
+	hasListed       map[int]bool             // sources that have sent a list
+	createdAt       time.Duration            // when the Membership was created
+	hasBegun        bool                     // Begin has been called
+	saveScheduled   bool                     // a KeepLater is pending
+	cached          []merge.Entry            // entries of the cached list, while it counts; its source is the last
+	hasCompleteList map[int]bool             // sources that have sent a complete list since the start
+	changes         []merge.Change
 }
 
-// Defaults are how a pool merges where its settings say nothing else.
+// Defaults returns the merge configuration of a pool whose settings don't change it.
 func Defaults() merge.Config {
-	return merge.Config{GuardPart: guardPart, GuardWindow: guardWindow, GuardHold: guardHold, PanicPart: 0.5, DrainFor: drainFor}
+	return merge.Config{GuardPart: guardFraction, GuardWindow: guardWindow, GuardHold: guardHold, PanicPart: 0.5, DrainFor: drainRetention}
 }
 
-// Of returns a Membership without sources of its own: whoever has it calls Hear.
+// Of returns a Membership without sources of its own. The caller passes events to Hear.
 func Of(cfg merge.Config, log *slog.Logger, now time.Duration) *Membership {
-	return &Membership{Merge: merge.NewMerge(cfg, now), log: log, from: now,
-		have: map[string]merge.Change{}, since: map[string]time.Duration{}, heard: map[int]bool{}, complete: map[int]bool{}}
+	return &Membership{Merge: merge.NewMerge(cfg, now), log: log, createdAt: now,
+		backends: map[string]merge.Change{}, startedAt: map[string]time.Duration{}, hasListed: map[int]bool{}, hasCompleteList: map[int]bool{}}
 }
 
-// New makes the sources of a pool. Nothing is asked yet.
-// names are those of an installation's zones and kinds, for registries; keep is the folder for the last list, "" for none.
-func New(p *site.Pool, names settings.Settings, keep string, log *slog.Logger, now time.Duration) (*Membership, error) {
+// New creates the sources of a pool. It contacts none of them yet. names has the zones and kinds of an installation, for
+// registries. folder has the cached endpoint list; "" means that the list is not cached.
+func New(p *site.Pool, names settings.Settings, folder string, log *slog.Logger, now time.Duration) (*Membership, error) {
 	cfg := Defaults()
 	m := Of(cfg, log, now)
-	m.folder, m.pool = keep, p.Name
+	m.cacheFolder, m.pool = folder, p.Name
 	cfg.GuardHold = p.GuardHold.Or(guardHold)
 	if p.Guard != nil {
 		cfg.GuardPart = *p.Guard
 	}
 	if cfg.GuardPart == 1 {
-		cfg.GuardPart = 0 // off
+		cfg.GuardPart = 0 // no guard
 	}
-	add := func(c merge.SourceConfig, run sources.Source) {
+	add := func(c merge.SourceConfig, source sources.Source) {
 		cfg.Sources = append(cfg.Sources, c)
-		m.running = append(m.running, run)
+		m.runners = append(m.runners, source)
 		m.Names = append(m.Names, c.Name)
 	}
 	if len(p.Boxes) > 0 {
@@ -107,45 +109,46 @@
 		log := log.With("source", src.Name)
 		switch {
 		case src.DNS != "":
-			run, err := dnssrv.New(dnssrv.Config{Servers: src.Resolvers, ResolvConf: src.ResolvConf, Log: log, Config: lookup.Config{Name: src.DNS,
+			source, err := dnssrv.New(dnssrv.Config{Servers: src.Resolvers, ResolvConf: src.ResolvConf, Log: log, Config: lookup.Config{Name: src.DNS,
 				Floor: time.Duration(src.Floor), Ceiling: time.Duration(src.Ceiling), Timeout: time.Duration(src.Timeout)}})
 			if err != nil {
 				return nil, fmt.Errorf("pool %q: %w", p.Name, err)
 			}
-			add(c, run)
+			add(c, source)
 		case src.File != "":
 			add(c, file.New(src.File, log))
 		default:
 			add(c, discovery.New(src.Registry, names, log))
 		}
 	}
-	if m.folder != "" && len(p.Sources) > 0 { // what the file alone says is never unheard
-		if err := os.MkdirAll(m.folder, 0o700); err != nil {
+	if m.cacheFolder != "" && len(p.Sources) > 0 { // without sources, the site file has the complete list
+		if err := os.MkdirAll(m.cacheFolder, 0o700); err != nil {
 			return nil, fmt.Errorf("node.keep: %w", err)
 		}
-		l, err := kept.Read(m.folder, p.Name)
+		list, err := kept.Read(m.cacheFolder, p.Name)
 		if err != nil {
-			log.Warn("no list from before", "error", err)
+			log.Warn("cached endpoint list can't be used", "error", err)
 		}
-		if l != nil {
-			log.Info("begins with the list from before, as old word", "boxes", len(l.Boxes), "age", time.Since(l.At).Round(time.Second))
-			l.Boxes = slices.DeleteFunc(l.Boxes, func(b kept.Box) bool { return onlySaidBy(site.StaticSource, l.Sources, b.Says) })
-			m.kept = l.Entries(now)
-			m.first = append(m.first, merge.Event{Kind: merge.Listed, Source: len(m.Names), Entries: m.kept})
+		if list != nil {
+			log.Info("starting with the cached endpoint list, which counts as stale",
+				"boxes", len(list.Boxes), "age", time.Since(list.At).Round(time.Second))
+			list.Boxes = slices.DeleteFunc(list.Boxes, func(b kept.Box) bool { return listedOnlyBy(site.StaticSource, list.Sources, b.Says) })
+			m.cached = list.Entries(now)
+			m.initial = append(m.initial, merge.Event{Kind: merge.Listed, Source: len(m.Names), Entries: m.cached})
 		}
-		add(merge.SourceConfig{Name: site.KeptSource, Keep: keepLong}, nil)
+		add(merge.SourceConfig{Name: site.KeptSource, Keep: cachedListRetention}, nil)
 	}
 	m.Merge = merge.NewMerge(cfg, now)
 	if len(p.Boxes) > 0 {
-		m.first = append([]merge.Event{m.Static(p.Boxes)}, m.first...)
+		m.initial = append([]merge.Event{m.Static(p.Boxes)}, m.initial...)
 	}
 	return m, nil
 }
 
-// Check has the boxes asked whether they are well, over the pool's own TLS if it has one. It is for before Begin.
-func (m *Membership) Check(c *site.Check, over *tls.Config) {
+// Check enables active checks of the backends, over the pool's own TLS if it has one. Call it before Begin.
+func (m *Membership) Check(c *site.Check, tlsConfig *tls.Config) {
 	cfg := checks.Config{Config: check.Config{Every: time.Duration(c.Every), Rise: c.Rise, Fall: c.Fall},
-		Path: c.HTTP, Host: c.Host, Status: c.Status, Timeout: time.Duration(c.Timeout), TLS: over}
+		Path: c.HTTP, Host: c.Host, Status: c.Status, Timeout: time.Duration(c.Timeout), TLS: tlsConfig}
 	switch {
 	case c.HTTP != "":
 		cfg.Kind = checks.HTTP
@@ -155,27 +158,28 @@
 	m.checker = checks.New(cfg)
 }
 
-// onlySaidBy tells whether one source alone spoke of a box, or had spoken of it: if it does not list it any more, nobody does.
-func onlySaidBy(source string, names, says []string) bool {
-	only := false
-	for i, word := range says {
+// listedOnlyBy reports whether source alone lists a backend or has listed it. If that source no longer lists the backend, no
+// source does.
+func listedOnlyBy(source string, names, votes []string) bool {
+	found := false
+	for i, vote := range votes {
 		if i >= len(names) {
 			break
 		}
-		switch word {
+		switch vote {
 		case merge.Has.String(), merge.Had.String(), merge.Drains.String(), merge.Drained.String():
 			if names[i] != source {
 				return false
 			}
-			only = true
+			found = true
 		}
 	}
-	return only
+	return found
 }
 
-// Static words the boxes of the file as a list of the first source.
+// Static returns the backends of the site file as a list of the first source.
 func (m *Membership) Static(boxes []site.Box) merge.Event {
-	ev := merge.Event{Kind: merge.Listed, Complete: true, Decided: true} // the operator's own hand: the guard has no say
+	ev := merge.Event{Kind: merge.Listed, Complete: true, Decided: true} // an operator's own edit, which the guard does not hold
 	for _, b := range boxes {
 		if b.State == "down" {
 			continue
@@ -193,14 +197,16 @@
 	return ev
 }
 
-// Run runs the sources, and the checks, until ctx ends. told takes what each tells to wherever Hear is called; it is called from
-// several goroutines. start has a function run in one of its own.
-func (m *Membership) Run(ctx context.Context, start func(func()), told func(event func(now time.Duration) (ev merge.Event, counts bool))) {
-	for i, src := range m.running {
+// Run runs the sources and the checks until ctx ends. It calls deliver from several goroutines. deliver passes the event function
+// on to the goroutine that calls Hear; the function returns the event and whether it still counts. start runs a function in a
+// goroutine of its own.
+func (m *Membership) Run(ctx context.Context, start func(func()),
+	deliver func(event func(now time.Duration) (ev merge.Event, counts bool))) {
+	for i, src := range m.runners {
 		if src != nil {
 			start(func() {
-				src.Run(ctx, func(t sources.Told) {
-					told(func(now time.Duration) (merge.Event, bool) { return t.Event(i, now), true })
+				src.Run(ctx, func(update sources.Update) {
+					deliver(func(now time.Duration) (merge.Event, bool) { return update.Event(i, now), true })
 				})
 			})
 		}
@@ -209,69 +215,69 @@
 		return
 	}
 	start(func() {
-		m.checker.Run(ctx, func(v check.Verdict) {
-			m.log.Warn("check of a box", "box", v.Box, "well", v.Up, "said", v.Why)
-			told(func(time.Duration) (merge.Event, bool) {
-				// With another address it is another box by now.
-				return merge.Event{Kind: merge.Checked, Box: v.Box, Up: v.Up}, m.have[v.Box].Addr == v.Addr
+		m.checker.Run(ctx, func(verdict check.Verdict) {
+			m.log.Warn("result of the active checks changed", "box", verdict.Box, "well", verdict.Up, "said", verdict.Why)
+			deliver(func(time.Duration) (merge.Event, bool) {
+				// At another address, it is another backend by now.
+				return merge.Event{Kind: merge.Checked, Box: verdict.Box, Up: verdict.Up}, m.backends[verdict.Box].Addr == verdict.Addr
 			})
 		})
 	})
 }
 
-// Box is a box that has changed, as the pool is to have it. One that is gone has the phase Gone.
+// Box is a changed backend, as the pool must take it. A removed backend has the phase Gone.
 type Box struct {
 	merge.Change
-	Began bool // it, or another one in its place, begins now
+	Began bool // the backend, or another one in its place, starts now
 }
 
-// Begin takes in what is known before any source has told anything, and returns the boxes of it.
+// Begin handles what is known before any source reports, and returns the resulting backends.
 func (m *Membership) Begin(now time.Duration) (out []Box) {
-	for _, ev := range m.first {
+	for _, ev := range m.initial {
 		out = append(out, m.Hear(now, ev)...)
 	}
-	m.begun = true
-	return latest(out)
+	m.hasBegun = true
+	return lastPerBackend(out)
 }
 
-// latest leaves one line for each box, the last.
-func latest(boxes []Box) []Box {
-	at := make(map[string]int, len(boxes))
-	kept := boxes[:0]
+// lastPerBackend keeps the last entry of each backend.
+func lastPerBackend(boxes []Box) []Box {
+	index := make(map[string]int, len(boxes))
+	last := boxes[:0]
 	for _, b := range boxes {
-		if i, twice := at[b.ID]; twice {
-			b.Began = b.Began || kept[i].Began
-			kept[i] = b
+		if i, isDuplicate := index[b.ID]; isDuplicate {
+			b.Began = b.Began || last[i].Began
+			last[i] = b
 			continue
 		}
-		at[b.ID] = len(kept)
-		kept = append(kept, b)
+		index[b.ID] = len(last)
+		last = append(last, b)
 	}
-	return kept
+	return last
 }
 
-// Hear takes in one event and returns the boxes that have changed. Once every source has told a whole list, what was kept from
-// before counts no more: a box that drained then may serve by now.
+// Hear handles one event and returns the backends that changed. Once each source has sent a complete list, the cached list no
+// longer counts: a backend that was draining in it may serve by now.
 func (m *Membership) Hear(now time.Duration, ev merge.Event) []Box {
-	out := m.hear(now, ev)
-	if ev.Kind != merge.Listed || !ev.Complete || len(m.kept) == 0 || ev.Source >= len(m.running) || m.running[ev.Source] == nil {
+	out := m.handle(now, ev)
+	if ev.Kind != merge.Listed || !ev.Complete || len(m.cached) == 0 || ev.Source >= len(m.runners) || m.runners[ev.Source] == nil {
 		return out
 	}
-	m.complete[ev.Source] = true
-	for i, src := range m.running {
-		if src != nil && !m.complete[i] {
+	m.hasCompleteList[ev.Source] = true
+	for i, src := range m.runners {
+		if src != nil && !m.hasCompleteList[i] {
 			return out
 		}
 	}
-	gone := merge.Event{Kind: merge.Listed, Source: len(m.Names) - 1, Entries: m.kept}
-	for i := range gone.Entries {
-		gone.Entries[i].Line.Phase = balance.Gone
+	removed := merge.Event{Kind: merge.Listed, Source: len(m.Names) - 1, Entries: m.cached}
+	for i := range removed.Entries {
+		removed.Entries[i].Line.Phase = balance.Gone
 	}
-	m.kept = nil
-	return latest(append(out, m.hear(now, gone)...))
+	m.cached = nil
+	return lastPerBackend(append(out, m.handle(now, removed)...))
 }
 
-func (m *Membership) hear(now time.Duration, ev merge.Event) (out []Box) {
+func (m *Membership) handle(now time.Duration, ev merge.Event) (out []Box) {
 	m.changes = m.Merge.Handle(now, ev, m.changes[:0])
 	for _, line := range m.Merge.Log() {
 		m.log.Warn(line)
@@ -279,18 +285,18 @@
 	if len(m.changes) == 0 {
 		return nil
 	}
-	// A pool that begins finds its boxes at work, and so does each source whose first list comes soon: later, after an outage say,
-	// a box that nobody has named may have started in the meantime.
-	fresh := !m.begun
-	if ev.Kind == merge.Listed && !m.heard[ev.Source] {
-		m.heard[ev.Source], fresh = true, fresh || now-m.from < firstWithin
+	// The backends that a pool lists at its start are already running. So are those in the first list of a source, if it comes
+	// soon. Later, for example after an outage, a backend that was not listed may have started in the meantime.
+	alreadyRunning := !m.hasBegun
+	if ev.Kind == merge.Listed && !m.hasListed[ev.Source] {
+		m.hasListed[ev.Source], alreadyRunning = true, alreadyRunning || now-m.createdAt < startupWindow
 	}
 	var moved []string
 	for _, c := range m.changes {
-		old, had := m.have[c.ID]
+		old, wasListed := m.backends[c.ID]
 		if c.Line.Phase == balance.Gone {
-			delete(m.have, c.ID)
-			delete(m.since, c.ID)
+			delete(m.backends, c.ID)
+			delete(m.startedAt, c.ID)
 			if m.checker != nil {
 				m.checker.Remove(c.ID)
 			}
@@ -300,63 +306,63 @@
 		if m.checker != nil {
 			m.checker.Set(c.ID, c.Addr)
 		}
-		began := !had && !fresh || had && old.Addr != c.Addr
-		if began {
-			m.since[c.ID] = now // it starts now, as far as anybody says
+		isNew := !wasListed && !alreadyRunning || wasListed && old.Addr != c.Addr
+		if isNew {
+			m.startedAt[c.ID] = now // as far as any source reports
 		}
-		if had && began {
+		if wasListed && isNew {
 			moved = append(moved, c.ID)
 		}
-		m.have[c.ID] = c
-		out = append(out, Box{Change: m.whole(c), Began: began})
+		m.backends[c.ID] = c
+		out = append(out, Box{Change: m.withStart(c), Began: isNew})
 	}
-	for _, id := range moved { // what checks said was of what stood there before
-		out = append(out, m.hear(now, merge.Event{Kind: merge.Checked, Box: id, Up: true})...)
+	for _, id := range moved { // check results of the old address no longer count
+		out = append(out, m.handle(now, merge.Event{Kind: merge.Checked, Box: id, Up: true})...)
 	}
 	if len(moved) > 0 {
-		out = latest(out)
+		out = lastPerBackend(out)
 	}
 	return out
 }
 
-// whole adds what was found out here of a box's start.
-func (m *Membership) whole(c merge.Change) merge.Change {
-	c.Launched = max(c.Launched, m.since[c.ID])
+// withStart adds the start that was observed here.
+func (m *Membership) withStart(c merge.Change) merge.Change {
+	c.Launched = max(c.Launched, m.startedAt[c.ID])
 	return c
 }
 
-// Restarted takes in that a box has been found to be another process than before. It tells whether there is one of this name.
+// Restarted records that a backend was found to be another process than before. It reports whether a backend of this id is listed.
 func (m *Membership) Restarted(now time.Duration, id string) (merge.Change, bool) {
-	c, listed := m.have[id]
+	c, listed := m.backends[id]
 	if listed {
-		m.since[id] = now
+		m.startedAt[id] = now
 	}
-	return m.whole(c), listed
+	return m.withStart(c), listed
 }
 
-// All is every box, by id.
+// All returns all backends, sorted by id.
 func (m *Membership) All() []merge.Change {
-	all := slices.SortedFunc(maps.Values(m.have), func(x, y merge.Change) int { return cmp.Compare(x.ID, y.ID) })
+	all := slices.SortedFunc(maps.Values(m.backends), func(x, y merge.Change) int { return cmp.Compare(x.ID, y.ID) })
 	for i := range all {
-		all[i] = m.whole(all[i])
+		all[i] = m.withStart(all[i])
 	}
 	return all
 }
 
-// Pass has what is due happen, and returns the boxes that have changed and how long to wait until it is called again.
+// Pass handles what is due. It returns the backends that changed and how long to wait until the next call.
 func (m *Membership) Pass(now time.Duration) (out []Box, wait time.Duration) {
-	if at, some := m.Merge.Next(); some && at <= now {
+	if at, pending := m.Merge.Next(); pending && at <= now {
 		out = m.Hear(now, merge.Event{Kind: merge.Ticked})
 	}
-	wait = waitMost // lists that come meanwhile may have shorter lifetimes
-	if at, some := m.Merge.Next(); some {
+	wait = maxPassInterval // lists that arrive meanwhile may have shorter lifetimes
+	if at, pending := m.Merge.Next(); pending {
 		wait = min(wait, max(at-now, time.Millisecond))
 	}
 	return out, wait
 }
 
-// Passing calls Pass on the loop that owns the Membership, whenever something is due, until ctx ends or post fails. changed takes
-// what it returns, on the loop; clock is the loop's.
+// Passing calls Pass on the loop that owns the Membership whenever something is due, until ctx ends or post fails. changed
+// receives the results on the loop. clock is the loop's clock.
 func (m *Membership) Passing(ctx context.Context, post func(func()) bool, clock func() time.Duration, changed func([]Box)) {
 	next := make(chan time.Duration, 1)
 	for post(func() {
@@ -377,50 +383,51 @@
 	}
 }
 
-// Changed tells whether the list has to be written down: the caller then calls KeepLater, from a goroutine of its own. On the loop.
+// Changed reports whether the list must be written to disk. If so, the caller calls KeepLater from a goroutine of its own. Changed
+// runs on the loop.
 func (m *Membership) Changed() bool {
-	due := m.folder != "" && !m.keeping
-	m.keeping = m.keeping || due
+	due := m.cacheFolder != "" && !m.saveScheduled
+	m.saveScheduled = m.saveScheduled || due
 	return due
 }
 
-// KeepLater writes the list down after KeepEvery, or as soon as ctx ends. post gives the loop a function, and loopEnded is closed
-// when the loop runs none any more.
+// KeepLater writes the list to disk after SaveInterval, or as soon as ctx ends. post passes a function to the loop. loopEnded is
+// closed when the loop runs no more functions.
 func (m *Membership) KeepLater(ctx context.Context, post func(func()) bool, loopEnded <-chan struct{}) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(KeepEvery):
+	case <-time.After(SaveInterval):
 	}
 	views := make(chan []merge.View, 1)
 	if !post(func() {
-		m.keeping = false
+		m.saveScheduled = false
 		views <- m.Merge.Views()
 	}) {
 		return
 	}
 	select {
 	case v := <-views:
-		m.Keep(v)
+		m.Save(v)
 	case <-loopEnded:
 	}
 }
 
-// Keep writes a list down.
-func (m *Membership) Keep(views []merge.View) {
-	l := kept.List{Pool: m.pool, At: time.Now(), Sources: m.Names}
+// Save writes a list to disk.
+func (m *Membership) Save(views []merge.View) {
+	list := kept.List{Pool: m.pool, At: time.Now(), Sources: m.Names}
 	for _, v := range views {
 		if v.Line.Phase == balance.Gone {
 			continue
 		}
-		drains := v.Line.Phase == balance.Draining && merge.Rules[v.Rule].Verdict != merge.Serves // what its checks say is of now alone
-		b := kept.Box{ID: v.ID, Named: v.Named, Address: v.Addr, Draining: drains, Tier: v.Tier, Weight: v.Line.Member.Weight,
+		isDraining := v.Line.Phase == balance.Draining && merge.Rules[v.Rule].Verdict != merge.Serves // check results are not stored
+		b := kept.Box{ID: v.ID, Named: v.Named, Address: v.Addr, Draining: isDraining, Tier: v.Tier, Weight: v.Line.Member.Weight,
 			Zone: v.Line.Zone, Cell: v.Cell, Kind: v.Kind, Launched: v.Launched, Rule: merge.Rules[v.Rule].Name, Note: v.Note, Differs: v.Disagree()}
 		for _, s := range v.Says {
 			b.Says = append(b.Says, s.Vote.String())
 		}
-		l.Boxes = append(l.Boxes, b)
+		list.Boxes = append(list.Boxes, b)
 	}
-	if err := kept.Write(m.folder, l); err != nil {
-		m.log.Error("list not kept: a start with all sources down goes by an older one", "error", err)
+	if err := kept.Write(m.cacheFolder, list); err != nil {
+		m.log.Error("cached endpoint list not written; a start with all sources down uses an older one", "error", err)
 	}
 }
--- a/internal/members/kept/kept_test.go
+++ b/internal/members/kept/kept_test.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// A list comes back as it was written; a damaged one, one of another version and another pool's are passed over with a word.
-func TestKept(t *testing.T) {
+// A cached list must be read back as it was written. A damaged one, and one of another version or another pool, must be rejected
+// with an error.
+func TestReadRejectsBadFiles(t *testing.T) {
 	dir := t.TempDir()
 	if l, err := Read(dir, "menu/1"); l != nil || err != nil {
 		t.Errorf("none: %v, %v", l, err)
 	}
-	l := List{Pool: "menu/1", At: time.Unix(5, 0), Boxes: []Box{{ID: "a", Named: true, Address: "10.0.0.1:80", Weight: 2, Draining: true}, {ID: "b", Address: "10.0.0.2:80"}}}
+	l := List{Pool: "menu/1", At: time.Unix(5, 0), Boxes: []Box{{ID: "a", Named: true, Address: "10.0.0.1:80", Weight: 2, Draining: true},
+		{ID: "b", Address: "10.0.0.2:80"}}}
 	if err := Write(dir, l); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/members/registry/cost_test.go
+++ b/internal/members/registry/cost_test.go
@@ -11,7 +11,8 @@
 	"glencart/internal/standin"
 )
 
-// What a call costs a node: a watch that brings nothing, a whole list of 200 lines that is known already, and one that is new.
+// BenchmarkCall measures what a call costs a node: a watch without changes, a complete list of 200 entries that is known already,
+// and one that is new.
 func BenchmarkCall(b *testing.B) {
 	lines := make([]standin.Listed, 200)
 	for i := range lines {
@@ -45,22 +46,22 @@
 			r := &run{Source: New(l.Addr().String(), names, standin.Quiet(), nil, nil)}
 			defer r.http.CloseIdleConnections()
 			var known uint64
-			if a := r.call(newCallRecord(1, c.query == "", 0).observed(context.Background()), r.Source.addr, c.query, 0); a.err != nil {
+			if a := r.call(newCallRecord(1, c.query == "", 0).traced(context.Background()), r.Source.addr, c.query, 0); a.err != nil {
 				b.Fatal(a.err)
 			} else if c.known {
-				known = a.text
+				known = a.textHash
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if a := r.call(newCallRecord(1, c.query == "", 0).observed(context.Background()), r.Source.addr, c.query, known); a.err != nil || a.known != c.known {
-					b.Fatal(a.err, a.known)
+				if a := r.call(newCallRecord(1, c.query == "", 0).traced(context.Background()), r.Source.addr, c.query, known); a.err != nil || a.isKnown != c.known {
+					b.Fatal(a.err, a.isKnown)
 				}
 			}
 		})
 	}
 }
 
-// serve answers each request on a connection with the same, and makes nothing of it that would count.
+// serve answers each request on a connection with the same bytes, at next to no cost.
 func serve(conn net.Conn, answer []byte) {
 	defer conn.Close()
 	for br := bufio.NewReader(conn); ; {
--- a/internal/members/registry/pace/registry_test.go
+++ b/internal/members/registry/pace/registry_test.go
@@ -11,32 +11,32 @@
 	"glencart/balance"
 )
 
-// fakeRegistry is a registry in virtual time that fails, comes back with news, and then answers slowly or works through calls in
-// turn. It works on calls that were given up too: it can't know.
+// fakeRegistry is a registry in virtual time. It has an outage, comes back with a change, and then answers slowly or processes
+// calls one by one. It processes calls that were given up too, because it can't detect that.
 type fakeRegistry struct {
-	terms   Terms
-	lost    bool          // calls that are open or begin while it is out are lost; else they are held and worked through afterwards
-	out     time.Duration // it is out from outFrom for so long; then it has news
-	delay   time.Duration // from then on each answer is so long on its way
-	turn    time.Duration // and each call takes so long, one at a time
-	nodes   []*fakeNode
-	waiting []fakeWork // ordered by time
-	free    time.Duration
-	now     time.Duration
+	terms        Terms
+	losesCalls   bool          // calls that are open or begin in the outage are lost; else they are held and processed afterwards
+	outageLength time.Duration // length of the outage from outageStart; a change follows
+	delay        time.Duration // of each answer after the outage
+	serviceTime  time.Duration // of each call after the outage, one at a time
+	nodes        []*fakeNode
+	waiting      []fakeWork // ordered by time
+	freeAt       time.Duration
+	now          time.Duration
 }
 
-// outFrom is when outages begin; until then nodes have begun to watch.
-const outFrom = 3 * time.Second
+// outageStart is when outages begin. By then nodes watch.
+const outageStart = 3 * time.Second
 
 type fakeNode struct {
-	pace              *Pace
-	out               []Action
-	held              int           // the revision
-	taken, first      time.Duration // when it had the news, and when the first answer with it came, to whatever call
-	begun, open, late int           // calls: in all, the most that were open, those in the last second of a play
+	pace                      *Pace
+	out                       []Action
+	heldRevision              int           // 1 before the change, 2 with it
+	acceptedAt, firstAnswerAt time.Duration // when the change was accepted, and when the first answer with it came, to whatever call
+	begun, open, late         int           // calls: in all, the most that were open, those in the last second of a play
 }
 
-// fakeWork is something due at a registry: a call that asks to be worked on, or an answer that arrives.
+// fakeWork is something due at a registry: a call to process, or an answer that arrives.
 type fakeWork struct {
 	at       time.Duration
 	node     *fakeNode
@@ -49,21 +49,23 @@
 	r.waiting = slices.Insert(r.waiting, i, w)
 }
 
-func (r *fakeRegistry) isOut(at time.Duration) bool { return at >= outFrom && at < outFrom+r.out }
+func (r *fakeRegistry) isOut(at time.Duration) bool {
+	return at >= outageStart && at < outageStart+r.outageLength
+}
 
-// handle tells a node's pace of an event, and does what it decides.
+// handle passes an event to a node's pace, and carries out its actions.
 func (r *fakeRegistry) handle(n *fakeNode, ev Event) {
 	n.out = n.pace.Handle(r.now, ev, n.out[:0])
 	for _, a := range n.out {
 		if a.Kind == Begin {
 			n.begun++
 			at := r.now
-			if !a.Whole && (n.held == 2 || r.now < outFrom+r.out) { // a watch waits, until there is news at the latest
-				if at += r.terms.Wait; n.held == 1 && r.now < outFrom+r.out {
-					at = min(at, outFrom+r.out)
+			if !a.Whole && (n.heldRevision == 2 || r.now < outageStart+r.outageLength) { // a watch waits, but no longer than until the change
+				if at += r.terms.Wait; n.heldRevision == 1 && r.now < outageStart+r.outageLength {
+					at = min(at, outageStart+r.outageLength)
 				}
 			}
-			if !r.lost || !r.isOut(r.now) && !(r.now < outFrom && at >= outFrom) {
+			if !r.losesCalls || !r.isOut(r.now) && !(r.now < outageStart && at >= outageStart) {
 				r.add(fakeWork{at: at, node: n, call: a.Call})
 			}
 		}
@@ -71,17 +73,17 @@
 	n.open = max(n.open, len(n.pace.open))
 }
 
-// work does what is due at r.now.
+// work handles what is due at r.now.
 func (r *fakeRegistry) work(w fakeWork) {
-	back := outFrom + r.out
+	back := outageStart + r.outageLength
 	switch {
 	case w.revision > 0:
-		if w.revision == 2 && w.node.first == 0 {
-			w.node.first = r.now
+		if w.revision == 2 && w.node.firstAnswerAt == 0 {
+			w.node.firstAnswerAt = r.now
 		}
 		if w.node.pace.Open(w.call) {
-			if w.node.held = max(w.node.held, w.revision); w.node.held == 2 && w.node.taken == 0 {
-				w.node.taken = r.now
+			if w.node.heldRevision = max(w.node.heldRevision, w.revision); w.node.heldRevision == 2 && w.node.acceptedAt == 0 {
+				w.node.acceptedAt = r.now
 			}
 			r.handle(w.node, Event{Kind: Answered, Call: w.call, At: r.now})
 		}
@@ -91,8 +93,8 @@
 	case r.now < back:
 		r.add(fakeWork{at: r.now + time.Millisecond, node: w.node, call: w.call, revision: 1})
 	default:
-		r.free = max(r.free, r.now) + r.turn
-		r.add(fakeWork{at: r.free + r.delay + 1, node: w.node, call: w.call, revision: 2})
+		r.freeAt = max(r.freeAt, r.now) + r.serviceTime
+		r.add(fakeWork{at: r.freeAt + r.delay + 1, node: w.node, call: w.call, revision: 2})
 	}
 }
 
@@ -100,21 +102,21 @@
 func (r *fakeRegistry) play(terms Terms, nodes int, after time.Duration) {
 	r.terms = terms
 	for i := range nodes {
-		n := &fakeNode{pace: New(terms, false, rand.New(rand.NewPCG(uint64(i), 1))), held: 1}
+		n := &fakeNode{pace: New(terms, false, rand.New(rand.NewPCG(uint64(i), 1))), heldRevision: 1}
 		r.nodes = append(r.nodes, n)
-		if terms.asked {
+		if terms.onDemand {
 			n.pace.Handle(0, Event{Kind: Ticked}, nil)
 		}
 	}
 	for i, n := range r.nodes { // they do not begin in step
 		r.now = time.Duration(i) * terms.Wait / time.Duration(nodes)
 		ev := Event{Kind: Ticked}
-		if terms.asked {
-			ev = Event{Kind: Wanted, Ask: balance.Watch}
+		if terms.onDemand {
+			ev = Event{Kind: Requested, Ask: balance.Watch}
 		}
 		r.handle(n, ev)
 	}
-	end := outFrom + r.out + after
+	end := outageStart + r.outageLength + after
 	for {
 		var next *fakeNode
 		at := Never
@@ -144,23 +146,23 @@
 	}
 }
 
-// worst is how long after the return the last node has the news; Never: it has not.
+// worst returns how long after the return the last node has the change; Never: it has not. The other results count calls.
 func (r *fakeRegistry) worst() (worst time.Duration, begun, open, late int) {
 	for _, n := range r.nodes {
-		if n.taken == 0 {
+		if n.acceptedAt == 0 {
 			worst = Never
 		} else {
-			worst = max(worst, n.taken-outFrom-r.out)
+			worst = max(worst, n.acceptedAt-outageStart-r.outageLength)
 		}
 		begun, open, late = begun+n.begun, max(open, n.open), late+n.late
 	}
 	return worst, begun, open, late
 }
 
-// However long a registry takes after an outage, it is heard: where it was held up, with the first answers that it can give, and where
-// it has lost the calls, within a few times the time of an answer. Calls that were given up are work for it all the same, and it gets no
-// more of them than it works through.
-func TestSlowRegistriesAreHeard(t *testing.T) {
+// However slow a registry is after an outage, its answers must be accepted: if it held the calls, with the first answers that it
+// can give, and if it lost them, within a few times the time of an answer. It also works on calls that were given up, so it must
+// not get more calls than it processes.
+func TestAnswersOfSlowRegistriesAreAccepted(t *testing.T) {
 	const grace = 500 * time.Millisecond
 	seconds := func(s ...float64) (d []time.Duration) {
 		for _, s := range s {
@@ -173,50 +175,51 @@
 		terms          Terms
 		nodes          int
 		outages        []time.Duration
-		delays, rounds []time.Duration // of an answer; of a call of each node, worked through in turn
+		delays, rounds []time.Duration // of an answer; of one call of each node, processed one by one
 		silence        time.Duration   // how late a call begins that is not lost
-		factor         time.Duration   // within so many times the time of an answer it is heard then
-		grace          time.Duration   // so long after the first answer, to whatever call; 0: no matter
+		factor         time.Duration   // of the time of an answer, within which an answer is accepted then
+		grace          time.Duration   // from the first answer to any call until it is accepted; 0: not checked
 	}{
-		{"near", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(0, 0.3, 0.6, 1.1, 1.6, 2, 2.4, 3), seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
+		{"near", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(0, 0.3, 0.6, 1.1, 1.6, 2, 2.4, 3),
+			seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
 		{"near, slow", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(5, 10), nil, grace / 4, 2, 0},
 		{"near, 40 nodes", Near(grace, NearMost), 40, seconds(6), seconds(0, 1.1, 3), seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
 		{"near, 167 nodes", Near(grace, NearMost), 167, seconds(6), seconds(1.1), seconds(0.03, 0.2), grace / 4, 2, grace},
 		{"near, few descriptors", Near(grace, NearLeast), 1, seconds(0.3, 6, 60), seconds(0, 0.3, 0.6), seconds(0.03, 0.1), grace / 4, 8, 0},
-		{"shared", Shared(), 1, seconds(0.3, 6, 60), seconds(0, 0.9, 2, 5), seconds(0.1, 0.5), CallSlack + retryMost*3/2, 2, 0},
-		{"shared, 167 callers", Shared(), 167, seconds(6), seconds(2), seconds(0.1, 0.5), CallSlack + retryMost*3/2, 2, 0},
-		{"asked", Asked(grace), 1, seconds(0.3, 6, 60), seconds(0, 2, 7, 15), seconds(0.5, 2), longWait + watchPatience, 2, 0},
+		{"shared", Shared(), 1, seconds(0.3, 6, 60), seconds(0, 0.9, 2, 5), seconds(0.1, 0.5), AnswerTimeout + maxRetryPause*3/2, 2, 0},
+		{"shared, 167 callers", Shared(), 167, seconds(6), seconds(2), seconds(0.1, 0.5), AnswerTimeout + maxRetryPause*3/2, 2, 0},
+		{"asked", OnDemandTerms(grace), 1, seconds(0.3, 6, 60), seconds(0, 2, 7, 15), seconds(0.5, 2), onDemandWatchWait + onDemandWatchTimeout, 2, 0},
 	} {
 		for _, lost := range []bool{true, false} {
 			for _, outage := range c.outages {
 				play := func(delay, round, phase time.Duration) {
-					r := &fakeRegistry{lost: lost, out: outage + phase, delay: delay, turn: round / time.Duration(c.nodes)}
+					r := &fakeRegistry{losesCalls: lost, outageLength: outage + phase, delay: delay, serviceTime: round / time.Duration(c.nodes)}
 					r.play(c.terms, c.nodes, 60*time.Second)
 					worst, begun, open, rate := r.worst()
 					name := fmt.Sprintf("%s, lost %v, out %v + %v, answers take %v, a round %v", c.name, lost, outage, phase, delay, round)
-					most := delay + round + grace
-					if lost || c.terms.asked {
-						most = c.silence + c.factor*(delay+round)
+					limit := delay + round + grace
+					if lost || c.terms.onDemand {
+						limit = c.silence + c.factor*(delay+round)
 					}
 					if testing.Verbose() {
 						t.Logf("%s: %v, %d calls a node, %d open, %d in the last second", name, worst, begun/c.nodes, open, rate)
 					}
-					if worst > most {
-						t.Errorf("%s: heard after %v, %v wanted", name, worst, most)
+					if worst > limit {
+						t.Errorf("%s: answer accepted after %v, %v wanted", name, worst, limit)
 					}
 					for _, n := range r.nodes {
-						if behind := n.taken - n.first; c.grace > 0 && n.taken > 0 && behind > c.grace {
-							t.Errorf("%s: heard %v after the first answer", name, behind)
+						if delayed := n.acceptedAt - n.firstAnswerAt; c.grace > 0 && n.acceptedAt > 0 && delayed > c.grace {
+							t.Errorf("%s: answer accepted %v after the first answer", name, delayed)
 						}
 					}
-					if open > c.terms.most {
+					if open > c.terms.maxOpen {
 						t.Errorf("%s: %d calls open", name, open)
 					}
-					if round > 0 && time.Duration(rate)*r.turn > time.Second {
-						t.Errorf("%s: %d calls a second, more than are worked through", name, rate)
+					if round > 0 && time.Duration(rate)*r.serviceTime > time.Second {
+						t.Errorf("%s: %d calls a second, more than it processes", name, rate)
 					}
 				}
-				const step, phases = 31 * time.Millisecond, 4 // of the time between two calls
+				const step, phases = 31 * time.Millisecond, 4 // shifts over the time between two calls
 				for i := range phases {
 					if c.nodes > 1 && i > 0 {
 						break
