--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,4 +1,4 @@
-// This file holds the decisions on requests, and the constants that several files share.
+// This file holds the decisions on requests and the constants that several files use.
 
 package balance
 
@@ -13,136 +13,149 @@
 )
 
 const (
-	// probesPerTick is d. Probes may take probeSpend off the result: dear ones go with a part of arrivals.
+	// Each arrival earns as many probes as cost probeCostBudget points of the result. At most
+	// maxProbesPerTick are sent in a tick.
 	probesPerTick, probeSpend = 3, 0.004
-	// holdMost is the part of the aim for which an arrival may be held for its probes. pairsMost times a node
-	// asks a server twice in a row, to learn the time between its reports.
+	// An arrival is held for its probes for at most maxHoldFraction of its aim. A node probes backends
+	// twice in a row at most maxProbePairs times, to learn the interval between two of their load reports.
 	holdMost, pairsMost = 0.05, 16
-	// coldMargin is the part of the cold-start budget that is spent: the rest is for uneven work. What comes
-	// in coldBurst seconds may be spent at once, and coldHold windows later. An old peak of the warm rate
-	// fades by rateDecay a window; rateDeviations standard deviations of it are chance.
+	// Nodes use warmUpBudgetFraction of the warm-up budget; the rest covers uneven work. The budget of
+	// warmUpBurstSeconds may be used at once. Unused budget is kept for warmUpHoldWindows. An old peak of
+	// the warm rate decays by warmRateDecay a window; warmRateDeviations standard deviations are chance.
 	coldMargin, coldBurst, coldHold, rateDecay, rateDeviations = 0.4, 0.1, 0.5, 0.97, 1.75
-	// A node keeps to subsetServers of each zone, or to as many as it has requests in subsetSpan seconds.
+	// A node uses minSubsetSize backends of each zone, or one for each request in subsetSeconds if more.
 	subsetServers, subsetSpan = 8, 0.5
-	// What a zone's servers hold on average is learned over meanSpan seconds, over meanLeast where all nodes'
-	// reports come together, what is usual at one over usualSpan; by meanMost, usualMost a report at most.
+	// The mean peer load of a zone is averaged over meanSeconds, or over sharedMeanSeconds where the
+	// reports of all nodes arrive, and the baseline of a backend over baselineSeconds. maxMeanWeight and
+	// maxBaselineWeight limit the weight of a single report.
 	meanSpan, meanMost, usualSpan, usualMost, meanLeast = 4.0, 0.25, 15.0, 0.1, 1.0
-	// retryEarn is what a first send adds to the retry budget, retryMost the most that it holds.
+	// A first attempt adds retryBudgetPerRequest to the retry budget, which holds at most maxRetryBudget.
 	retryEarn, retryMost = 0.1, 20.0
-	// firstPace, in aims, stands for a pace and the time of a request until there is one. A new answer weighs
-	// paceWeight; a server without answers goes forget of the way to its peers' pace, a window.
+	// initialServiceAims, in aims, is the service time and the time of a request until there is a response.
+	// A new response has the weight sampleWeight. Without responses, the service time of a backend moves
+	// idleDecay of the way to the mean in each window.
 	firstPace, paceWeight, forget = 0.1, 0.05, 0.3
-	// A certain failure costs failAims. An outcome has failWeight in a server's rate of failures, which fades
-	// by failFade a window, so that traffic returns. Within deviations (standard ones) of all is chance.
+	// A certain failure costs failureCostAims. An outcome has the weight failureSampleWeight in the failure
+	// rate of a backend. The rate decays by failureRateDecay a window, so that traffic returns. Chance
+	// explains a difference of up to noiseDeviations standard deviations.
 	failAims, failWeight, failFade, deviations = 3.0, 0.1, 0.25, 2.0
-	// crossAims is the wait, in aims, that costs as much as a request's whole worth.
+	// crossZoneCostAims is the wait, in aims, that costs as much as the whole worth of a request.
 	crossAims = 1.5
-	// shareSpan is the time, in seconds, over which a share may be used unevenly, and shareLeast what may
-	// come at once: of a share spread over hundreds of nodes each sees a request now and then, by chance.
+	// A tenant's share is a token bucket of shareBurstSeconds of its rate, but at least minShareBurst: of a
+	// share spread over hundreds of nodes, each receives a request now and then, and a few may coincide.
 	shareSpan, shareLeast = 1.0, 4.0
-	// valueWeight is the weight of a request in the mean worth, weightMost the most that it moves the bound.
+	// worthSampleWeight is the weight of a request in the mean worth. Worth changes the longest wait by a
+	// factor of at most maxAdmissionWeight.
 	valueWeight, weightMost = 0.01, 2.0
-	// failsHigh and failsLow are the rates of failures that the log tells: above a single one, and none. A
-	// silence is charged beyond silentQueues times what the queue should take.
+	// The log reports a backend as failing above highFailureRate, which is more than a single failure, and
+	// as recovered below lowFailureRate. Silence costs beyond silenceGraceFactor times the expected time.
 	failsHigh, failsLow, silentQueues = 0.11, 0.02, 2
-	// The part of the headroom that queues may take up follows how answers come, at admissionSpeed a second,
-	// by admissionStep an answer at most, and rests where one in lateOnce is late. One in probeOnce that is
-	// to be refused within its share is sent all the same: its answer shows whether the node is right to.
-	// Like a congestion window, the part grows only where at least tested of it is used (RFC 7661).
+	// The admission factor is the part of the headroom that queues may take up. It changes with the
+	// responses, by admissionRate a second and maxAdmissionStep a response at most, and stays level while
+	// one in lateOneIn is late. Of the requests to be rejected within their tenant's share, one in
+	// trialOneIn is sent all the same: its response shows whether rejecting is right. Like a congestion
+	// window, the factor grows only while at least minUtilization of it is used (RFC 7661).
 	admissionSpeed, admissionStep, lateOnce, probeOnce    = 2.0, 0.1, 20, 20
 	admissionFirst, admissionLeast, admissionMost, tested = 0.3, 0.12, 4.0, 0.5
-	// idleEntry: a server whose entry is no higher is idle. An answer that met freeEntry or less tells the
-	// time without a queue, by baseWeight. What classes have in common counts as priorAnswers of each one:
-	// times stray by about their mean, so two are as sure as classes that differ by 0.7 of it.
+	// A backend with a queue estimate up to maxIdleQueue is idle. A response that met a queue up to
+	// maxEmptyQueue shows the base time, with the weight baseTimeWeight. The mean of all classes counts as
+	// priorSamples of each class: response times deviate by about their mean, so two samples can only show
+	// that classes differ by more than 0.7 of it.
 	idleEntry, freeEntry, baseWeight, priorAnswers = 0.1, 1.0, 0.03, 2
-	// fallWeight and riseWeight draw the time between reports to a shorter or longer one.
+	// intervalFallWeight and intervalRiseWeight move the report interval to a shorter or a longer one.
 	fallWeight, riseWeight = 0.3, 0.01
-	// A refused call is repeated after AskEvery/rewatchParts, later in large fleets, at most rewatchMost:
-	// with callMost in line that is 6 s, when news counts as told. Longer only after vainMost in vain.
+	// A failed discovery call is repeated after AskEvery/watchRetryParts, later above watchRetryNodes
+	// nodes, and after maxWatchRetryInterval at most. With a call of discoveryCallTimeout this is 6 s, when
+	// an update counts as received. The interval exceeds it only after maxWatchTimeouts calls timed out.
 	rewatchParts, rewatchNodes      = 20, 8
 	rewatchMost, callMost, vainMost = 4 * time.Second, 2 * time.Second, 2
-	// heldUpMost is how long a node may be held up between its look at the clock and its write.
+	// maxStall is the longest time for which a node may be held up between reading the clock and its write.
 	heldUpMost = 150 * time.Millisecond
 )
 
-// Balancer decides for one node.
+// Balancer makes the decisions of one node.
 type Balancer struct {
 	cfg                Config
 	rng                *rand.Rand
 	now                time.Duration
 	out                []Action
 	servers            map[BackendID]*server
-	ready              []*server // servers that may be sent to, by id
-	ranked             []*server // all of them, by rank
-	unsorted, outdated bool      // ranked, and ready
-
-	requests                   map[string]*request
-	timers                     map[uint64]timer
-	held                       []*request // arrivals that wait for the probes of their tick
-	refused                    int        // requests that no server was good enough for
-	asked, pairs               int        // probes of held requests that are out; servers asked twice
-	lastMark                   uint64
-	probedAt                   time.Duration // the last tick that sent probes
-	classes                    []classStats
-	warmRate                   float64 // this node's part of the mean requests a second of one warm server
-	rolledAt, judgedAt         time.Duration
-	probeDue                   float64     // probes that arrivals have paid for
-	admission                  float64     // part of the headroom that queues may take up
-	subsetSize                 int         // servers of a zone that this node keeps to
-	listed                     map[int]int // and how many a zone has, but for those that fail
-	gap                        float64     // mean time between answers, seconds
-	shares                     []share
-	crowded, blind             bool          // answers come late, and discovery was refused, as logged
-	refusals, vain             int           // and how often since; of them, after a wait in line
-	freedAt, watchedAt         time.Duration // watchedAt: when discovery was asked again
-	allFail, allBroke          float64       // failures over all servers, and those that were no time-out
-	meanValue                  float64       // running mean of what requests are worth for each unit of work
-	meanAim                    float64       // mean aim of the classes, seconds
-	peerPace                   float64       // pace over all answers, and the means that it comes from
-	allTime, allDepth, answers float64
-	recent                     slowdown
-	all                        crowd // what other nodes have at a server, over all and by zone
-	zones                      map[int]*crowd
-	names                      map[uint32]*server // by the name that all nodes know
-	numbers                    map[int]uint16     // of the last message of each peer
-	passed                     uint16             // the number of the last message to peers
-	passDue                    float64            // messages that reports have paid for
-	perSecond                  float64            // requests a second that this node is to get
-	complainedAt               time.Duration      // of a peer's message
-	cold                       crowd              // and at those that are cold
-	retries                    float64            // attempts that may be sent again
-	probes                     float64            // probes sent
-	refresh                    float64            // seconds between two reports of a server that differ
-}
-
-// server is one backend in the list.
+	ready              []*server // backends that requests may go to, by id
+	ranked             []*server // all backends, by rank
+	unsorted, outdated bool      // ranked has to be sorted; ready has to be rebuilt
+
+	requests map[string]*request
+	timers   map[uint64]timer
+	held     []*request // arrivals that wait for the probes of their tick
+	refused  int        // rejected requests
+
+	asked, pairs       int // pending probes of held requests; backends that were probed twice in a row
+	lastMark           uint64
+	probedAt           time.Duration // the last tick that sent probes
+	classes            []classStats
+	warmRate           float64       // this node's part of the mean requests a second of one warm backend
+	rolledAt, judgedAt time.Duration // start of the window; last response that counted for admission
+	probeDue           float64       // probes that arrivals have earned
+	admission          float64       // part of the headroom that queues may take up
+	subsetSize         int           // backends of a zone that this node uses
+	listed             map[int]int   // ready backends of each zone, without the failing ones
+	gap                float64       // mean time between responses, seconds
+	shares             []share
+
+	crowded, blind     bool          // responses are late; discovery calls fail: as logged
+	refusals, vain     int           // failed calls since the last list; those that timed out
+	freedAt, watchedAt time.Duration // last refill of the retry budget; last repeated discovery call
+	allFail, allBroke  float64       // mean rate of all failures, and of errors and broken attempts
+	meanValue          float64       // running mean of the worth of requests for each unit of work
+	meanAim            float64       // mean aim of the classes, seconds
+	peerPace           float64       // service time over all responses, from the two means below
+
+	allTime, allDepth, answers float64 // response time (seconds), queue at the send, number of responses
+
+	recent       slowdown
+	all          crowd // peer load over all backends
+	zones        map[int]*crowd
+	names        map[uint32]*server // by the name that all nodes use
+	numbers      map[int]uint16     // sequence number of the last message of each peer
+	passed       uint16             // sequence number of the last message to peers
+	passDue      float64            // messages that load reports have earned
+	perSecond    float64            // requests a second that this node should receive
+	complainedAt time.Duration      // last log line on an invalid message of a peer
+	cold         crowd              // peer load over cold backends
+	retries      float64            // attempts that may be repeated
+	probes       float64            // probes sent
+	refresh      float64            // seconds between two different load reports of a backend
+}
+
+// backend is one entry of the endpoint list.
 type server struct {
 	Member
-	zone        *crowd  // what other nodes have in its zone
-	more        float64 // what other nodes usually have there, beyond the mean of its zone
-	told        float64 // what they had by the last report or probe
+	zone *crowd  // peer load over its zone
+	more float64 // usual peer load here, beyond the mean of the zone
+	told float64 // peer load by the last report or probe
+
 	toldAt      time.Duration
-	fails       float64       // rate of failures
+	fails       float64       // failure rate
 	failed      bool          // traffic is withheld, as logged
-	owesAt      time.Duration // its last sign, or the send since when something is out
-	out         float64       // attempts of this node that are out
-	open        float64       // of them, streams whose answer has begun: they owe no sign
-	unconfirmed float64       // attempts not accepted since the last report
-	seen        float64       // the last queue reported
-	seenAt      time.Duration // when it was first seen
-	time        float64       // running mean of the time of an answer, seconds
-	depth       float64       // running mean of the entry that those answers met
-	heard       time.Duration // last answer
-	credit      float64       // mean requests that may be sent while cold, as of granted
+	owesAt      time.Duration // last sign, or the first send since no attempt was pending
+	out         float64       // pending attempts of this node
+	open        float64       // those of them that are streams with a started response
+	unconfirmed float64       // attempts that were not accepted since the last report
+	seen        float64       // queue by the last report
+	seenAt      time.Duration // when that report was first received
+	time        float64       // running mean of the response time, seconds
+	depth       float64       // running mean of the queue estimate that those responses met
+	heard       time.Duration // last response
+	credit      float64       // mean requests that may be sent during warm-up, as of the time below
 	granted     time.Duration
-	served      float64 // work answered since the last roll of the warm rate
-	since       time.Duration
-	used        bool    // something was sent since it started
-	spent       float64 // requests sent, each over the declared weight
-	rank        uint64  // place in this node's own order of the servers
+	served      float64       // work done since the window began, in mean requests
+	since       time.Duration // when this process was first listed
+	used        bool          // a request was sent to this process
+	spent       float64       // requests sent, each divided by the declared weight
+	rank        uint64        // position in this node's own order of the backends
 }
 
-// request is one client request that this node has taken.
+// request is one client request that this node has received.
 type request struct {
 	id                      string
 	class                   *Class
@@ -151,43 +164,44 @@
 	hint, arrived, deadline time.Duration
 	attempts                []attempt
 	pending                 int
-	ended                   bool // the final answer is out
-	streamed                bool // the answer has started: it belongs to the client
+	ended                   bool // the final answer is sent
+	streamed                bool // the response has started, so the client has it
 	mark                    uint64
 }
 
-// timer is what is due then: the end of a request or of its hold, another probe, or a call to discovery.
+// timer holds what a Timer event is for: the deadline of a request, the end of its hold, a second probe, or
+// a repeated call to discovery if all fields are nil.
 type timer struct {
 	end, hold *request
 	again     *server
 }
 
-// attempt is one copy of a request at a server.
+// attempt is one copy of a request at a backend.
 type attempt struct {
 	to         *server
-	zone, cell int // its group when it was sent: a list may move it, or name it last without one
+	zone, cell int // the group at the send: an update may move the backend, or remove it without a group
 	at         time.Duration
-	met        float64 // the entry when it was sent
-	wait       float64 // and the time that it took to clear, seconds
+	met        float64 // queue estimate at the send
+	wait       float64 // time that this queue takes, seconds
 	pending    bool
 	mayRun     bool // it may have run, or may still run
-	open       bool // a stream whose answer has begun
+	open       bool // a stream with a started response
 }
 
-// classStats is what a node has learned of a class.
+// classStats holds what a node has learned about a class.
 type classStats struct {
-	base float64 // mean time of an answer that met no queue, seconds
-	seen float64 // answers that told of it
+	base float64 // mean response time without a queue, seconds
+	seen float64 // responses that base is learned from
 	free float64 // those that met no queue
 }
 
-// share is what is left of a tenant's share at this node.
+// tokenBucket is the rest of a tenant's share at this node.
 type share struct {
 	left float64 // requests
 	at   time.Duration
 }
 
-// New returns a Balancer for one node. The same seed and events give the same actions.
+// New returns a Balancer for one node. Equal seeds and events give equal actions.
 func New(cfg Config, seed uint64) (*Balancer, error) {
 	if cfg.Instances < 0 || cfg.Index < 0 || cfg.Limits.MaxAttempts < 0 {
 		return nil, errors.New("balance: negative count in Config")
@@ -201,7 +215,7 @@
 	for _, t := range cfg.Tenants {
 		perSecond += t.QuotaPerSecond / float64(cfg.Instances)
 	}
-	perSecond = cmp.Or(perSecond, math.MaxInt32) // not told: all servers
+	perSecond = cmp.Or(perSecond, math.MaxInt32) // no quotas: use all backends
 	return &Balancer{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)),
 		servers: map[BackendID]*server{}, requests: map[string]*request{},
@@ -215,7 +229,7 @@
 	}, nil
 }
 
-// meanAim is the mean aim of the classes in use, seconds.
+// meanAim returns the mean aim of the classes in use, in seconds.
 func meanAim(classes []Class) float64 {
 	var aim mean
 	for i := range classes {
@@ -226,7 +240,7 @@
 	return aim.value()
 }
 
-// adopt takes in settings that follow on those in use. Requests under way hold on to their class as it was.
+// applySettings replaces the settings in use. Requests in progress keep their class as it was.
 func (b *Balancer) adopt(cfg *Config) {
 	was, known, mean := b.cfg, b.classes, b.meanBase()
 	b.cfg = *cfg
@@ -234,7 +248,7 @@
 	b.cfg.Limits.MaxAttempts = max(cfg.Limits.MaxAttempts, 1)
 	b.meanAim, b.classes = meanAim(cfg.Classes), make([]classStats, len(cfg.Classes))
 	for i := range min(len(known), len(b.classes)) {
-		if !was.Classes[i].Gone { // its number may be another class's now
+		if !was.Classes[i].Gone { // another class may have its number now
 			b.classes[i] = known[i]
 		}
 	}
@@ -244,9 +258,9 @@
 	}
 }
 
-// Handle takes one event and appends the actions that answer it to out.
+// Handle processes one event and appends the resulting actions to out.
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
-	b.now, b.out = max(b.now, now), out // a clock that goes back is held
+	b.now, b.out = max(b.now, now), out // time must not go back
 	b.rollRates()
 	switch ev.Kind {
 	case MembersRemembered, MembersAll, MembersChanged, MembersRefused:
@@ -286,7 +300,7 @@
 		b.onHearsay(&ev)
 	case SettingsChanged:
 		b.adopt(ev.Settings)
-	case InstancesCounted: // what cold servers and tenants may be sent is divided by it from here on
+	case InstancesCounted: // the warm-up budget and the shares of tenants are divided by the new count
 		b.warmRate *= float64(b.cfg.Instances) / float64(max(ev.Instances, 1))
 		b.cfg.Instances = max(ev.Instances, 1)
 	}
@@ -298,7 +312,7 @@
 
 func (b *Balancer) log(text string) { b.do(Action{Kind: Log, Text: text}) }
 
-// state logs when something begins and when it ends.
+// logTransition logs when a condition begins and when it ends.
 func (b *Balancer) state(is *bool, begins, ends bool, begin, end string) {
 	switch {
 	case begins && !*is:
@@ -322,7 +336,7 @@
 	case !ok:
 	case t.hold != nil:
 		if slices.Contains(b.held, t.hold) {
-			b.release() // a probe that stays out tells enough
+			b.release() // a probe without a result is no reason to wait longer
 		}
 	case t.again != nil:
 		if t.again.Phase == Ready {
@@ -357,7 +371,7 @@
 	b.place(r)
 }
 
-// endIn has a request answered within this time, whatever becomes of its attempts.
+// setDeadline sets the time within which a request gets its final answer, whatever happens to its attempts.
 func (b *Balancer) endIn(r *request, in time.Duration) {
 	if r != nil && !r.ended {
 		delete(b.timers, r.mark)
@@ -366,8 +380,9 @@
 	}
 }
 
-// release places what was held. Where a node sees little traffic its entries are older than a queue, and only
-// the probes of the tick tell anything: then the request waits for them, which takes one round trip.
+// releaseHeld dispatches the held requests. With little traffic the queue estimates of a node are older
+// than a queue lasts. Only the probes of the same tick are current, so a request waits for them for one
+// round trip.
 func (b *Balancer) release() {
 	held := slices.DeleteFunc(b.held, func(r *request) bool { return r.ended })
 	b.held, b.asked = nil, 0
@@ -376,9 +391,9 @@
 	}
 }
 
-// place sends a request on its way, or answers it when nothing more can be done.
+// dispatch sends an attempt of a request, or its final answer if no attempt is possible.
 func (b *Balancer) place(r *request) {
-	again := len(r.attempts) > 0 // without a budget these multiply the load just when the servers are full
+	again := len(r.attempts) > 0 // without a budget, retries multiply the load on full backends
 	b.freeRetries()
 	most := cmp.Or(r.class.Attempts, b.cfg.Limits.MaxAttempts)
 	spent := b.now >= r.deadline || len(r.attempts) >= most || again && b.retries < 1
@@ -388,7 +403,7 @@
 	}
 	if left := b.shareLeft(r); s == nil && !spent && !again && (left == nil || *left >= 1) {
 		if b.refused++; b.refused%probeOnce == 0 {
-			s = b.pick(r, math.Inf(1)) // refusing keeps a node from the answers that would correct it
+			s = b.pick(r, math.Inf(1)) // a node that rejects all gets no responses to correct its estimates
 		}
 	}
 	if s == nil {
@@ -406,7 +421,7 @@
 	b.send(r, s)
 }
 
-// pick returns the server of the smallest entry that may get the request, ties broken at random, or nil.
+// pick returns the permitted backend with the lowest score, or nil. It breaks ties at random.
 func (b *Balancer) pick(r *request, bound float64) *server {
 	var best *server
 	least, ties := 0.0, 0
@@ -419,14 +434,14 @@
 		pace := b.pace(s)
 		queue := b.others(s, pace) + s.out + s.unconfirmed
 		cost := b.costOf(s, queue, pace)
-		// An idle server makes nobody wait, however slow it has become.
+		// A request doesn't wait at an idle backend, however slow the backend is.
 		if queue > idleEntry && cost-b.handicap(s)-base-b.chance(s) > bound {
 			continue
 		}
-		// Own attempts count twice: counted once, nothing keeps nodes from servers of their own.
+		// Own attempts count twice. Otherwise each node settles on backends of its own.
 		entry := cost + s.out*pace + b.lead(s, weight, behind)
 		if s.Returned && !s.used {
-			entry = -1 // operators see it in use soon, as far as its cold budget goes
+			entry = -1 // operators soon see it in use, within its warm-up budget
 		}
 		if best == nil || entry < least {
 			best, least, ties = s, entry, 1
@@ -462,7 +477,7 @@
 	b.do(Action{Kind: Send, Request: r.id, Backend: s.Backend, Attempt: len(r.attempts) - 1, Within: within})
 }
 
-// pending finds the attempt that an event tells of.
+// pendingAttempt returns the attempt that an event refers to, or nil if it isn't pending.
 func (b *Balancer) pending(ev *Event) (*request, *attempt) {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].pending {
@@ -471,7 +486,7 @@
 	return r, &r.attempts[ev.Attempt]
 }
 
-// onAnswered takes in that a stream's answer has begun: a sign of its server, and the last that it owes.
+// onStreamAnswered records that the response of a stream has started. No further sign is expected of it.
 func (b *Balancer) onAnswered(ev *Event) {
 	if _, a := b.pending(ev); a != nil && !a.open {
 		a.open = true
@@ -492,11 +507,11 @@
 		a.to.open--
 	}
 	if ev.Status != Delivered {
-		// Not accepted: it keeps its increment until a report, against a server that
-		// fails fast and so looks idle.
+		// The attempt was not accepted. It counts in the queue estimate until the next report, because a
+		// backend that fails fast looks idle.
 		a.to.unconfirmed++
 	}
-	// A time-out at a server that gave no sign in the meantime tells of that server, not of crowding.
+	// A time-out at a silent backend is a fault of that backend, not a sign of overload.
 	if ev.Status != Expired || a.to.owesAt > a.at {
 		b.pressure(ev.Status, b.now-r.arrived-r.class.Aim, a.wait)
 	}
@@ -512,14 +527,14 @@
 	switch {
 	case r.ended:
 		b.end(r)
-	case r.streamed: // the client has the stream; nothing more is owed
+	case r.streamed: // the client has the stream, so there is no final answer to send
 	case r.pending == 0:
 		b.place(r)
 	}
 	b.forget(a.to)
 }
 
-// answer gives the final answer that the rules allow: a refusal where trying again is harmless.
+// sendFinalAnswer rejects a request if the client may repeat it without harm, and fails it otherwise.
 func (b *Balancer) answer(r *request) {
 	if r.ended {
 		return
@@ -532,16 +547,16 @@
 	b.end(r)
 }
 
-// end marks a request as over and forgets it once its last attempt is back.
+// finish marks a request as ended and removes it once no attempt is pending.
 func (b *Balancer) end(r *request) {
 	r.ended = true
-	delete(b.timers, r.mark) // else it keeps the request until its deadline, long after its answer
+	delete(b.timers, r.mark) // or the timer would keep the request in memory until its deadline
 	if r.pending == 0 {
 		delete(b.requests, r.id)
 	}
 }
 
-// firstRun returns the first attempt that may have run, or nil.
+// firstPossibleRun returns the first attempt that may have run, or nil.
 func (r *request) firstRun() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayRun }); i >= 0 {
 		return &r.attempts[i]
@@ -549,10 +564,10 @@
 	return nil
 }
 
-// repeatBy is until when the repeat of an attempt may be written: one that is held up meets the window.
+// retryUntil returns the latest time for a retry, which a stalled node still writes within the window.
 func (a *attempt) repeatBy(class *Class) time.Duration { return a.at + class.Window - heldUpMost }
 
-// mayGo tells whether another attempt may go to s without an effect happening twice.
+// mayRetryOn reports whether a retry on s can't execute the request twice.
 func (b *Balancer) mayGo(r *request, s *server) bool {
 	first := r.firstRun()
 	return first == nil || r.class.Effect == Safe ||
@@ -561,14 +576,14 @@
 			r.class.Scope == ScopeCell && s.Cell == first.cell)
 }
 
-// mayRefuse tells whether it is harmless for the client to try again, in so long.
+// mayReject reports whether the client can repeat the request after this time without harm.
 func (b *Balancer) mayRefuse(r *request, in time.Duration) bool {
 	first := r.firstRun()
 	return first == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Scope == ScopeAll && b.now+in < first.repeatBy(r.class)
 }
 
-// probe asks distinct servers, drawn at random, once in a tick with arrivals.
+// sendProbes probes distinct random backends, once in each tick with arrivals.
 func (b *Balancer) probe() {
 	due := min(probesPerTick, probeSpend/max(b.cfg.Prices.Probe, 1e-9))
 	if b.passes() {
@@ -593,14 +608,14 @@
 	}
 }
 
-// starting tells whether this node has just started and knows nothing: it has not asked each server once.
+// isStarting reports whether this node lacks estimates: it has sent fewer probes than it has backends.
 func (b *Balancer) starting() bool { return b.probes < float64(len(b.ready)) }
 
-// estimate is that of the queue: what other nodes have there, what is out, and what was not accepted.
+// queueEstimate returns the estimated queue: peer load, own pending attempts and unconfirmed load.
 func (b *Balancer) estimate(s *server) float64 { return b.others(s, b.pace(s)) + s.out + s.unconfirmed }
 
-// cost is the entry weighed by the time that one place in this server's queue has taken lately: the time in
-// which an average request would be answered, with the time that failures are worth.
+// cost returns the expected response time of an average request at a backend, in seconds: the queue
+// estimate times the recent service time, plus the cost of failures, of silence and of crossing zones.
 func (b *Balancer) cost(s *server) float64 { return b.costOf(s, b.estimate(s), b.pace(s)) }
 
 func (b *Balancer) costOf(s *server, entry, pace float64) float64 {
@@ -610,7 +625,7 @@
 	return queue + failing + silent + b.handicap(s)
 }
 
-// handicap is the time that crossing zones must save to be worth its price. Times include the way already.
+// crossZoneCost returns the time that another zone must save. Response times include the network.
 func (b *Balancer) handicap(s *server) float64 {
 	if s.Zone == b.cfg.Zone {
 		return 0
@@ -618,7 +633,7 @@
 	return b.cfg.Prices.CrossZone * crossAims * b.meanAim
 }
 
-// silence is how long a server has owed an answer without any sign: one that hangs keeps a bearable queue.
+// silence returns how long a backend has given no sign with attempts pending. A hung one has a short queue.
 func (b *Balancer) silence(s *server) float64 {
 	if s.out == s.open {
 		return 0
@@ -626,10 +641,10 @@
 	return (b.now - s.owesAt).Seconds()
 }
 
-// pace is the time for each place in the queue by now: a server that warms up gets quicker.
+// serviceTime returns the current service time per queued request. A backend gets faster as it warms up.
 func (b *Balancer) pace(s *server) float64 { return b.warmPace(s) * b.recent.factor / b.warmth(s) }
 
-// warmPace is the time for each place that a server takes when warm: without a history, that of its peers.
+// warmServiceTime returns the service time per queued request once warm. The default is the mean.
 func (b *Balancer) warmPace(s *server) float64 {
 	if s.time == 0 {
 		return b.peerPace
@@ -637,27 +652,28 @@
 	return s.time / (s.depth + 1)
 }
 
-// wait is the time that an average request would lose at a server, crossing aside.
+// expectedWait returns the extra time of an average request, without the cost of crossing zones.
 func (b *Balancer) wait(s *server) float64 {
 	return b.cost(s) - b.handicap(s) - b.meanBase()
 }
 
-// bound is the longest wait at which a request is still sent.
+// maxWait returns the longest expected wait at which a request is still sent.
 func (b *Balancer) bound(r *request) float64 {
 	return b.meanBound() * min(max(b.admissionWeight(r), 1/weightMost), weightMost)
 }
 
-// meanBound is that of a request of mean worth: a part of the headroom, as longer queues serve no one, or
-// of the time without a queue if that is more: with all servers slow, shorter ones would leave them idle.
+// meanMaxWait returns the longest wait for a request of mean worth. It is a part of the headroom, because
+// longer queues only make requests late. It is a part of the base time if that is more, or slow backends
+// would be idle.
 func (b *Balancer) meanBound() float64 {
 	return b.admission * max(b.headroom(), b.meanBase()) / b.recent.factor
 }
 
-// headroom is the longest wait that still lets an average request be answered within its aim.
+// headroom returns the longest wait with which an average request still meets its aim.
 func (b *Balancer) headroom() float64 { return max(b.meanAim-b.meanBase(), 0) }
 
-// admissionWeight compares the bound for a request with others': what is worth more for its work waits
-// longer, what lies beyond its tenant's share earns little. Of a share only what was sent counts.
+// admissionWeight returns the factor of a request's longest wait. It is higher for more worth per unit of
+// work, and low beyond the tenant's share. Only requests that were sent use up a share.
 func (b *Balancer) admissionWeight(r *request) float64 {
 	weight := 1.0
 	if b.meanValue > 0 {
@@ -669,7 +685,7 @@
 	return weight
 }
 
-// value is what a request is worth for each unit of work, which is that of a mean class.
+// worthPerWork returns the worth of a request per unit of work. The unit is the work of a mean class.
 func (b *Balancer) value(r *request) float64 {
 	if b.cfg.WorthByWork || b.work(r) == 0 {
 		return r.class.Points
@@ -677,7 +693,7 @@
 	return r.class.Points * b.meanBase() / b.work(r)
 }
 
-// shareLeft returns what this node's part of a tenant's share holds by now, or nil where there are no shares.
+// shareTokens returns the tokens of the tenant's share at this node, or nil if there is no quota.
 func (b *Balancer) shareLeft(r *request) *float64 {
 	if r.tenant < 0 || r.tenant >= len(b.shares) || b.cfg.Tenants[r.tenant].QuotaPerSecond <= 0 {
 		return nil
@@ -689,10 +705,11 @@
 	return &share.left
 }
 
-// pressure moves the bound on the wait. Crowded servers can work so badly that a bearable queue never clears,
-// and only lateness shows it. Only what the queue made late counts: a heavy request is late in any queue.
+// adjustAdmission adapts the admission factor. Overloaded backends may slow down so much that a short queue
+// never clears; only late responses show it. Requests that are late by their own work, and not by the
+// queue, don't count.
 func (b *Balancer) pressure(st Status, late time.Duration, queued float64) {
-	if b.judgedAt > 0 { // a clock that starts anywhere tells nothing of the first gap
+	if b.judgedAt > 0 { // before the first response there is no gap
 		b.gap += paceWeight * ((b.now - b.judgedAt).Seconds() - b.gap)
 	}
 	b.judgedAt = b.now
@@ -705,11 +722,12 @@
 	}
 	b.admission = min(max(b.admission, admissionLeast), admissionMost)
 	b.state(&b.crowded, b.admission == admissionLeast, b.admission >= admissionFirst,
-		"answers come late: refusing early", "answers in time again")
+		"responses are late: rejecting requests early", "responses are in time again")
 }
 
-// learnBase takes in the time of an answer that met no queue: crowded servers drain under early refusal and
-// show that they are quick. Until one is met, the hint stands for it: a queue must not be taken for the work.
+// learnBaseTime updates the base time of a class by a response that met no queue. Rejecting early empties
+// the queues of overloaded backends, which then show their base time. Until then the hint is used, as a
+// queue is not work.
 func (b *Balancer) learnBase(r *request, a *attempt, spent float64) {
 	c, w, mean := r.stats, baseWeight, b.meanBase()
 	switch {
@@ -723,12 +741,12 @@
 	}
 	c.seen++
 	c.base += max(w, 1/c.seen) * (spent - c.base)
-	if c.seen == 1 { // with a class more, the mean request is another one
+	if c.seen == 1 { // one more class changes the mean request
 		b.warmRate *= mean / max(b.meanBase(), 1e-6)
 	}
 }
 
-// learn takes in how long an answer took, against the time of its class, and the queue it met.
+// learnServiceTime updates a backend's service time by a response, relative to the class's base time.
 func (b *Balancer) learn(s *server, r *request, a *attempt, spent time.Duration) {
 	if r.stats.base == 0 {
 		return
@@ -737,22 +755,22 @@
 	if s.time == 0 {
 		s.time, s.depth = b.peerPace*(a.met+1), a.met
 		if b.answers == 0 && b.cfg.Weights == DeclaredWeights {
-			s.time = took // the first answer of all: the prior would keep it from its share for long
+			s.time = took // the prior would keep the first backend from its declared share for long
 		}
 	}
 	s.heard = b.now
-	// An answer out of a long queue tells more of the pace: a short one is no load to a server of many cores.
+	// A long queue shows the service time better: a short one is no load for a backend with many cores.
 	w := min(paceWeight*(a.met+1)/(s.depth+1), 1)
 	s.time += w * (took - s.time)
 	s.depth += w * (a.met - s.depth)
-	b.answers++ // one server may see few answers of this node: the pace of all comes from all alike
+	b.answers++ // a single backend may have few responses, so all of them count for the mean
 	w = max(w/float64(len(b.ready)+1), 1/b.answers)
 	b.allTime, b.allDepth = b.allTime+w*(took-b.allTime), b.allDepth+w*(a.met-b.allDepth)
 	b.peerPace = b.allTime / (b.allDepth + 1)
 	b.learnSlowdown(took, a.met, recentWeight)
 }
 
-// judge keeps a server's rate of failures, by this node's own attempts: one that fails fast looks idle.
+// updateFailureRate updates the failure rate of a backend, because one that fails fast looks idle.
 func (b *Balancer) judge(s *server, st Status, sent time.Duration) {
 	switch st {
 	case Delivered, Shed:
@@ -760,31 +778,31 @@
 		s.owesAt = b.now
 		b.allBroke -= failWeight * b.allBroke / float64(len(b.ready)+1)
 	case Expired:
-		// A try that ran out of time says little while others are answered.
+		// A time-out is no failure while the backend responds to other attempts.
 		if s.out == s.open && s.owesAt <= sent {
-			s.fails = 1 // nothing came back at all
+			s.fails = 1 // the backend has given no sign since the send
 		}
 	case AppError, Dropped, DialFailed:
 		s.owesAt = b.now
 		s.fails += failWeight * (1 - s.fails)
-		if st != DialFailed { // a full server takes no connection: that is no chance
+		if st != DialFailed { // a full backend refuses connections: not by chance
 			b.allBroke += failWeight * (1 - b.allBroke) / float64(len(b.ready)+1)
 		}
 	}
 }
 
-// compare sets a server's rate of failures beside that of all, and logs when traffic is withheld.
+// compareFailureRate updates the mean failure rate, and logs when traffic to a backend is withheld.
 func (b *Balancer) compare(s *server) {
-	// What all servers have in common makes none of them an outlier, and is no reason to refuse.
+	// Failures that all backends share make none of them an outlier, and are no reason to reject requests.
 	b.allFail += failWeight * (s.fails - b.allFail) / float64(len(b.ready)+1)
 	if begins, ends := s.fails > failsHigh, s.fails < failsLow; begins && !s.failed || ends && s.failed {
-		name := fmt.Sprintf("backend %d ", s.Backend) // each outcome comes here, and few have anything to say
-		b.outdated = true                             // who fails is kept beside the subset
+		name := fmt.Sprintf("backend %d ", s.Backend) // only here: most outcomes log nothing
+		b.outdated = true                             // failing backends don't count in the subset
 		b.state(&s.failed, begins, ends, name+"fails: traffic withheld", name+"answers again")
 	}
 }
 
-// report overwrites an entry with what the server says it holds, less this node's part: that stays counted.
+// applyReport sets the peer load to the reported queue less this node's own pending attempts.
 func (b *Balancer) report(s *server, l Load) {
 	queue := l.Active
 	switch {
@@ -801,7 +819,7 @@
 		b.refresh = cmp.Or(b.refresh, age)
 		b.refresh += fallWeight * (age - b.refresh)
 	case age < b.refresh:
-		return // the same report again; past its time an equal one is news: an idle server says 0 for ever
+		return // the same report; after the interval an equal one is new: an idle backend always reports 0
 	case queue > 0 && age < 2*b.refresh:
 		b.refresh += riseWeight * (age - b.refresh)
 	}
@@ -809,18 +827,19 @@
 	b.tell(s, max(0, queue-s.out), b.refresh)
 }
 
-// work returns what a request costs a server, in seconds: what its hint says, else the time of its
-// class where it does not queue. Queueing makes the mean times of light and heavy classes alike.
+// work returns the expected work of a request, in seconds: its hint, or else the base time of its class.
+// Mean response times are no measure of work, because queues make those of light and heavy classes alike.
 func (b *Balancer) work(r *request) float64 {
 	return cmp.Or(r.hint.Seconds(), r.stats.base, b.meanBase())
 }
 
-// sureBase is a class's time without a queue as far as answers tell it from others: few tell of servers.
+// shrunkBaseTime returns the base time of a class, drawn to the mean of all: few responses show the
+// backend's speed.
 func (b *Balancer) sureBase(c *classStats) float64 {
 	return (c.free*c.base + priorAnswers*b.meanBase()) / (c.free + priorAnswers)
 }
 
-// meanBase is the mean of the times without a queue of the classes met so far.
+// meanBaseTime returns the mean base time of the classes with responses, in seconds.
 func (b *Balancer) meanBase() float64 {
 	var m mean
 	for i := range b.classes {
@@ -834,8 +853,9 @@
 	return m.value()
 }
 
-// rollRates measures, once a window, what warm servers do for this node, in mean requests, at most what one
-// can do: each may spend its own. Of few requests the highest window is chance, which is taken off.
+// closeWindow ends a window of OverloadFor, 1 s at least. The warm rate is what a warm backend serves for
+// this node, in mean requests a second: a decaying maximum, on which the node's own part of a warm-up
+// budget is based. With few requests the highest window is partly chance, which is deducted.
 func (b *Balancer) rollRates() {
 	span := (b.now - b.rolledAt).Seconds()
 	if span < max(b.cfg.Rules.OverloadFor.Seconds(), 1) {
@@ -850,17 +870,17 @@
 		s.served = 0
 		s.fails -= failFade * s.fails
 		if !b.cfg.Limits.Probing {
-			s.unconfirmed -= failFade * s.unconfirmed // no report will clear it
+			s.unconfirmed -= failFade * s.unconfirmed // without probes no report clears it
 		}
 		if s.heard < b.rolledAt && s.time > 0 {
-			// A server that looked slow gets no traffic, so nothing would ever clear its name.
+			// A slow backend gets no traffic, and so no responses that would show its recovery.
 			s.time += forget * (b.peerPace*(s.depth+1) - s.time)
 		}
 	}
 	if warm.n > 0 {
 		b.warmRate = max(b.warmRate*rateDecay, warm.value()*(1-rateDeviations/math.Sqrt(max(count.sum, 1))))
 	}
-	if b.recent.at < b.rolledAt { // no answer would ever tell that all servers have recovered
+	if b.recent.at < b.rolledAt { // without responses, nothing else shows that all backends have recovered
 		b.learnSlowdown(b.recent.usual*(b.recent.depth+1), b.recent.depth, forget)
 	}
 	if b.rolledAt = b.now; b.outdated {
@@ -868,7 +888,7 @@
 	}
 }
 
-// mean is a plain mean; 0 when nothing was added.
+// mean is an arithmetic mean. It is 0 without values.
 type mean struct{ sum, n float64 }
 
 func (m *mean) add(x float64) { m.sum, m.n = m.sum+x, m.n+1 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// New staff read the module whole: its size is part of the contract.
+// New staff read this file as a whole, so its length and width are limited by contract.
 func TestModuleStaysPrintable(t *testing.T) {
 	f, err := os.Open("balance.go")
 	if err != nil {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// One request with its probes and its answer, in a fleet of full size that the node keeps to whole.
+// BenchmarkRequestAtFullSize handles one request with its probes and its response, in a fleet of full size. The subset of
+// the node has all backends.
 func BenchmarkRequestAtFullSize(b *testing.B) {
 	cfg := site()
 	cfg.Instances, cfg.Prices.Probe = 600, 0.001
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -1,10 +1,10 @@
-// This file holds what a server may be sent that has just started.
+// This file holds the warm-up budget: what a backend that has just started may be sent.
 
 package balance
 
 import "math"
 
-// warmth returns the part of its capacity that a server surely has by now.
+// warmFraction returns the part of its capacity that a backend has for certain at this time.
 func (b *Balancer) warmth(s *server) float64 {
 	age, rules := b.now-s.Launched, &b.cfg.Rules
 	if s.Launched == 0 || age >= rules.WarmWithin {
@@ -13,9 +13,10 @@
 	return rules.ColdShare + (1-rules.ColdShare)*max(0, age.Seconds())/rules.WarmWithin.Seconds()
 }
 
-// grantCold guards against pushing over a server that has just started: as time goes by it grants, in mean requests, this
-// node's part of what warm servers do, or of one request at a time. Where that is less than one a window, nodes begin at
-// points of their own between two, and let go what is unused for coldHold of a window: saved up, it would come at once.
+// refillWarmUpBudget protects a backend that has just started from overload. Over time it adds, in mean requests, this
+// node's part of what a warm backend serves, or of one request at a time if that is more. Where the budget is less than
+// one request a window, each node starts at a random point between two requests. The nodes also drop what is unused for
+// warmUpHoldWindows windows, because the saved budgets of all nodes would be used at once.
 func (b *Balancer) grantCold(s *server, first bool) {
 	if b.warmth(s) == 1 {
 		return
@@ -32,8 +33,9 @@
 	s.credit, s.granted = min(s.credit, max(1, coldBurst*rate)), b.now
 }
 
-// coldAllows tells whether a server is warm, or has grant left for most of the request. A light one waits for as much as
-// a mean one, else nearly all nodes of a large fleet could send one at once; one of up to twice the mean no longer.
+// warmUpAllows reports whether a backend is warm or its warm-up budget covers more than half of the request. A light
+// request needs as much budget as a mean one, or nearly all nodes of a large fleet could send one at once. A request of
+// less than twice the mean work needs no more than a mean one.
 func (b *Balancer) coldAllows(r *request, s *server) bool {
 	b.grantCold(s, false)
 	return b.warmth(s) == 1 || s.credit > max(math.Floor(b.work(r)/max(b.meanBase(), 1e-6)), 1)/2
--- a/balance/coldfleet_test.go
+++ b/balance/coldfleet_test.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-var wholeTable = flag.Bool("cold", false, "the whole table of cold servers, for docs/FLEET.md")
+var wholeTable = flag.Bool("cold", false, "print the whole table of cold backends for docs/FLEET.md")
 
-// coldPlay is one way in which a fleet meets servers that have just started.
+// coldPlay is a scenario of a fleet with backends that have just started.
 type coldPlay struct {
 	name       string
 	warm, cold int
-	load       float64       // requests that come, of what the warm servers can do (all, where none is warm)
-	settle     time.Duration // of the fleet, before the servers start
-	aim        float64       // in times of a mean request; 0: 10
-	shape      string        // "": exponential; "pareto"
-	dear       bool          // one request in twenty costs five times as much
-	uneven     bool          // one process in ten gets five times what others get
-	restarts   bool          // a tenth of the processes starts anew, every 0.5 s
-	settings   bool          // new settings, with one class more, are adopted 2 s after the start
-	twice      bool          // from 2 s after the start on each node has two processes for 6 s
-	late       time.Duration // the start is told within this time
-	flood      float64       // times the load from the start on
-	wait       time.Duration // until the start is told to anyone
-	length     time.Duration // from then on; 0: 12 s
+	load       float64       // arrivals, as a part of the capacity of the warm backends (of all, if none is warm)
+	settle     time.Duration // run time of the fleet before the cold backends start
+	aim        float64       // in times of a mean request; 0 means 10
+	shape      string        // distribution of the work; "": exponential
+	dear       bool          // one request in twenty has five times the work
+	uneven     bool          // one process in ten gets five times the traffic of the others
+	restarts   bool          // a tenth of the processes restarts every 0.5 s
+	settings   bool          // settings with one more class are applied 2 s after the start
+	twice      bool          // each node has two processes from 2 s to 8 s after the start
+	late       time.Duration // the nodes receive the update at random within this time
+	flood      float64       // factor on the load from the start on
+	wait       time.Duration // between the start and the first update
+	length     time.Duration // duration from the first update on; 0 means 12 s
 }
 
-// happening is what comes at its time.
+// happening is a scheduled function call.
 type happening struct {
 	at time.Duration
 	n  int
@@ -52,7 +52,8 @@
 	return x
 }
 
-// fleet is some processes and servers in virtual time: the shipped decisions, and servers that take work in turn.
+// fleet simulates processes and backends in virtual time. The processes run the real Balancer; a backend serves requests in
+// the order of arrival.
 type fleet struct {
 	p       *coldPlay
 	n       int // nodes
@@ -61,24 +62,24 @@
 	due     happenings
 	seq     int
 	cfg     Config
-	classes []float64 // work of each, in s
-	mean    float64   // of all requests, in s
+	classes []float64 // work of each class, in seconds
+	mean    float64   // mean work of all requests, in seconds
 	cores   int
-	procs   []*process // of each node
+	procs   []*process // by node; the second processes of nodes follow
 	servers []*stand
 	asked   int
 	served  int
 	worst   coldWorst
 }
 
-// coldWorst is the most that came to a cold server within a window, of what it bears then.
+// coldWorst is the highest load of a cold backend within a window, compared with the load that overloads it.
 type coldWorst struct{ ratio, sent, n float64 }
 
 type process struct {
 	f     *fleet
 	b     *Balancer
 	node  int
-	told  bool // of the starts
+	told  bool // has received the update with the cold backends
 	over  bool
 	class map[string]int
 }
@@ -154,7 +155,7 @@
 	}
 }
 
-// reach has a request arrive at its server.
+// reach delivers a request to its backend.
 func (p *process) reach(a Action) {
 	f, s, sent := p.f, p.f.servers[a.Backend-1], p.f.now-ms/2
 	work := f.classes[p.class[a.Request]] * f.draw()
@@ -170,7 +171,7 @@
 	}
 	most := 16 * f.cores
 	if s.start > 0 {
-		most = 0 // it refuses at once what would wait, and tells of no queue
+		most = 0 // a cold backend rejects instead of queueing, so its reports show no queue
 	}
 	if len(s.waiting) >= most && s.busy >= f.cores {
 		answer(Shed)
@@ -215,16 +216,16 @@
 		s.sum -= s.work[0]
 		s.came, s.work = s.came[1:], s.work[1:]
 	}
-	r := f.cfg.Rules // what the server bears is reckoned by its warmth at the start of the window: the strictest reading
+	r := f.cfg.Rules // the limit follows the capacity at the start of the window, which is the strictest interpretation
 	n := r.FallMultiple * f.warmth(s, from) * float64(f.cores) * r.OverloadFor.Seconds() / f.mean
 	if ratio := s.sum / coldFall(n); ratio > f.worst.ratio {
 		f.worst = coldWorst{ratio, s.sum, n}
 	}
 }
 
-// arrive has requests come, one after another.
+// arrive generates requests until the given time.
 func (f *fleet) arrive(rate func() float64, until time.Duration, weight func(node int) float64, classOf func() int) {
-	var drawn []int // each node by its weight
+	var drawn []int // each node as often as its weight
 	for i := range f.n {
 		for range int(weight(i)) {
 			drawn = append(drawn, i)
@@ -250,7 +251,8 @@
 	f.after(0, next)
 }
 
-// play has a fleet meet cold servers that bear n requests of mean work in a window right after their start.
+// play runs the scenario. Right after its start, a cold backend is overloaded by n requests of mean work in a window. It
+// returns the highest load and the served part of all requests.
 func (c *coldPlay) play(nodes int, n float64, seed uint64) (coldWorst, float64) {
 	f := &fleet{p: c, n: nodes, rng: rand.New(rand.NewPCG(seed, uint64(nodes))), now: time.Hour}
 	rules := Rules{GraceToAnswer: 8 * ms, DrainGrace: time.Second, AskEvery: 10 * time.Second, ColdShare: 0.12,
@@ -374,19 +376,20 @@
 	{name: "all cold, processes just started", cold: 4, load: 0.7, flood: 5},
 	{name: "processes just started", warm: 3, cold: 1, load: 1.5, flood: 3},
 	{name: "the same, aims of two mean times", warm: 3, cold: 1, load: 1.5, aim: 2, flood: 3},
-	{name: "uneven over processes", warm: 3, cold: 1, load: 0.9, settle: settled, uneven: true, flood: 5},
-	{name: "a class 5 times dearer", warm: 3, cold: 1, load: 0.9, settle: settled, dear: true, shape: "const", flood: 5},
+	{name: "traffic uneven over processes", warm: 3, cold: 1, load: 0.9, settle: settled, uneven: true, flood: 5},
+	{name: "a class with 5 times the work", warm: 3, cold: 1, load: 0.9, settle: settled, dear: true, shape: "const", flood: 5},
 	{name: "the same, exponential work", warm: 3, cold: 1, load: 0.9, settle: settled, dear: true, flood: 5},
 	{name: "heavy tails (Pareto, 1.5)", warm: 3, cold: 1, load: 0.9, settle: settled, shape: "pareto", flood: 5},
 	{name: "processes restart", warm: 3, cold: 1, load: 0.9, settle: settled, restarts: true, flood: 5},
 	{name: "settings with one class more", warm: 3, cold: 1, load: 0.9, settle: settled, settings: true, flood: 5},
 	{name: "two processes of each node", warm: 3, cold: 1, load: 0.9, settle: settled, twice: true, flood: 5},
-	{name: "told within 3 s", warm: 3, cold: 1, load: 0.9, settle: settled, late: 3 * time.Second, flood: 5},
-	{name: "told 5 s late", warm: 3, cold: 1, load: 0.9, settle: settled, wait: 5 * time.Second, flood: 5},
+	{name: "update within 3 s", warm: 3, cold: 1, load: 0.9, settle: settled, late: 3 * time.Second, flood: 5},
+	{name: "update 5 s late", warm: 3, cold: 1, load: 0.9, settle: settled, wait: 5 * time.Second, flood: 5},
 }
 
-// Cold servers stay within what they bear under the sum of a whole fleet, also where each process meets so few requests that
-// what it takes for a warm server's work is chance. -cold prints the whole table of docs/FLEET.md, breaks included.
+// A whole fleet together must not overload a cold backend, also where each process has so few requests that its estimate of
+// a warm backend's rate is mostly chance. The flag -cold prints the whole table of docs/FLEET.md, with the cases that
+// exceed the limit.
 func TestColdServersUnderTheSumOfAFleet(t *testing.T) {
 	if *wholeTable {
 		for _, nodes := range []int{3, 20, 30, 300} {
@@ -417,23 +420,23 @@
 	}
 	served, of := 0.0, 0.0
 	for _, c := range coldPlays {
-		if c.shape == "pareto" { // of infinite variance: nothing bounds the work of one request
+		if c.shape == "pareto" { // of infinite variance: the work of a request has no bound
 			continue
 		}
 		for _, nodes := range []int{20, 30, 300} {
 			w, part := c.play(nodes, 10, 1)
 			if served, of = served+part, of+1; w.ratio > 1 {
-				t.Errorf("%s, %d processes: the work of %.1f mean requests within a window, it falls at %.1f", c.name, nodes, w.sent, coldFall(w.n))
+				t.Errorf("%s, %d processes: the work of %.1f mean requests within a window; the backend fails at %.1f", c.name, nodes, w.sent, coldFall(w.n))
 			}
 		}
 	}
 	for _, nodes := range []int{3, 20} {
 		c := coldPlay{warm: 3, cold: 1, load: 0.9, settle: 4 * time.Second, flood: 2, length: 2 * time.Second}
 		if w, _ := c.play(nodes, 1000, 1); w.ratio > 1 || w.sent < 100 {
-			t.Errorf("%d processes, N 1000: %.1f, it falls at %.1f", nodes, w.sent, coldFall(w.n))
+			t.Errorf("%d processes, N 1000: the work of %.1f mean requests; the backend fails at %.1f", nodes, w.sent, coldFall(w.n))
 		}
 	}
-	if served/of < 0.25 { // held back altogether, nothing would be broken
-		t.Errorf("%.2f served", served/of)
+	if served/of < 0.25 { // sending nothing would also pass the checks above
+		t.Errorf("only %.2f of the requests served", served/of)
 	}
 }
--- a/balance/comeback.go
+++ b/balance/comeback.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// comeBack is the advice that goes with a refusal: when the shortest queue will have fallen to what is sent to
-// now. Where a queue is not the reason it is the time of one place in a queue, and with no server an aim.
+// retryAfter returns the time after which a client should repeat a rejected request: when the shortest queue will be
+// short enough for new requests. It is at least the service time of one queued request, and a mean aim if there is no
+// backend.
 func (b *Balancer) comeBack() time.Duration {
 	in, bound := math.Inf(1), b.meanBound()
 	for _, s := range b.ready {
@@ -21,8 +22,8 @@
 	return time.Duration(in * float64(time.Second))
 }
 
-// freeRetries adds to the retry budget what time brings. Where little is sent, a budget that first sends alone earn
-// is empty when it is needed, and so few repeats harm nobody. A node begins with a second's worth.
+// refillRetryBudget adds the part of the retry budget that grows with time. With little traffic, a budget that only first
+// attempts refill is empty when it is needed, and so few retries are no load. A node starts with the budget of a second.
 func (b *Balancer) freeRetries() {
 	if free := b.cfg.Limits.FreeRetries; free > 0 {
 		b.retries = min(b.retries+free*min(b.now-b.freedAt, time.Second).Seconds(), max(retryMost, free))
--- a/balance/comeback_test.go
+++ b/balance/comeback_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A refusal says when to come back: later behind longer queues, and never beyond what clients heed.
+// The retry-after of a rejected request must grow with the queues, and stay within Limits.MaxRetryAfter.
 func TestRefusalsTellWhenToComeBack(t *testing.T) {
 	advice := func(others float64, members ...Member) time.Duration {
 		cfg := site()
@@ -19,9 +19,9 @@
 	}
 	free, full := advice(0, member(1, 0, 0), member(2, 0, 0)), advice(500, member(1, 0, 0), member(2, 0, 0))
 	if free <= 0 || full <= free || full > 2*time.Second {
-		t.Errorf("behind no queue %v, behind a long one %v", free, full)
+		t.Errorf("retry-after %v without a queue, %v with a long one", free, full)
 	}
 	if none := advice(0, Member{Backend: 1, Phase: Draining}); none <= 0 || none > 2*time.Second {
-		t.Errorf("with no server: %v", none)
+		t.Errorf("retry-after %v without a backend", none)
 	}
 }
--- a/balance/departures_test.go
+++ b/balance/departures_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// serve sends n requests of a class one after the other and answers each after what took says; it
-// returns how many went to each backend. A took of 0 means an error, below 0 no answer at all.
+// serve sends n requests of a class one after another, with the response times that took returns. A time of 0
+// means an error, below 0 a time-out. It returns the number of attempts at each backend.
 func (r *rig) serve(n, class int, took func(BackendID) time.Duration) map[BackendID]int {
 	r.t.Helper()
 	count := map[BackendID]int{}
@@ -56,7 +56,7 @@
 	return false
 }
 
-// holds makes the node believe that others have so much at a server, now and usually.
+// setPeerLoad sets the peer load at a backend, both the last report and the baseline.
 func (r *rig) holds(id BackendID, queue float64) {
 	s := r.b.servers[id]
 	s.told, s.more = queue, 0
@@ -69,34 +69,34 @@
 	return Event{Kind: Probed, Backend: backend, Load: Load{Has: HasActive, Active: active}}
 }
 
-// Without a report, a served answer leaves the entry as it was before its send.
+// Without a load report, a response must undo exactly the increment of its send.
 func TestAnswersTakeBackTheirIncrement(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(5, safe, steady)
 	if e := r.b.estimate(r.b.servers[1]); e != 0 {
-		t.Errorf("entry %v after all was answered", e)
+		t.Errorf("queue estimate %v after all responses", e)
 	}
 	r.arrive("x", safe)
 	if e := r.b.estimate(r.b.servers[1]); e != 1 {
-		t.Errorf("entry %v with one request out", e)
+		t.Errorf("queue estimate %v with one pending request", e)
 	}
 }
 
-// A server that fails fast looks idle: what it did not accept stays counted until it reports.
+// A backend that fails fast looks idle, so the attempts that it did not accept count until its next report.
 func TestUnacceptedAttemptsStayCountedUntilAReport(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.arrive("x", safe)
 	r.outcome("x", 0, 1, Shed)
 	if e := r.b.estimate(r.b.servers[1]); e != 1 {
-		t.Errorf("entry %v", e)
+		t.Errorf("queue estimate %v", e)
 	}
 	r.do(report(1, 0))
 	if e := r.b.estimate(r.b.servers[1]); e != 0 {
-		t.Errorf("entry %v after a report", e)
+		t.Errorf("queue estimate %v after a report", e)
 	}
 }
 
-// A report is old: it must not wipe out what was sent since, nor count this node's own part twice.
+// A load report is old. It must not erase attempts sent since, nor count this node's own attempts twice.
 func TestReportsKeepWhatIsNewer(t *testing.T) {
 	for _, c := range []struct {
 		wait   time.Duration
@@ -109,30 +109,30 @@
 		r.wait(c.wait)
 		r.do(report(1, c.report))
 		if e := r.b.estimate(r.b.servers[1]); e < 3 || e > 3.1 {
-			t.Errorf("entry %v with three out %v ago and a report of %v", e, c.wait, c.report)
+			t.Errorf("queue estimate %v with three attempts sent %v ago and a report of %v", e, c.wait, c.report)
 		}
 	}
 }
 
-// Large fleets take seconds to see all servers: one not seen yet holds what its peers hold, and one look does
-// not change that, but many do.
+// A node of a large fleet takes seconds to probe all backends. For a backend without a report it assumes the
+// mean of the others. A single report must not move the baseline far, but many have to.
 func TestFirstReports(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0), member(3, 0, 0))
 	r.do(report(1, 10))
 	if o := r.b.others(r.b.servers[1], r.b.pace(r.b.servers[1])); o != 10 {
-		t.Errorf("others %v after a first report of 10", o)
+		t.Errorf("peer load %v after a first report of 10", o)
 	}
 	for i := range 100 {
 		r.wait(5 * time.Second)
 		r.do(report(2, float64(10+i%2)))
 	}
 	if o := r.b.others(r.b.servers[3], r.b.pace(r.b.servers[3])); o < 9 || o > 11 {
-		t.Errorf("others %v at a server not seen yet, 10 at its peers", o)
+		t.Errorf("peer load %v at a backend without a report, 10 at the others", o)
 	}
 	r.wait(5 * time.Second)
 	r.do(report(3, 0))
 	if o := r.b.usual(r.b.servers[3]); o < 6 {
-		t.Errorf("usual %v after a single look: the smallest of many such is chance", o)
+		t.Errorf("baseline %v after a single report: the smallest of many such is chance", o)
 	}
 	for range 40 {
 		r.wait(5 * time.Second)
@@ -141,15 +141,15 @@
 		r.do(report(1, 10))
 	}
 	if o := r.b.usual(r.b.servers[3]); o > 2 {
-		t.Errorf("usual %v at a server that always reports 0", o)
+		t.Errorf("baseline %v at a backend that always reports 0", o)
 	}
 }
 
-// An idle server reports 0 again and again; passing over the repeat kept its entry high for ever.
+// An idle backend always reports 0. Ignoring equal reports would keep its queue estimate high for ever.
 func TestEqualReportsPastTheirTimeAreNews(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(5, safe, steady)
-	r.b.servers[1].time, r.b.servers[1].depth = 1, 0 // so slow that its reports still hold when they come
+	r.b.servers[1].time, r.b.servers[1].depth = 1, 0 // so slow that its reports are still current on arrival
 	for _, q := range []float64{5, 9, 0} {
 		r.wait(200 * ms)
 		r.do(report(1, q))
@@ -161,11 +161,11 @@
 		r.do(report(1, 0))
 	}
 	if is := r.b.estimate(r.b.servers[1]); is > was/4 {
-		t.Errorf("entry %v, then %v after many reports of 0", was, is)
+		t.Errorf("queue estimate %v, then %v after many reports of 0", was, is)
 	}
 }
 
-// Stale reports taken at their word send every node to the server that was idle then.
+// A stale report used as it is would send every node to the backend that was idle then.
 func TestOldReportsCountInPart(t *testing.T) {
 	for _, c := range []struct {
 		gap, pace time.Duration
@@ -174,7 +174,7 @@
 		r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 		r.serve(50, safe, steady)
 		s := r.b.servers[1]
-		for i := range 300 { // what the time between reports is learned from
+		for i := range 300 { // the report interval is learned from these
 			r.wait(c.gap)
 			r.do(report(1, float64(10+i%2)))
 			r.do(report(2, 10))
@@ -185,59 +185,61 @@
 		r.do(report(2, 10))
 		r.do(report(1, 0))
 		if kept := r.b.estimate(s) > 5; kept != c.kept {
-			t.Errorf("reports %v apart, %v a place: entry 10 became %v", c.gap, c.pace, r.b.estimate(s))
+			t.Errorf("reports %v apart, service time %v: queue estimate 10 became %v", c.gap, c.pace, r.b.estimate(s))
 		}
 	}
 }
 
+// A slower backend must get fewer requests.
 func TestSlowServersGetLess(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
 	n := r.serve(200, safe, func(b BackendID) time.Duration { return time.Duration(b*b) * 20 * ms })
 	if n[2]*4 > n[1] {
-		t.Errorf("the server four times as slow got %d of 200", n[2])
+		t.Errorf("the backend that is four times as slow got %d of 200", n[2])
 	}
 }
 
-// Answers of a cold server must not keep it idle once it is warm.
+// The slow responses of a cold backend must not keep it idle once it is warm.
 func TestColdAnswersCountAsWarm(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), Member{Backend: 2, Weight: 1, Launched: time.Hour})
 	r.serve(100, safe, steady)
 	s := r.b.servers[2]
-	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
+	for range 50 { // at a fifth of its capacity: 100 ms for 20 ms of work
 		r.b.learn(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}, &attempt{to: s}, 100*ms)
 	}
 	if cold, peer := r.b.pace(s), r.b.pace(r.b.servers[1]); cold < 2*peer {
-		t.Errorf("pace %v while cold, %v at a warm server", cold, peer)
+		t.Errorf("service time %v while cold, %v at a warm backend", cold, peer)
 	}
 	s.Launched = 1
 	if cold, warm := r.b.pace(s), r.b.pace(r.b.servers[1]); cold > 1.5*warm {
-		t.Errorf("pace %v once warm, %v at a server that was always warm", cold, warm)
+		t.Errorf("service time %v once warm, %v at a backend that was always warm", cold, warm)
 	}
 }
 
-// A server that was slow for a while must be tried again though it has no answers to show.
+// A backend that was slow for a while gets no requests, and so no responses. It must be tried again all the same.
 func TestUnheardServersAreForgiven(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
 	s := r.b.servers[2]
-	s.time, s.depth = 1, 0 // a pace of one second, fifty times that of its peer
+	s.time, s.depth = 1, 0 // a service time of one second, fifty times that of the other
 	for range 60 {
 		r.wait(1500 * ms)
 		r.serve(1, safe, steady)
 	}
 	if now := r.b.pace(s); now > 2*r.b.peerPace {
-		t.Errorf("pace %v after a minute and a half, peers %v", now, r.b.peerPace)
+		t.Errorf("service time %v after a minute and a half, mean %v", now, r.b.peerPace)
 	}
 }
 
+// A backend in error must get next to no requests, and its part of them again once it recovers.
 func TestErrorsAreLeftAloneAndComeBack(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
-	bad := func(b BackendID) time.Duration { return time.Duration(2-b) * 20 * ms } // 2 has errors only
+	bad := func(b BackendID) time.Duration { return time.Duration(2-b) * 20 * ms } // backend 2 has errors only
 	r.serve(40, safe, bad)
 	if n := r.serve(50, safe, bad); n[2] > 5 {
-		t.Errorf("%d of 50 went to the server in error", n[2])
+		t.Errorf("%d of 50 went to the backend in error", n[2])
 	}
 	r.wait(30 * time.Second)
 	for range 20 {
@@ -248,11 +250,11 @@
 	first := r.sent()
 	r.arrive("b", safe)
 	if second := r.sent(); first+second != 3 {
-		t.Errorf("with %d busy the next went to %d", first, second)
+		t.Errorf("with backend %d busy the next request went to %d", first, second)
 	}
 }
 
-// A site without probes has no report to clear what was not accepted.
+// Without probes no report clears the attempts that were not accepted, so they have to decay.
 func TestUnacceptedAttemptsFadeWithoutProbes(t *testing.T) {
 	cfg := site()
 	cfg.Limits.Probing = false
@@ -264,25 +266,25 @@
 		r.do(Event{Kind: ClientGone})
 	}
 	if e := r.b.estimate(r.b.servers[1]); e > 0.1 {
-		t.Errorf("entry %v", e)
+		t.Errorf("queue estimate %v", e)
 	}
 }
 
-// A rate of failures that all servers share is charged to none of them.
+// A failure rate that all backends share must not add to the cost of any of them.
 func TestSharedFailuresAreNotCharged(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(400, unsafe, func(BackendID) time.Duration { return 0 })
 	s := r.b.servers[1]
 	if charge := r.b.cost(s) - (r.b.estimate(s)+1)*r.b.pace(s); s.fails < 0.3 || charge > s.fails*failAims*r.b.meanAim/2 {
-		t.Errorf("rate %v, of all %v, charged %v", s.fails, r.b.allFail, charge)
+		t.Errorf("failure rate %v, mean %v, cost %v", s.fails, r.b.allFail, charge)
 	}
 }
 
-// When all fail alike nobody is an outlier, and requests still go out.
+// When all backends fail alike none is an outlier, and requests must still be sent.
 func TestNobodyIsLeftOutWhenAllFail(t *testing.T) {
 	cfg := site()
-	cfg.Prices.Probe = 0 // reports clear what was not accepted; the failures remain
+	cfg.Prices.Probe = 0 // reports clear the unconfirmed load; the failures remain
 	r := newRig(t, cfg, member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(60, unsafe, func(BackendID) time.Duration { return 0 })
@@ -291,29 +293,29 @@
 	}
 }
 
-// A server that hangs keeps a bearable queue while it takes everything sent to it.
+// A backend that hangs has a short queue and accepts all requests. Only its silence shows the fault.
 func TestSilenceIsCharged(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
 	kept := ""
-	for _, id := range []string{"one", "two"} { // one at each server; only server 1 answers
+	for _, id := range []string{"one", "two"} { // one at each backend; only backend 1 responds
 		r.arrive(id, unsafe)
 		if to := r.sent(); to == 1 {
 			kept = id
 		}
 	}
 	if r.b.servers[1].out != 1 || r.b.servers[2].out != 1 {
-		t.Fatal("both attempts went to one server")
+		t.Fatal("both attempts went to one backend")
 	}
 	r.outcome(kept, 0, 1, Delivered)
 	r.wait(300 * ms)
 	if n := r.serve(30, safe, steady); n[2] != 0 {
-		t.Errorf("%d of 30 went to the silent server", n[2])
+		t.Errorf("%d of 30 went to the silent backend", n[2])
 	}
 }
 
-// With nothing out there is no silence: a sign that came after the last attempt was sent, followed by the
-// attempt's own time-out, left a healthy server without traffic for good.
+// Without pending attempts there is no silence. A fault left a healthy backend without traffic for good: it gave a
+// sign after its last attempt was sent, and then that attempt timed out.
 func TestSilenceEndsWithTheLastAttempt(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
@@ -322,12 +324,12 @@
 	r.outcome("lost", 0, 1, Expired)
 	r.wait(time.Minute)
 	if s := r.b.silence(r.b.servers[1]); s != 0 {
-		t.Errorf("%v s of silence with nothing out", s)
+		t.Errorf("%v s of silence without pending attempts", s)
 	}
 }
 
-// Nodes must not settle on servers of their own: between a server that holds this node's attempts and one
-// that holds as many of others, the latter is chosen.
+// Nodes must not settle on backends of their own. Of two backends with equal queues, one with this node's attempts
+// and one with those of other nodes, the node has to choose the latter.
 func TestOwnAttemptsCountTwice(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	own, other := r.b.servers[1], r.b.servers[2]
@@ -336,22 +338,22 @@
 	own.owesAt = r.now
 	r.arrive("x", safe)
 	if to := r.sent(); to != 2 {
-		t.Errorf("sent to %d, which holds this node's own", to)
+		t.Errorf("sent to %d, which has this node's own attempts", to)
 	}
 }
 
-// Tries are given up early by clients: a time-out among answers says little about the server.
+// Clients give up some requests early. A time-out among other responses is no failure of the backend.
 func TestTimeOutsAmongAnswersAreNoFailures(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.arrive("slow", safe)
 	r.serve(5, safe, steady)
 	r.outcome("slow", 0, 1, Expired)
 	if f := r.b.servers[1].fails; f != 0 {
-		t.Errorf("rate of failures %v", f)
+		t.Errorf("failure rate %v", f)
 	}
 }
 
-// Full queues serve everybody late; only refusing clears them.
+// With full queues all responses are late. Only rejecting requests clears the queues.
 func TestLongQueuesAreRefused(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
@@ -362,11 +364,11 @@
 		refused += len(of(Refuse, r.last))
 	}
 	if sent+refused != 200 || refused < 100 || sent < 8 {
-		t.Errorf("%d sent, %d refused of a flood of 200", sent, refused)
+		t.Errorf("%d sent, %d rejected of a flood of 200", sent, refused)
 	}
 }
 
-// late plays answers that all come after their aim.
+// late plays n responses that are all later than the aim.
 func (r *rig) late(n int) {
 	for i := range n {
 		id := fmt.Sprint("late", r.now, i)
@@ -375,13 +377,13 @@
 			continue
 		}
 		to := r.sent()
-		r.b.requests[id].attempts[0].wait = 0.4 // what made it late
+		r.b.requests[id].attempts[0].wait = 0.4 // the queue made it late
 		r.wait(400 * ms)
 		r.note(r.do(Event{Kind: Outcome, Request: id, Backend: to, Spent: 400 * ms, NoMore: true}))
 	}
 }
 
-// queued plays answers that come in time out of queues of half the bound and more.
+// queued plays n responses in time, each from a queue of half the longest wait.
 func (r *rig) queued(n int) {
 	for i := range n {
 		id := fmt.Sprint("queued", r.now, i)
@@ -396,37 +398,37 @@
 	}
 }
 
-// When all servers become slow at once, idle ones are not refused because of what they were.
+// When all backends become slow at once, the earlier response times must not make a node reject requests for idle ones.
 func TestIdleServersAreNotRefused(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
 	if n := r.serve(100, safe, func(BackendID) time.Duration { return 500 * ms }); n[1]+n[2] < 100 {
-		t.Errorf("only %v of 100 were sent to idle servers", n)
+		t.Errorf("only %v of 100 were sent to idle backends", n)
 	}
 }
 
-// How crowded is too crowded is told nowhere: the bound on the wait follows measured lateness.
+// No setting tells how long a queue may be. The longest wait has to follow the measured lateness.
 func TestLatenessTightensTheBound(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(1000, safe, steady)
 	if r.b.admission != admissionFirst {
-		t.Fatalf("part %v after answers that met no queue: they do not test the bound", r.b.admission)
+		t.Fatalf("admission factor %v after responses without a queue, which must not move it", r.b.admission)
 	}
 	r.queued(1000)
 	if r.b.admission < 2*admissionFirst || r.b.admission > admissionMost {
-		t.Fatalf("part %v while all is in time", r.b.admission)
+		t.Fatalf("admission factor %v while all responses are in time", r.b.admission)
 	}
 	r.late(200)
 	if r.b.admission != admissionLeast {
-		t.Errorf("part %v after 200 late answers", r.b.admission)
+		t.Errorf("admission factor %v after 200 late responses", r.b.admission)
 	}
 	r.serve(3000, safe, steady)
 	if r.b.admission < admissionFirst {
-		t.Errorf("part %v after 3000 in time", r.b.admission)
+		t.Errorf("admission factor %v after 3000 responses in time", r.b.admission)
 	}
 }
 
-// Answers out of a queue do not raise the time without one: a jam must not pass for slow servers.
+// Responses from a queue must not raise the base time, or an overload would look like slow backends.
 func TestTimesWithoutAQueueIgnoreQueues(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
@@ -441,11 +443,11 @@
 		r.do(Event{Kind: Outcome, Request: id, Backend: 1, Spent: 100 * ms, NoMore: true})
 	}
 	if base := r.b.classes[safe].base; base != was {
-		t.Errorf("from %v to %v", was, base)
+		t.Errorf("base time went from %v to %v", was, base)
 	}
 }
 
-// A hung server's time-outs are no sign of crowding and must not make the others refuse.
+// The time-outs of a hung backend are no sign of overload, and must not lower the admission factor.
 func TestTimeOutsOfSilentServersAreNoPressure(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(300, safe, steady)
@@ -458,10 +460,11 @@
 		r.outcome(fmt.Sprint(i), 0, 1, Expired)
 	}
 	if r.b.admission != was {
-		t.Errorf("part went from %v to %v", was, r.b.admission)
+		t.Errorf("admission factor went from %v to %v", was, r.b.admission)
 	}
 }
 
+// Under load, requests beyond their tenant's share must be rejected before others.
 func TestOverShareIsRefusedFirst(t *testing.T) {
 	cfg := site()
 	cfg.Tenants = []Tenant{{QuotaPerSecond: 4, Share: 0.5}, {QuotaPerSecond: 4000, Share: 0.5}}
@@ -471,12 +474,12 @@
 	bound := func(tenant int) float64 {
 		return r.b.bound(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
 	}
-	if bound(0) >= bound(1) { // the first tenant's share is long used up
-		t.Errorf("bounds %v over the share and %v within", bound(0), bound(1))
+	if bound(0) >= bound(1) { // the share of the first tenant is used up
+		t.Errorf("longest waits %v over the share and %v within", bound(0), bound(1))
 	}
 }
 
-// Where not all can be served, what is worth more for its work comes first.
+// Under overload, requests with more worth for their work must come first.
 func TestTheBoundLeansToWorth(t *testing.T) {
 	for _, byWork := range []bool{true, false} {
 		cfg := site()
@@ -488,15 +491,16 @@
 		dear := r.b.bound(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
 		cheap := r.b.bound(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
 		if dear < 2*cheap {
-			t.Errorf("by work %v: bound %v for much worth, %v for little", byWork, dear, cheap)
+			t.Errorf("by work %v: longest wait %v for high worth, %v for low", byWork, dear, cheap)
 		}
 		heavy := r.b.bound(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, hint: time.Second})
 		if byWork != (heavy == dear) {
-			t.Errorf("by work %v: bound %v for a heavy request, %v for a usual one", byWork, heavy, dear)
+			t.Errorf("by work %v: longest wait %v for a heavy request, %v for a usual one", byWork, heavy, dear)
 		}
 	}
 }
 
+// Retries must not multiply the load on backends that reject everything.
 func TestRetriesKeepToTheirBudget(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0), member(3, 0, 0))
 	sends := 0
@@ -516,6 +520,7 @@
 	}
 }
 
+// The rate of probes has to follow their price, and probes have to reach all backends.
 func TestProbesAreDistinctDrawnAtRandomAndPaidFor(t *testing.T) {
 	for _, price := range []float64{0, 0.001, 0.01, 0.08} {
 		cfg := site()
@@ -533,29 +538,30 @@
 				t.Fatal("probes twice in one tick")
 			}
 		}
-		// Two arrivals in each of 1000 ticks, and at most probesPerTick probes in each.
+		// Two arrivals in each of 1000 ticks, and at most maxProbesPerTick probes in each tick.
 		want := int(min(1000*probesPerTick, 2000*probeSpend/max(price, 1e-9)))
 		if probes < want*9/10 || probes > want*11/10+1 || len(seen) != 3 {
-			t.Errorf("price %v: %d probes of %d servers, want %d", price, probes, len(seen), want)
+			t.Errorf("price %v: %d probes of %d backends, want %d", price, probes, len(seen), want)
 		}
 	}
 }
 
+// A request may go to another zone only if that saves more time than the crossing costs.
 func TestCrossingZonesMustPay(t *testing.T) {
 	cfg := site()
 	cfg.Prices.CrossZone = 0.12
 	r := newRig(t, cfg, member(1, 0, 0), member(2, 1, 1))
 	r.serve(50, safe, steady)
 	if n := r.serve(100, safe, steady); n[2] > 5 {
-		t.Errorf("%d of 100 crossed to an equal server", n[2])
+		t.Errorf("%d of 100 crossed to an equal backend", n[2])
 	}
 	if n := r.serve(300, safe, func(b BackendID) time.Duration { return time.Duration(3-b) * 100 * ms }); n[2] < 100 {
 		t.Errorf("only %d of 300 crossed to a much faster one", n[2])
 	}
 }
 
-// Within any OverloadFor a cold server gets less than this node's part of what it can do, counted
-// as work: one heavy request weighs as much as many light ones.
+// In each window of OverloadFor a cold backend must get less than this node's part of its capacity. The unit is
+// work: one heavy request counts as many light ones.
 func TestColdServersAreNotPushedOver(t *testing.T) {
 	for _, heavy := range []bool{false, true} {
 		cfg := site()
@@ -570,7 +576,7 @@
 				return 0
 			}
 			if busy && s[0].Backend == 1 {
-				r.do(Event{Kind: Outcome, Request: id, Backend: 1, Status: Shed}) // it is as full as it seems
+				r.do(Event{Kind: Outcome, Request: id, Backend: 1, Status: Shed}) // it is full, as its estimate shows
 				return 1
 			}
 			r.do(Event{Kind: Outcome, Request: id, Backend: s[0].Backend, Spent: spent[s[0].Backend], NoMore: true})
@@ -580,14 +586,14 @@
 			send(fmt.Sprint("warm", i))
 		}
 		busy = true
-		r.b.servers[1].more = 500 // so that it would all go to the cold one
+		r.b.servers[1].more = 500 // so that the cold one is preferred
 		cold := member(2, 0, 0)
 		cold.Launched = r.now
 		r.do(Event{Kind: MembersChanged, Members: []Member{cold}})
 		if heavy {
 			hint = 200 * ms
 		}
-		rate := 0.5 * 20.0 / 10.0 // work a second that each warm server was seen to do
+		rate := 0.5 * 20.0 / 10.0 // work a second that each warm backend did
 		var at []time.Duration
 		for i := range 1500 {
 			if send(fmt.Sprint("cold", i)) == 2 {
@@ -602,16 +608,16 @@
 			end := min((at[i]+cfg.Rules.OverloadFor-cold.Launched).Seconds()/cfg.Rules.WarmWithin.Seconds(), 1)
 			can := (cfg.Rules.ColdShare + (1-cfg.Rules.ColdShare)*end) * rate * cfg.Rules.OverloadFor.Seconds()
 			if at[i] < cold.Launched+cfg.Rules.WarmWithin-cfg.Rules.OverloadFor && work > 0.5*cfg.Rules.FallMultiple*can {
-				t.Fatalf("heavy %v: %.2f s of work within a window of %.2f s", heavy, work, can)
+				t.Fatalf("heavy %v: %.2f s of work within a window with a capacity of %.2f s", heavy, work, can)
 			}
 		}
 		if len(at) < 10 {
-			t.Errorf("heavy %v: the cold server got only %d requests", heavy, len(at))
+			t.Errorf("heavy %v: the cold backend got only %d requests", heavy, len(at))
 		}
 	}
 }
 
-// The lines that the on-call page names are the lines that exist.
+// The log lines that the on-call page names have to be the ones that the code writes.
 func TestLogLines(t *testing.T) {
 	page, err := os.ReadFile("../docs/ONCALL.md")
 	if err != nil {
@@ -635,7 +641,7 @@
 	r.note(r.do(Event{Kind: MembersRefused}))
 	r.note(r.do(Event{Kind: MembersAll}))
 	for _, text := range []string{"backend N fails: traffic withheld", "backend N answers again", "no ready backend",
-		"answers come late: refusing early", "answers in time again", "discovery refused: asking again"} {
+		"responses are late: rejecting requests early", "responses are in time again", "discovery call failed: retrying"} {
 		if !strings.Contains(string(page), "`"+text+"`") {
 			t.Errorf("the page lacks %q", text)
 		}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -8,7 +8,7 @@
 	"glencart/balance"
 )
 
-// A node keeps what is due in order of time; here a heap stands for its clock and its network.
+// due is an event at its time. A heap of them replaces the clock and the network of a node.
 type due struct {
 	at time.Duration
 	ev balance.Event
@@ -27,7 +27,7 @@
 	return last
 }
 
-// A small node: one class of requests, two backends of which the second has an error for everything.
+// A node with one class of requests and two backends. The second backend responds to every request with an error.
 func Example() {
 	cfg := balance.Config{
 		Classes: []balance.Class{{Aim: 300 * time.Millisecond, Deadline: time.Second, Effect: balance.Safe, Points: 1}},
@@ -53,7 +53,7 @@
 		next := heap.Pop(&todo).(due)
 		now := next.at
 		if next.ev.Kind == balance.Outcome && next.ev.Status == balance.Delivered {
-			answered++ // the node forwards the answer to its client
+			answered++ // the node forwards the response to its client
 			over[next.ev.Request] = true
 		}
 		next.ev.NoMore = over[next.ev.Request]
@@ -71,7 +71,7 @@
 			case balance.SetTimer:
 				heap.Push(&todo, due{now + a.In, balance.Event{Kind: balance.Timer, Mark: a.Mark}})
 			case balance.Refuse, balance.Fail:
-				over[a.Request] = true // the node tells its client
+				over[a.Request] = true // the node sends the final answer to its client
 			}
 		}
 	}
--- a/balance/figures.go
+++ b/balance/figures.go
@@ -1,14 +1,15 @@
-// This file holds what a node shows its operators of the decisions.
+// This file holds the figures on decisions that a node shows its operators.
 
 package balance
 
-// Avoided counts the servers in the list, ready ones, that this node sends nothing or next to nothing by choice.
+// Avoided returns the number of ready backends in the list that this node sends nothing, or next to nothing, by choice:
+// those outside its subset and those that fail.
 func (b *Balancer) Avoided() int {
 	n := -len(b.ready)
 	for _, s := range b.servers {
 		if s.Phase == Ready {
 			n++
-			if s.failed { // one that fails is kept among those that may be sent to
+			if s.failed { // a failing one may still be in the subset
 				n++
 			}
 		}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Nodes that lose discovery together and come back faster than it works keep it busy with calls that fail: none is ever
-// answered. Here it has 20 s of work when they come, and works through ten calls a second in turn. It turns away what would
-// wait three time-outs of 2 s; what waits longer than one fails then, and is worked through all the same.
+// Nodes that lose discovery together, and repeat their calls faster than it serves them, keep it busy with calls that time
+// out, so that no call ever succeeds. In this test discovery has 20 s of work at first and serves ten calls a second. It
+// rejects a call that would wait for more than three time-outs of 2 s. A call that waits longer than one time-out fails,
+// and discovery still does its work.
 func TestAFleetLeavesDiscoveryItsTime(t *testing.T) {
 	const tick, work, limit = 10 * ms, 100 * ms, 2 * time.Second
 	for nodes, within := range map[int]time.Duration{1: 25 * time.Second, 2: 25 * time.Second, 5: 25 * time.Second, 80: time.Minute} {
@@ -30,7 +31,7 @@
 			}
 			ask = func() {
 				if calls++; len(of(Watch, r.last)) != 1 {
-					t.Fatalf("%d nodes: not asked: %+v", nodes, r.last)
+					t.Fatalf("%d nodes: no call to discovery: %+v", nodes, r.last)
 				}
 				if free = max(free, r.now); free-r.now > 3*limit {
 					at(0, refused)
@@ -51,15 +52,15 @@
 			}
 		}
 		if answered != nodes || last > within || calls > 12*nodes {
-			t.Errorf("%d nodes: %d answered, the last after %v, %d calls", nodes, answered, last, calls)
+			t.Errorf("%d nodes: %d have a list, the last after %v, %d calls", nodes, answered, last, calls)
 		}
 	}
 }
 
-// What a node misses counts as told 6 s after discovery had it and could be reached, whatever call failed, was refused or given up
-// before. So discovery comes back at each instant of the waits, and the call that reaches it stands in line for its 2 s: the
-// list is here within those 6 s. How calls end until then: turned away or reset at once, late, after 2 s in line, once, or given
-// up. Fleets and customers of any figures; after the first refusal no quarter of a second has more than its part of a fleet.
+// An update counts as received 6 s after discovery has it and can be reached, whichever calls failed before. So in this
+// test discovery recovers at each moment of a retry interval, and the successful call still takes its 2 s: the list has to
+// arrive within 6 s. Failed calls end at once, late, after a time-out of 2 s, or when given up. After the first failure,
+// the calls of a large fleet must be spread over time.
 func TestARefusedNodeHearsInTime(t *testing.T) {
 	const told, step = 6 * time.Second, 100 * ms
 	worst := time.Duration(0)
@@ -73,11 +74,11 @@
 					b, _ := New(cfg, uint64(i))
 					r := &rig{t: t, b: b, now: time.Hour}
 					r.do(Event{Kind: MembersRemembered, Members: []Member{member(1, 0, 0)}})
-					back := r.now + time.Duration(i)*step // discovery has it, and can be reached
+					back := r.now + time.Duration(i)*step // from now on discovery has the update and can be reached
 					for call := 0; r.now <= back; call++ {
 						r.now += ends[min(call, len(ends)-1)]
 						s := of(SetTimer, r.do(Event{Kind: MembersRefused}))[0]
-						back = max(back, r.now) // until then it did not answer
+						back = max(back, r.now) // this call still failed, so discovery recovers later
 						if r.now += s.In; call == 0 {
 							begun[s.In/(250*ms)]++
 						}
@@ -87,7 +88,7 @@
 				}
 				for in, n := range begun {
 					if nodes >= 80 && every >= 10*time.Second && n > 240/5 {
-						t.Errorf("%d nodes, askEvery %v: %d of 240 come back after %v", nodes, every, n, in*250*ms)
+						t.Errorf("%d nodes, askEvery %v: %d of 240 repeat the call after %v", nodes, every, n, in*250*ms)
 					}
 				}
 			}
@@ -99,7 +100,7 @@
 	}
 }
 
-// Where the settings tell no askEvery, or next to none, a refused call is not repeated in a loop that only the refusals pace.
+// Without askEvery in the settings, or with a tiny one, failed calls must not be repeated in a tight loop.
 func TestARefusedNodeWaitsWhereNoTimeIsTold(t *testing.T) {
 	for _, every := range []time.Duration{0, 1, 10 * ms} {
 		cfg := site()
@@ -116,7 +117,8 @@
 	}
 }
 
-// All hear a report; few take it at its word, or all would rush to the server that was idle then.
+// All nodes receive a forwarded report, but only a few may use it like their own probe. Otherwise all would send to the
+// backend that was idle then.
 func TestFewTakeAReportAtItsWord(t *testing.T) {
 	taken := 0
 	for node := 1; node < 80; node++ {
@@ -127,18 +129,18 @@
 		r.do(Event{Kind: MembersRemembered, Members: []Member{member(1, 0, 0), {Backend: 2, Name: 7}, {Backend: 3, Name: 7}}})
 		r.do(Event{Kind: PeerMessage, Payload: []byte{hearsayVersion, 0, 1, 0, 0, 1, 40}})
 		r.do(Event{Kind: PeerMessage, Payload: []byte{hearsayVersion, 0, 2, 0, 0, 7, 40}})
-		if b.all.others != 40 || b.servers[3].told != 0 { // 3 has the name of 2, and is not spoken of
-			t.Errorf("mean %v, told %v", b.all.others, b.servers[3].told)
+		if b.all.others != 40 || b.servers[3].told != 0 { // 3 has the name of 2, so no report refers to it
+			t.Errorf("mean %v, peer load %v", b.all.others, b.servers[3].told)
 		}
 		taken += int(min(b.servers[1].told, 1))
 	}
 	if taken < 1 || taken > 3*takers {
-		t.Errorf("%d of 79 nodes took the report at its word", taken)
+		t.Errorf("%d of 79 nodes used the report like their own", taken)
 	}
 }
 
-// All nodes of a fleet keep to the first servers that a lost zone gets back, where each of the others has a part of the nodes; and
-// a light request needs little of a grant. Together the nodes still stay within what such a server can do.
+// The first backends of a zone that returns are in the subset of all nodes, while other backends are in that of only a part
+// of them. Light requests need little budget. All nodes together must still not overload such a backend.
 func TestTheFirstServersOfAZoneThatIsBack(t *testing.T) {
 	const nodes, servers, light, heavy = 300, 40, 50 * ms, 500 * ms
 	sent, window, warm := 0, 1500*ms, 0.0
@@ -164,7 +166,7 @@
 		}
 		warm += work / (r.now - began).Seconds() / servers
 		for _, s := range r.b.ready {
-			r.holds(s.Backend, 20) // the others have its traffic too
+			r.holds(s.Backend, 20) // from the other nodes
 		}
 		back := member(100, 1, 0)
 		back.Launched = r.now - time.Second
@@ -180,7 +182,7 @@
 			r.wait(window / 8)
 		}
 	}
-	can := coldMargin * warm * site().Rules.FallMultiple * 0.28 * window.Seconds() / light.Seconds() // by its warmth a second after the start
+	can := coldMargin * warm * site().Rules.FallMultiple * 0.28 * window.Seconds() / light.Seconds() // 0.28 is its capacity a second after the start
 	if sent == 0 || float64(sent) > can {
 		t.Errorf("%d requests within %v, %.0f at most", sent, window, can)
 	}
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// mark returns the mark of the timer set by the last actions.
+// mark returns the mark of the first timer that the last event set.
 func (r *rig) mark() uint64 {
 	r.t.Helper()
 	s := of(SetTimer, r.last)
@@ -18,7 +18,7 @@
 	return s[0].Mark
 }
 
-// What comes back at the deadline is answered, not sent again: the client is gone by the time it is done.
+// A request whose attempt ends at its deadline must not be retried: the client is gone before the retry ends.
 func TestNothingIsSentAtTheDeadline(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
@@ -31,7 +31,7 @@
 	}
 }
 
-// A retry goes to a server that has not had the request yet; with none left the request is answered.
+// A retry must go to a backend that has not had the request yet. Without one, the request gets its final answer.
 func TestRetriesGoElsewhere(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
@@ -45,16 +45,16 @@
 	}
 }
 
-// A long calm must not save up retries for a storm.
+// The retry budget must not grow without limit in quiet times.
 func TestTheRetryBudgetIsCapped(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(1000, safe, steady)
 	if r.b.retries != retryMost {
-		t.Errorf("%v retries saved up", r.b.retries)
+		t.Errorf("retry budget of %v", r.b.retries)
 	}
 }
 
-// Without leave to probe nothing is probed, and what probes save up is two at most.
+// Without permission nothing may be probed, and the credit for probes must not exceed that of two ticks.
 func TestProbesNeedLeaveAndDoNotSaveUp(t *testing.T) {
 	cfg := site()
 	cfg.Limits.Probing = false
@@ -62,7 +62,7 @@
 	for i := range 50 {
 		r.wait(time.Second)
 		if p := of(Probe, r.arrive(fmt.Sprint(i), safe)); len(p) != 0 {
-			t.Fatalf("probed without leave: %+v", p)
+			t.Fatalf("probed without permission: %+v", p)
 		}
 	}
 	r = newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
@@ -70,11 +70,11 @@
 		r.arrive(fmt.Sprint("burst", i), unsafe)
 	}
 	if r.b.probeDue > 2*probesPerTick {
-		t.Errorf("%v probes saved up", r.b.probeDue)
+		t.Errorf("credit for %v probes", r.b.probeDue)
 	}
 }
 
-// An attempt that ends after its stream has begun is the client's affair: sending it again would double it.
+// Once a stream has started the client has a part of it. A retry would repeat that part.
 func TestStartedStreamsAreNotSentAgain(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
@@ -86,7 +86,7 @@
 	}
 }
 
-// Requests are forgotten once they are over, or a node grows until it dies.
+// Requests that have ended must be removed from memory.
 func TestRequestsAreForgotten(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(20, safe, steady)
@@ -100,11 +100,11 @@
 	r.do(Event{Kind: Timer, Mark: mark})
 	r.outcome("late", 0, to, Expired)
 	if n := len(r.b.requests); n != 0 {
-		t.Errorf("%d requests kept", n)
+		t.Errorf("%d requests left in memory", n)
 	}
 }
 
-// Discovery may refuse for minutes: one line says so.
+// Discovery may fail for minutes. The log must have one line for it, and requests still use the last list.
 func TestRefusedDiscoveryIsLoggedOnce(t *testing.T) {
 	cfg := site()
 	cfg.AskDiscovery = true
@@ -116,10 +116,10 @@
 		t.Errorf("%q", r.logs)
 	}
 	r.arrive("x", safe)
-	r.sent() // the old list still serves
+	r.sent() // the old list is still in use
 }
 
-// A restarted server is a new process: what the old one was sent while cold is not the new one's, nor its speed.
+// A restarted backend is a new process. It must not inherit the warm-up budget or the service time of the old one.
 func TestARestartForgetsTheOldProcess(t *testing.T) {
 	old := member(1, 0, 0)
 	old.Launched = time.Hour
@@ -134,8 +134,8 @@
 	}
 }
 
-// The warm rate is that of servers that were warm and there for the whole window, and a lull does not take it away
-// at once.
+// The warm rate must come only from backends that were warm and listed for the whole window, and it must decay slowly
+// when traffic stops.
 func TestWarmRate(t *testing.T) {
 	cold := member(1, 0, 0)
 	cold.Launched = time.Hour
@@ -145,14 +145,14 @@
 			s.served = work
 		}
 		r.b.servers[1].served = 1000 * work
-		r.b.servers[3].served, r.b.servers[3].since = 1000*work, r.now+ms // came just now
+		r.b.servers[3].served, r.b.servers[3].since = 1000*work, r.now+ms // listed just now
 		r.wait(1500 * ms)
 		r.do(Event{Kind: Timer})
 		return r.b.warmRate
 	}
 	r.wait(1500 * ms)
 	r.do(Event{Kind: Timer})
-	if few := roll(2); few != 0 { // two in a window may be chance, and each node of a large fleet sees them in another one
+	if few := roll(2); few != 0 { // two in a window may be chance, and each node of a large fleet has its own such window
 		t.Errorf("rate %v of two requests", few)
 	}
 	high := roll(3e6)
@@ -160,11 +160,12 @@
 		t.Errorf("rate %v, want 3e6 in 1.5 s", high)
 	}
 	if low := roll(0); low != rateDecay*high {
-		t.Errorf("rate %v after a lull, %v before", low, high)
+		t.Errorf("rate %v after a window without traffic, %v before", low, high)
 	}
 }
 
-// The bound leans to worth within limits: what is worth next to nothing is still served when there is room.
+// The effect of worth on the longest wait is limited: requests of almost no worth must still be served when there is
+// capacity.
 func TestTheLeanIsLimited(t *testing.T) {
 	cfg := site()
 	cfg.Classes[safe].Points, cfg.Classes[unsafe].Points = 1000, 0.001
@@ -175,32 +176,32 @@
 	for class, want := range map[int]float64{safe: weightMost * usual, unsafe: usual / weightMost} {
 		got := r.b.bound(&request{class: &cfg.Classes[class], stats: &r.b.classes[class], tenant: -1})
 		if math.Abs(got-want) > 1e-9 && class == unsafe || got > want+1e-9 {
-			t.Errorf("class %d: bound %v, want %v", class, got, want)
+			t.Errorf("class %d: longest wait %v, want %v", class, got, want)
 		}
 	}
 }
 
-// With all servers slower than the aim there is no slack, and refusing all would leave them idle.
+// With all backends slower than the aim there is no headroom. Rejecting all requests would leave the backends idle.
 func TestSlowServersStillQueue(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(200, safe, func(BackendID) time.Duration { return 600 * ms })
 	got := r.b.bound(&request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
 	if r.b.headroom() != 0 || got < admissionLeast*0.5 {
-		t.Errorf("slack %v, bound %v s where answers take 0.6 s", r.b.headroom(), got)
+		t.Errorf("headroom %v, longest wait %v s with response times of 0.6 s", r.b.headroom(), got)
 	}
 }
 
-// One unlucky first answer must not pass for the time of its class.
+// A single slow first response must not set the base time of its class.
 func TestTheFirstAnswersCountByTheirMean(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(1, safe, func(BackendID) time.Duration { return 280 * ms })
 	r.serve(9, safe, steady)
 	if base := r.b.classes[safe].base; math.Abs(base-0.046) > 0.001 {
-		t.Errorf("%v s, the mean is 0.046", base)
+		t.Errorf("base time %v s, want the mean of 0.046", base)
 	}
 }
 
-// A report that is repeated before its time tells nothing new, and must not weigh again.
+// A report that is repeated within the report interval has no new information, and must not count again.
 func TestRepeatedReportsAreNotNews(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	for i := range 20 {
@@ -214,11 +215,11 @@
 		r.do(report(1, 9))
 	}
 	if o := r.b.usual(r.b.servers[1]); o != was {
-		t.Errorf("usual went from %v to %v by repeats", was, o)
+		t.Errorf("baseline went from %v to %v by repeated reports", was, o)
 	}
 }
 
-// A server that lost everything it was sent looks idle: with nothing out and no sign since, that is a failure.
+// A backend that loses all its attempts looks idle. An attempt that times out without any sign since is a failure.
 func TestNothingBackAtAllIsAFailure(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
@@ -226,11 +227,11 @@
 	r.wait(time.Second)
 	r.outcome("lost", 0, 1, Expired)
 	if f := r.b.servers[1].fails; f != 1 {
-		t.Errorf("rate of failures %v", f)
+		t.Errorf("failure rate %v", f)
 	}
 }
 
-// Silence counts while something is out, beyond what the queue explains.
+// With pending attempts, silence must add to the cost once it lasts longer than the queue explains.
 func TestSilenceRaisesTheCost(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
@@ -240,16 +241,16 @@
 	r.wait(10 * ms)
 	r.do(Event{Kind: Timer})
 	if c := r.b.cost(s); c != was {
-		t.Errorf("cost %v after 10 ms, %v at once", c, was)
+		t.Errorf("cost %v after 10 ms, %v at the send", c, was)
 	}
 	r.wait(time.Second)
 	r.do(Event{Kind: Timer})
 	if c := r.b.cost(s); c < was+0.9 {
-		t.Errorf("cost %v after a second of silence, %v at once", c, was)
+		t.Errorf("cost %v after a second of silence, %v at the send", c, was)
 	}
 }
 
-// A caller whose clock goes back, or that tells an outcome twice, must not make the module panic, send twice or count below zero.
+// A clock that goes back, or an outcome that is reported twice, must not cause a panic, a second send or a negative count.
 func TestMisuseIsHarmless(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(50, safe, steady)
@@ -276,12 +277,12 @@
 	}
 	for id, s := range r.b.servers {
 		if s.out != 0 || math.IsNaN(r.b.cost(s)) {
-			t.Errorf("server %d: %+v", id, *s)
+			t.Errorf("backend %d: %+v", id, *s)
 		}
 	}
 }
 
-// A heavy request is late whatever the queue: only what the queue made late tightens the bound.
+// A heavy request is late with any queue. Only responses that the queue made late may lower the admission factor.
 func TestOnlyTheQueueMakesLate(t *testing.T) {
 	for met, tightens := range map[float64]bool{0: false, 12: true} {
 		r := newRig(t, site(), member(1, 0, 0))
@@ -295,18 +296,18 @@
 		r.wait(400 * ms)
 		r.do(Event{Kind: Outcome, Request: "x", Backend: 1, Spent: 400 * ms, NoMore: true})
 		if got := r.b.admission < 0.3; got != tightens || r.b.admission > 0.3 {
-			t.Errorf("met %v: part from 0.3 to %v", met, r.b.admission)
+			t.Errorf("queue of %v: admission factor from 0.3 to %v", met, r.b.admission)
 		}
 	}
 }
 
-// A fleet of nodes that each send a cold server just one request can push it over: in any window all of them
-// together stay within its budget, and still some of them send.
+// Nodes that each send just one request to a cold backend can overload it together. In each window all nodes together
+// must stay within its budget, and some of them still have to send.
 func TestManyNodesShareTheBudgetOfAColdServer(t *testing.T) {
-	for _, known := range []bool{false, true} { // before and after the first answers
+	for _, known := range []bool{false, true} { // before and after the first responses
 		cfg := site()
 		cfg.Instances = 200
-		cfg.Rules.ColdShare = 0.9 // what it can do is then known
+		cfg.Rules.ColdShare = 0.9 // so that its capacity is nearly constant
 		got := make([]int, 4)
 		for node := range cfg.Instances {
 			b, _ := New(cfg, uint64(node))
@@ -315,7 +316,7 @@
 			if known {
 				r.serve(20, safe, steady)
 			}
-			b.warmRate = 0 // it does little for each of so many nodes
+			b.warmRate = 0 // a backend serves little for each of so many nodes
 			cold := member(1, 0, 0)
 			cold.Launched = r.now
 			r.do(Event{Kind: MembersAll, Members: []Member{cold}})
@@ -327,17 +328,17 @@
 				r.wait(1500 * ms / 200)
 			}
 		}
-		// It gets one second of work a second done, a request of 20 ms (30 when not known yet) after another.
+		// It does one second of work a second, in requests of 20 ms (taken for 30 ms before the first response).
 		for window, n := range got {
 			if n == 0 || float64(n)*0.02 > 0.6*cfg.Rules.FallMultiple*1.5 {
-				t.Errorf("window %d, answers known %v: %d requests", window, known, n)
+				t.Errorf("window %d, with responses %v: %d requests", window, known, n)
 			}
 		}
 	}
 }
 
-// A full list names every server there is, also beyond the few that this node keeps to: one that it leaves out
-// is gone and must not come back into the part.
+// A full list has all backends, also those outside this node's subset. A backend that it lacks is gone, and must not come
+// back into the subset.
 func TestAFullListEndsServersOutsideThePart(t *testing.T) {
 	cfg := site()
 	cfg.Instances = 100
@@ -347,7 +348,7 @@
 	}
 	r := newRig(t, cfg, all...)
 	if len(r.b.ready) != subsetServers {
-		t.Fatalf("keeps to %d servers", len(r.b.ready))
+		t.Fatalf("subset of %d backends", len(r.b.ready))
 	}
 	var rest []Member
 	for _, m := range all {
@@ -368,7 +369,7 @@
 	}
 }
 
-// What was told of a queue fades as it turns over, into what is usual at that server.
+// The reported peer load has to decay into the baseline as the queue turns over.
 func TestWhatWasToldFades(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
@@ -377,25 +378,25 @@
 	s.told, s.toldAt = 10, r.now
 	r.do(Event{Kind: Timer})
 	if e := r.b.estimate(s); e != 10 {
-		t.Errorf("entry %v when just told 10", e)
+		t.Errorf("queue estimate %v right after a report of 10", e)
 	}
 	r.wait(10 * time.Second)
 	r.do(Event{Kind: Timer})
 	if e := r.b.estimate(s); e > 2.2 {
-		t.Errorf("entry %v ten seconds later, 2 is usual", e)
+		t.Errorf("queue estimate %v ten seconds later, with a baseline of 2", e)
 	}
 }
 
-// A node that has no answers yet bounds waits as well, or all nodes that start together fill every server.
+// A node must limit waits also before its first response, or nodes that start together fill every backend.
 func TestANewNodeBoundsWaits(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	if s := r.b.headroom(); math.IsInf(s, 1) {
-		t.Errorf("slack %v without an answer", s)
+		t.Errorf("headroom %v without a response", s)
 	}
 }
 
-// A node that starts knows nothing, and in a large fleet all that start together would fill the servers before
-// a dear probe is due: until it has probed as many times as it keeps servers, each arrival probes.
+// A node that starts has no estimates. Many nodes that start together would fill the backends before an expensive probe
+// is due. So each arrival has to send a probe until there were as many probes as backends.
 func TestANewNodeProbesAtEachArrival(t *testing.T) {
 	cfg := site()
 	cfg.Prices.Probe = 1000 * probeSpend
@@ -410,11 +411,11 @@
 		probes += len(of(Probe, r.arrive(fmt.Sprint(i), safe)))
 	}
 	if probes < 5 || probes > 6 {
-		t.Errorf("%d probes for 5 servers", probes)
+		t.Errorf("%d probes for 5 backends", probes)
 	}
 }
 
-// A node of a large fleet sees few answers a second, and must notice a jam in as many seconds as a busy one.
+// A node of a large fleet gets few responses a second. It must react to overload in as many seconds as a busy node.
 func TestLatenessCountsByTime(t *testing.T) {
 	after := func(gap time.Duration) float64 {
 		r := newRig(t, site(), member(1, 0, 0))
@@ -427,12 +428,12 @@
 		return r.b.admission
 	}
 	if busy, idle := after(20*ms), after(50*ms); busy > 0.2 || idle > busy*1.1 {
-		t.Errorf("after a second of lateness part %v with 50 answers a second, %v with 20", busy, idle)
+		t.Errorf("after a second of late responses: admission factor %v with 50 a second, %v with 20", busy, idle)
 	}
 }
 
-// Nodes keep to different parts, or some servers get all and others none; a server that fails does not count
-// as one of the part, or a zone that fails leaves a node without any.
+// Nodes must have different subsets, or some backends get all requests and others none. A failing backend must not count
+// in the subset, or failures in a zone would leave a node without backends.
 func TestPartsDifferAndGrowByFailures(t *testing.T) {
 	cfg := site()
 	cfg.Instances = 100
@@ -458,26 +459,26 @@
 			}
 		}
 		if sound != subsetServers {
-			t.Errorf("node %d keeps to %d sound servers", node, sound)
+			t.Errorf("node %d has %d healthy backends", node, sound)
 		}
 	}
 	if len(kept) < 35 {
-		t.Errorf("20 nodes use %d of 40 servers", len(kept))
+		t.Errorf("20 nodes use %d of 40 backends", len(kept))
 	}
 }
 
-// The first looks of a node tell of all servers that it has not seen yet, at once and not by a twentieth each.
+// The first reports must set the mean for all backends without a report at once, and not by a twentieth each.
 func TestFirstLooksTellOfTheRest(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.wait(time.Second)
 	r.do(report(1, 10))
 	if o := r.b.others(r.b.servers[2], r.b.pace(r.b.servers[2])); o < 5 {
-		t.Errorf("%v at a server not seen, 10 at the first one seen", o)
+		t.Errorf("peer load %v at a backend without a report, 10 at the first one with a report", o)
 	}
 }
 
-// Where probes are cheap and fresh a request waits for those of its own tick: in a large fleet all older
-// entries are out of date, and the smallest of them is the most outdated one.
+// With cheap probes and current reports, a request has to wait for the probes of its tick. In a large fleet all older
+// estimates are out of date, and the lowest one is the most out of date.
 func TestArrivalsWaitForTheirProbes(t *testing.T) {
 	cfg := site()
 	cfg.Prices.Probe = 0
@@ -494,9 +495,9 @@
 		}
 	}
 	if r.do(report(2, 0)); r.sent() != 2 {
-		t.Errorf("sent to %d, but 2 is idle", r.sent())
+		t.Errorf("sent to %d, but backend 2 is idle", r.sent())
 	}
-	// A probe that stays out must not hold it for long, nor past its end.
+	// A probe without a result must not hold a request for long, nor past its end.
 	r.wait(time.Second)
 	r.do(Event{Kind: RequestArrived, Request: "y", Budget: time.Second})
 	timers := of(SetTimer, r.last)
@@ -514,8 +515,8 @@
 	}
 }
 
-// Probes a few seconds apart cannot tell how often a server reports: the same one is asked again at once, or
-// every report passes for seconds old and is not believed.
+// Probes a few seconds apart can't show how often a backend reports. Without a second probe of the same backend at once,
+// every report would count as seconds old and have little effect.
 func TestTheTimeBetweenReportsIsLearnedByAskingAgain(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	next := 0.0
@@ -525,19 +526,19 @@
 		for marks := of(SetTimer, r.last); len(marks) > 0; marks = of(SetTimer, r.last) {
 			r.wait(marks[0].In)
 			if r.do(Event{Kind: Timer, Mark: marks[0].Mark}); len(of(Probe, r.last)) != 1 {
-				t.Fatal("not asked again")
+				t.Fatal("no second probe")
 			}
 			next++
 			r.do(report(1, 3+float64(int(next)%2)))
 		}
 	}
 	if next == 0 || next > pairsMost || r.b.refresh > 0.1 {
-		t.Errorf("asked again %v times, reports taken for %v s apart", next, r.b.refresh)
+		t.Errorf("%v second probes, report interval %v s", next, r.b.refresh)
 	}
 }
 
-// With hundreds of servers a node meets each of them now and then: the pace of all is learned from all its
-// answers, or it stays at a first guess for minutes and queues of any length look short.
+// With hundreds of backends a node uses each of them rarely. The mean service time must be learned from all responses, or
+// it stays at its initial value for minutes and long queues look short.
 func TestThePaceOfAllIsLearnedFromAnyAnswer(t *testing.T) {
 	members := make([]Member, 200)
 	for i := range members {
@@ -546,11 +547,11 @@
 	r := newRig(t, site(), members...)
 	r.serve(40, safe, func(BackendID) time.Duration { return 100 * ms })
 	if r.b.peerPace < 0.08 {
-		t.Errorf("pace %v after 40 answers of 100 ms", r.b.peerPace)
+		t.Errorf("mean service time %v after 40 responses of 100 ms", r.b.peerPace)
 	}
 }
 
-// A node that starts among queues must not take its first answers for the time without one.
+// A node that starts while there are queues must not take its first response times for the base time.
 func TestTheHintStandsUntilAnIdleServerIsMet(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.b.all.others, r.b.admission = 5, admissionMost
@@ -558,11 +559,11 @@
 	r.do(Event{Kind: RequestArrived, Request: "x", Hint: 20 * ms, Budget: time.Second})
 	r.do(Event{Kind: Outcome, Request: "x", Backend: 1, Spent: 200 * ms, NoMore: true})
 	if base := r.b.classes[safe].base; base < 0.015 || base > 0.025 {
-		t.Errorf("time without a queue %v by an answer of 200 ms behind five others, hinted at 20 ms", base)
+		t.Errorf("base time %v after a response of 200 ms behind five others, with a hint of 20 ms", base)
 	}
 }
 
-// A class whose aim is no longer than its work leaves itself no time to queue, but not the others.
+// A class whose aim is not longer than its work has no headroom, but the other classes must keep theirs.
 func TestOneTightClassDoesNotRefuseAll(t *testing.T) {
 	cfg := site()
 	cfg.Classes[unsafe].Aim = 20 * ms
@@ -570,11 +571,12 @@
 	r.serve(50, safe, steady)
 	r.serve(50, unsafe, func(BackendID) time.Duration { return 30 * ms })
 	if s := r.b.headroom(); s < 0.1 {
-		t.Errorf("slack %v", s)
+		t.Errorf("headroom %v", s)
 	}
 }
 
-// A share spread over hundreds of nodes is less than one request a second at each: two at once are chance.
+// A share spread over hundreds of nodes is less than one request a second at each. A few requests at once are chance, and
+// must not count as beyond the share.
 func TestSmallSharesMayComeTogether(t *testing.T) {
 	cfg := site()
 	cfg.Instances, cfg.OverShareWorth = 500, 0.05
@@ -582,16 +584,16 @@
 	req := &request{class: &cfg.Classes[safe], stats: &r.b.classes[safe]}
 	r.serve(3, safe, steady)
 	if l := r.b.admissionWeight(req); l != 1 {
-		t.Errorf("lean %v at the fourth request", l)
+		t.Errorf("admission weight %v at the fourth request", l)
 	}
 	r.serve(3, safe, steady)
 	if l := r.b.admissionWeight(req); l > 0.5 {
-		t.Errorf("lean %v at the seventh", l)
+		t.Errorf("admission weight %v at the seventh request", l)
 	}
 }
 
-// A node that refuses everything has no answers to correct what it believes: one in probeOnce goes out all the
-// same, and no more, or overload would get through.
+// A node that rejects everything gets no responses to correct its estimates. So one in trialOneIn requests has to be sent
+// all the same, but not more, because overload would get through.
 func TestRefusalsSendScouts(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
@@ -604,27 +606,27 @@
 		sent += len(of(Send, r.last))
 	}
 	if sent != 10 {
-		t.Errorf("%d of %d sent to a server that seems full", sent, 10*probeOnce)
+		t.Errorf("%d of %d sent to a backend that seems full", sent, 10*probeOnce)
 	}
 	r.b.cfg.Tenants[0].QuotaPerSecond, r.b.shares[0].left = 1e-6, 0
-	for i := range 10 * probeOnce { // what floods beyond its share comes again and again: its probes would fill the servers
+	for i := range 10 * probeOnce { // a flood beyond its share has no end, and its trial requests would fill the backends
 		r.wait(10 * ms)
 		if r.arrive(fmt.Sprint("flood", i), safe); len(of(Send, r.last)) > 0 {
-			t.Fatal("a probe of what lies beyond its tenant's share")
+			t.Fatal("a trial request beyond its tenant's share")
 		}
 	}
 }
 
-// The clock may start anywhere: the time before the first answer is no gap between answers.
+// The clock may start at any time, so the time before the first response is no gap between responses.
 func TestTheFirstGapIsNoGap(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(20, safe, steady)
 	if r.b.gap > 0.5 {
-		t.Errorf("gap %v s after answers 10 ms apart", r.b.gap)
+		t.Errorf("gap %v s after responses 10 ms apart", r.b.gap)
 	}
 }
 
-// A zone with more traffic than it can carry must not pass for the whole fleet, or the others stay idle.
+// An overloaded zone must not raise the mean of the other zones, or their backends stay idle.
 func TestEachZoneHasItsOwnMean(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0), member(3, 1, 1), member(4, 1, 1))
 	for range 20 {
@@ -633,12 +635,12 @@
 		r.do(report(3, 0))
 	}
 	if here, there := r.b.usual(r.b.servers[2]), r.b.usual(r.b.servers[4]); here < 8 || there > 2 {
-		t.Errorf("usual %v and %v at servers not seen in a full and an idle zone", here, there)
+		t.Errorf("baselines %v and %v at backends without a report in a full and an idle zone", here, there)
 	}
 }
 
-// A server of many cores answers as fast behind ten others as behind none: a node that met only short queues must
-// learn that from the few answers that it gets out of a long one.
+// A backend with many cores responds as fast behind ten requests as behind none. A node that has met only short queues
+// must learn that from the few responses that it gets from a long one.
 func TestAnswersOutOfLongQueuesTellThePace(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(200, safe, steady)
@@ -649,12 +651,12 @@
 		r.b.learn(s, req, &attempt{to: s, met: 12}, 20*ms)
 	}
 	if is := r.b.warmPace(s); is > was/4 {
-		t.Errorf("pace %v, then %v after three answers as fast behind twelve others", was, is)
+		t.Errorf("service time %v, then %v after three responses as fast behind twelve others", was, is)
 	}
 }
 
-// A stream whose answer has begun owes no sign; one that has not makes its server look silent, as does any other
-// attempt beside the stream.
+// A stream whose response has started may be quiet for long, and must not make its backend look silent. Before that it
+// has to, as does any other pending attempt beside the stream.
 func TestOpenStreamOwesNothing(t *testing.T) {
 	b, err := New(Config{Classes: []Class{{Aim: time.Second, Deadline: time.Minute, Effect: Safe, Points: 1}}, Limits: Limits{MaxAttempts: 3}}, 1)
 	if err != nil {
@@ -676,15 +678,15 @@
 	arrive("stream")
 	silent(3*time.Second, 3)
 	step(Event{Kind: StreamAnswered, Request: "stream"})
-	step(Event{Kind: StreamAnswered, Request: "stream"}) // told twice counts once
+	step(Event{Kind: StreamAnswered, Request: "stream"}) // a repeated event counts once
 	step(Event{Kind: StreamAnswered, Request: "nobody"})
 	silent(time.Hour, 0)
 	arrive("other")
 	silent(2*time.Second, 2)
 	step(Event{Kind: Outcome, Request: "stream", Status: Delivered, NoMore: true})
-	silent(time.Second, 1) // its end is a sign
+	silent(time.Second, 1) // the end of the stream is a sign
 	step(Event{Kind: Outcome, Request: "other", Status: Delivered, NoMore: true})
 	if silent(time.Hour, 0); s.out != 0 || s.open != 0 {
-		t.Errorf("%v out, %v open", s.out, s.open)
+		t.Errorf("%v attempts pending, %v streams open", s.out, s.open)
 	}
 }
--- a/balance/heldup_test.go
+++ b/balance/heldup_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A node may be held up for 0.15 s between its look at the clock and its write. A repeat of a keyed request has to be written within
-// the window all the same: none is begun in its last 0.15 s, and none may be written then.
+// A node may stall for 0.15 s between reading the clock and its write. A retry of a keyed request still has to be written
+// within the window. So no retry may start in the last 0.15 s of the window, and Within has to keep writes out of them.
 func TestRepeatsLeaveRoomForAHoldUp(t *testing.T) {
 	const heldUp = 150 * ms
 	window := site().Classes[keyedAll].Window
@@ -20,17 +20,17 @@
 		sent := of(Send, r.last)
 		if after < window-heldUp {
 			if len(sent) != 1 {
-				t.Errorf("after %v: no repeat: %+v", after, r.last)
+				t.Errorf("after %v: no retry: %+v", after, r.last)
 			} else if written := after + sent[0].Within + heldUp; sent[0].Within <= 0 || written > window {
-				t.Errorf("after %v: it may be written within %v, and %v later, after %v of %v", after, sent[0].Within, heldUp, written, window)
+				t.Errorf("after %v: may be written within %v plus a stall of %v, so after %v of a window of %v", after, sent[0].Within, heldUp, written, window)
 			}
 			continue
 		}
 		if len(sent) > 0 {
-			t.Errorf("after %v of %v: a repeat", after, window)
+			t.Errorf("after %v of a window of %v: a retry", after, window)
 		}
 		if refused := of(Refuse, r.last); len(refused) > 0 {
-			t.Errorf("after %v of %v: refused, and called back", after, window)
+			t.Errorf("after %v of a window of %v: rejected with a retry-after", after, window)
 		}
 	}
 }
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Learned is what a Balancer has learned that another one of the same node can go on with. Nothing in it permits anything: what
-// is out, budgets and grants are each Balancer's own. Times are on the clock that both are given.
+// Learned holds what a Balancer has learned, for another Balancer of the same node to continue with. It gives no
+// permissions: pending attempts, retry budgets and warm-up budgets stay with their Balancer. Both must use the same clock.
 type Learned struct {
 	Part, Gap, PeerPace, AllTime, AllDepth, Answers float64
 	Refresh, WarmRate, MeanValue, AllFail, AllBroke float64
 	JudgedAt                                        time.Duration
-	Instances                                       int // WarmRate, in seconds of work a second, is the part of one of them
+	Instances                                       int // WarmRate is the part of one of them, in seconds of work a second
 	All, Cold                                       LearnedCrowd
 	Zones                                           map[int]LearnedCrowd
 	Classes                                         []LearnedClass // by number
 	Servers                                         []LearnedServer
 }
 
-// LearnedCrowd is what is known of other nodes' part.
+// LearnedCrowd is a running mean of the peer load.
 type LearnedCrowd struct {
 	Others, Reports float64
 	At              time.Duration
 }
 
-// LearnedClass is what is known of a class. Base is in seconds.
+// LearnedClass holds the base time of a class, in seconds, and the numbers of responses that it is learned from.
 type LearnedClass struct{ Base, Seen, Free float64 }
 
-// LearnedServer is what is known of one process of a backend.
+// LearnedServer holds what is learned about one process of a backend.
 type LearnedServer struct {
 	Name                                   uint32
 	Launched, ToldAt, Heard, SeenAt, Since time.Duration
@@ -35,7 +35,7 @@
 	Failed, Used                           bool
 }
 
-// Learned returns what this Balancer has learned.
+// Learned returns what this Balancer has learned, as input of Relearn.
 func (b *Balancer) Learned() Learned {
 	of := func(c *crowd) LearnedCrowd { return LearnedCrowd{c.others, c.reports, c.at} }
 	l := Learned{
@@ -61,7 +61,7 @@
 	return l
 }
 
-// ok tells whether these can be figures of a Balancer.
+// isValid reports whether the values are in the range that a Balancer produces.
 func (l *Learned) ok() bool {
 	least := min(l.Part, l.Gap, l.PeerPace, l.AllTime, l.AllDepth, l.Answers, l.Refresh, l.WarmRate, l.MeanValue, l.AllFail, l.AllBroke)
 	for _, c := range l.Classes {
@@ -73,11 +73,11 @@
 	return least >= 0 && l.Answers > 0 && max(l.WarmRate, l.PeerPace, l.AllTime, l.AllDepth) < learnedMost
 }
 
-// learnedMost is more than any figure of a Balancer: a warm rate beyond reason would lift the cold budget.
+// maxLearnedValue is above every value of a Balancer. An excessive warm rate would raise the warm-up budget.
 const learnedMost = 1e4
 
-// Relearn takes in what another Balancer of the node has learned. It has to be told before anything but lists: what this one
-// has learned by itself counts for more.
+// Relearn continues with what another Balancer of the node has learned. It has to be called before all events other than
+// endpoint lists. It does nothing once this Balancer has seen a response, because its own data take precedence.
 func (b *Balancer) Relearn(l Learned) {
 	if b.answers > 0 || !l.ok() {
 		return
@@ -98,18 +98,18 @@
 	for i := range min(len(l.Classes), len(b.classes)) {
 		b.classes[i] = classStats{l.Classes[i].Base, l.Classes[i].Seen, l.Classes[i].Free}
 	}
-	part := float64(max(cmp.Or(l.Instances, b.cfg.Instances), 1)) / float64(b.cfg.Instances) // two processes of a node share its part
+	part := float64(max(cmp.Or(l.Instances, b.cfg.Instances), 1)) / float64(b.cfg.Instances) // two processes of a node divide its part
 	b.warmRate = l.WarmRate * part / max(b.meanBase(), 1e-6)
 	for _, x := range l.Servers {
 		s := b.names[x.Name&nameMask]
 		if s == nil || s.name() != x.Name || s.Launched != x.Launched {
-			continue // a stranger, or another process by now
+			continue // not listed here, or restarted since
 		}
-		s.toldAt, s.heard = min(x.ToldAt, b.now), min(x.Heard, b.now) // nothing is known from the future
+		s.toldAt, s.heard = min(x.ToldAt, b.now), min(x.Heard, b.now) // no time lies in the future
 		s.seenAt, s.since = min(x.SeenAt, b.now), min(x.Since, b.now)
 		s.more, s.told, s.fails, s.time, s.depth, s.seen = x.More, x.Told, x.Fails, x.Time, x.Depth, x.Seen
 		s.failed, s.used = x.Failed, x.Used
 	}
-	b.probes = max(b.probes, float64(len(b.servers))) // it is no stranger here
+	b.probes = max(b.probes, float64(len(b.servers))) // no probes as at a first start
 	b.choose()
 }
--- a/balance/members.go
+++ b/balance/members.go
@@ -11,10 +11,11 @@
 func (b *Balancer) onMembers(ev *Event) {
 	if ev.Kind == MembersRefused {
 		if b.cfg.AskDiscovery {
-			b.state(&b.blind, true, false, "discovery refused: asking again", "")
-			// Without a subscription the node is blind to drains: it asks again, by when a change counts as told. All nodes ask
-			// one discovery: they spread. Only where calls stand in line in vain is more asked than it can do: they spread further.
-			least := min(max(b.cfg.Rules.AskEvery, time.Second)/rewatchParts, rewatchMost/8) // a time that is not told is no wait
+			b.state(&b.blind, true, false, "discovery call failed: retrying", "")
+			// Without a subscription the node misses drains, so it repeats the call in time for the moment at which an
+			// update counts as received. All nodes call the same discovery service, so they spread their calls. Calls that
+			// time out in its queue show that it is overloaded, and only then do they spread further.
+			least := min(max(b.cfg.Rules.AskEvery, time.Second)/rewatchParts, rewatchMost/8) // a missing AskEvery must not mean no wait
 			span := 2 * min(least*time.Duration(max(1, b.cfg.Instances/rewatchNodes)<<min(b.refusals, 2)), max(b.cfg.Rules.AskEvery, time.Second))
 			from := max(least, min(span/8*time.Duration(min(b.refusals, 1)), rewatchMost*3/4))
 			if b.refusals > 0 && (b.now-b.watchedAt).Round(time.Second) == callMost {
@@ -30,7 +31,7 @@
 	b.blind, b.refusals, b.vain = false, 0, 0
 	if ev.Kind != MembersChanged {
 		for _, s := range b.servers {
-			s.Phase = Gone // unless the full list names it, also one that this node does not keep to
+			s.Phase = Gone // unless the full list has it; this includes backends outside the subset
 		}
 	}
 	for _, m := range ev.Members {
@@ -48,7 +49,7 @@
 	}
 }
 
-// update takes in one line of the list. A changed start time is a new process with a new queue.
+// updateMember applies one entry of the endpoint list. A changed start time means a new process with an empty queue.
 func (b *Balancer) update(m Member) {
 	s := b.servers[m.Backend]
 	if s == nil && m.Phase == Gone {
@@ -60,15 +61,15 @@
 		b.servers[m.Backend] = s
 		b.ranked, b.unsorted = append(b.ranked, s), true
 		if o := b.names[m.name()]; o == nil || o.Phase == Gone {
-			b.names[m.name()] = s // of two by one name, the second is not spoken of
+			b.names[m.name()] = s // of two with one name, peers report only the first
 		}
 	} else if started {
-		// What was out at the old process is lost with it; its outcomes are still to come.
+		// Attempts pending at the old process are lost with it. Their outcomes are still to come.
 		s.more, s.told, s.unconfirmed, s.credit, s.since, s.served = 0, 0, 0, 0, b.now, 0
 		s.time, s.fails, s.failed, s.owesAt, s.used = 0, 0, false, b.now, false
 	}
 	_, behind := b.declared()
-	s.spent = max(s.spent, behind) // owed nothing for a time away
+	s.spent = max(s.spent, behind) // no catching up after an absence
 	s.Member = m
 	if s.zone = b.zones[m.Zone]; s.zone == nil {
 		s.zone = &crowd{}
@@ -79,7 +80,8 @@
 	}
 }
 
-// forget drops a server that is gone once nothing is out at it: ids come and go for as long as a node runs.
+// dropIfGone removes a backend that is gone once no attempt is pending there. Otherwise a node would keep every id that it
+// has ever seen.
 func (b *Balancer) forget(s *server) {
 	if s.Phase == Gone && s.out == 0 && b.servers[s.Backend] == s {
 		delete(b.servers, s.Backend)
@@ -89,8 +91,8 @@
 	}
 }
 
-// choose keeps the node to a part of the servers of each zone, drawn by hash, where its traffic is too little to see
-// more of them, and each needs a connection from every node. Servers that fail are kept beside the part.
+// chooseSubset limits the node to a subset of the backends of each zone, chosen by hash. Its traffic is too low to estimate
+// more of them, and each one would need a connection from every node. Failing backends don't count in the subset.
 func (b *Balancer) choose() {
 	if b.unsorted {
 		slices.SortFunc(b.ranked, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
@@ -108,16 +110,17 @@
 	slices.SortFunc(b.ready, func(x, y *server) int { return cmp.Compare(x.Backend, y.Backend) })
 }
 
-// reach is the part of all nodes that keep to a server of this one's zone: all of them, where the zone has few.
+// subsetShare returns the part of all nodes that have a backend in their subset. It is 1 in a zone with few backends.
 func (b *Balancer) reach(s *server) float64 {
 	return min(1, float64(b.subsetSize)/float64(max(b.listed[s.Zone], 1)))
 }
 
-// chance is the part of a server's cost for failures that chance explains. Where one attempt in ten breaks everywhere,
-// servers take turns in looking worse than a full queue: that may decide which one gets a request, not refuse it.
+// failureNoise returns the part of a backend's failure cost that chance explains. Where one attempt in ten breaks at all
+// backends, each of them looks worse than a full queue at times. That may decide which backend gets a request, but it is no
+// reason to reject the request.
 func (b *Balancer) chance(s *server) float64 {
 	if b.allBroke < failsLow {
-		return 0 // breaks are rare, and one tells
+		return 0 // broken attempts are rare, so one of them counts
 	}
 	stray := deviations * math.Sqrt(b.allBroke*(1-b.allBroke)*failWeight/(2-failWeight))
 	return min(max(0, s.fails-b.allFail), stray) * failAims * b.meanAim
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Servers come and go under ever new ids: one that is gone is kept for as long as something is out at it, and no
-// longer. A late outcome for it is harmless.
+// Backends come and go under new ids. One that is gone must stay in memory for as long as it has pending attempts, and no
+// longer. A late outcome for it must be harmless.
 func TestServersThatAreGoneAreForgotten(t *testing.T) {
 	b, err := New(Config{Classes: []Class{{Aim: time.Second, Deadline: time.Minute}}, Limits: Limits{MaxAttempts: 2}}, 1)
 	if err != nil {
@@ -35,19 +35,19 @@
 		}
 	}
 	if len(out) != ids || len(b.servers) != ids {
-		t.Fatalf("%d attempts out, %d servers kept", len(out), len(b.servers))
+		t.Fatalf("%d attempts pending, %d backends in memory", len(out), len(b.servers))
 	}
 	for _, ev := range out {
 		handle(ev)
 	}
 	if len(b.servers) != 0 || len(b.requests) != 0 {
-		t.Errorf("%d servers and %d requests kept", len(b.servers), len(b.requests))
+		t.Errorf("%d backends and %d requests left in memory", len(b.servers), len(b.requests))
 	}
 	handle(out[0])
 	handle(Event{Kind: Probed, Backend: 5, Load: Load{Has: HasActive, Active: 3}})
 }
 
-// Where one attempt in ten breaks at every server alike, none of them is an outlier, and nobody is refused for it.
+// If one attempt in ten breaks at every backend alike, none is an outlier, and no request may be rejected for it.
 func TestBreaksByChanceRefuseNothing(t *testing.T) {
 	b, err := New(Config{Classes: []Class{{Aim: time.Second, Deadline: time.Minute, Effect: Safe}},
 		Limits: Limits{MaxAttempts: 1}}, 7)
@@ -64,7 +64,7 @@
 		members = append(members, Member{Backend: i})
 	}
 	handle(Event{Kind: MembersAll, Members: members})
-	var out []Event // eight at a time, so that no server is idle
+	var out []Event // eight at a time, so that no backend is idle
 	for i := range 6000 {
 		id := fmt.Sprint(i)
 		for _, a := range handle(Event{Kind: RequestArrived, Request: id, Budget: time.Minute}) {
@@ -87,6 +87,6 @@
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of 5000 refused", refused)
+		t.Errorf("%d of 5000 rejected", refused)
 	}
 }
--- a/balance/overdriven_test.go
+++ b/balance/overdriven_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// overdrivenServer works on one request at a time. Once it has held overdrivenAt requests for overdrivenFor it needs
-// overdrivenFactor times as long, until it has held overdrivenRest at most for overdrivenRestFor.
+// overdrivenServer serves one request at a time. Once its queue has had overdrivenAt requests for overdrivenFor, it is
+// slower by overdrivenFactor. It recovers when its queue has had at most overdrivenRest requests for overdrivenRestFor.
 type overdrivenServer struct {
 	speed            float64
-	queue            []func() // what is in work comes first
+	queue            []func() // the first one is being served
 	highAt, restedAt time.Duration
 	slow             bool
 }
@@ -25,7 +25,7 @@
 	overdrivenNodes, overdrivenServers = 40, 40
 )
 
-// overdrivenFleet is nodes that share nothing before servers of two speeds, in virtual time.
+// overdrivenFleet simulates nodes that share nothing, and backends of two speeds, in virtual time.
 type overdrivenFleet struct {
 	rng             *rand.Rand
 	now             time.Duration
@@ -34,9 +34,9 @@
 	nodes           []*Balancer
 	servers         []*overdrivenServer
 	class           Class
-	work            time.Duration // of a mean request, at speed 1
+	work            time.Duration // mean work of a request, at speed 1
 	arrived         map[string]time.Duration
-	asked, inTime   []int // by the second of arrival
+	asked, inTime   []int // requests, and those served within the aim, by second of arrival
 	start           time.Duration
 	slowServerTicks int
 }
@@ -46,7 +46,7 @@
 	heap.Push(&f.due, happening{f.now + in, f.seq, do})
 }
 
-// handle has a node take an event, and carries out what it decides.
+// handle passes an event to a node and carries out its actions.
 func (f *overdrivenFleet) handle(node int, ev Event) {
 	for _, a := range f.nodes[node].Handle(f.now, ev, nil) {
 		server := int(a.Backend) - 1
@@ -73,7 +73,7 @@
 	return Load{Has: HasActive, Active: float64(len(f.servers[server].queue))}
 }
 
-// arriveAt has a request join a server's queue.
+// arriveAt adds a request to the queue of a backend.
 func (f *overdrivenFleet) arriveAt(server, node int, a Action, sent time.Duration) {
 	s := f.servers[server]
 	work := time.Duration((0.5 + 0.5*f.rng.ExpFloat64()) * float64(f.work))
@@ -104,7 +104,7 @@
 	return time.Duration(took)
 }
 
-// watch follows whether a server is overdriven.
+// watch updates whether a backend is overloaded.
 func (s *overdrivenServer) watch(now time.Duration) {
 	if len(s.queue) < overdrivenAt {
 		s.highAt = now
@@ -123,8 +123,8 @@
 	delete(f.arrived, id)
 }
 
-// play has requests come for as many seconds as there are loads, each in parts of what the quick servers can do, and
-// returns what part of each second's was answered in time.
+// play generates requests for as many seconds as there are loads. A load is a part of the capacity of the fast backends. It
+// returns the part of each second's requests that were served in time.
 func (f *overdrivenFleet) play(loads []float64) []float64 {
 	capacity := 0.0
 	for _, s := range f.servers {
@@ -168,7 +168,8 @@
 	return parts
 }
 
-// newOverdrivenFleet makes a fleet whose servers differ in speed by 16, so that a few answers tell nothing of a class.
+// newOverdrivenFleet returns a fleet whose backends differ in speed by a factor of 16, so that a few responses show nothing
+// about a class.
 func newOverdrivenFleet(t *testing.T, seed uint64) *overdrivenFleet {
 	f := &overdrivenFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, start: time.Hour, work: 260 * ms,
 		arrived: map[string]time.Duration{}}
@@ -197,14 +198,15 @@
 	return f
 }
 
-// A burst must not leave servers overdriven that rest would make quick again: what comes after it is served. Before it,
-// light traffic says nothing of how long a queue may be; after it, times tell that all servers have become slow.
+// A burst overloads the backends, which stay slow for as long as their queues are long. A node that keeps sending to them
+// prevents their recovery. Requests after the burst must be served in time again. The light traffic before the burst
+// doesn't show how long queues may be; only the response times after it show that all backends have become slow.
 func TestBurstLeavesNoServersOverdriven(t *testing.T) {
 	loads := slices.Concat(slices.Repeat([]float64{0.9}, 9), slices.Repeat([]float64{1.7}, 5), slices.Repeat([]float64{0.75}, 11))
 	for seed := range uint64(20) {
 		f := newOverdrivenFleet(t, seed)
 		parts := f.play(loads)
-		worst := 1.0 // of 5 s on end after the burst: of a second's 350 requests two in a hundred more or less are chance
+		worst := 1.0 // over 5 s after the burst, because in a single second of 350 requests two in a hundred are chance
 		for from := 15; from+5 <= len(parts); from++ {
 			window := 0.0
 			for _, part := range parts[from : from+5] {
@@ -212,7 +214,7 @@
 			}
 			worst = min(worst, window)
 		}
-		t.Logf("seed %d: %.2f at worst, in time by second %.2f; servers overdriven, on average %.1f", seed, worst, parts,
+		t.Logf("seed %d: %.2f in time at worst, by second %.2f; overloaded backends on average %.1f", seed, worst, parts,
 			float64(f.slowServerTicks)/float64(20*len(loads)))
 		if worst < 0.75 {
 			t.Errorf("seed %d: %.2f in time over 5 s after the burst, 0.75 wanted", seed, worst)
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -1,4 +1,4 @@
-// This file holds what nodes tell one another: each passes on the reports that its probes bring.
+// This file holds the messages between nodes. Each node forwards the load reports of its probes to its peers.
 
 package balance
 
@@ -9,21 +9,23 @@
 )
 
 const (
-	// A message is hearsayLen bytes: hearsayVersion, the sender's number of it (2), the server's name (3), its queue,
-	// queueMost where that is longer.
+	// A message has peerReportLen bytes: peerReportVersion (1), sequence number of the sender (2), name of the backend (3),
+	// queue (1). A longer queue than maxPeerQueue is sent as maxPeerQueue.
 	hearsayVersion, hearsayLen, queueMost = 1, 7, 255
 	nameMask                              = 1<<24 - 1
-	// A message at most hearsayBack behind the last one is a repeat or late; further back, its sender has started again.
+	// A message up to replayWindow behind the last one is a repeat or late. One further behind comes from a restarted
+	// sender.
 	hearsayBack = 64
-	// takers is how many other nodes, on average, take a report as if their own probe had brought it. More of them would
-	// rush to the server that was idle then: each sends it a request or two before it counts its own.
+	// meanAdopters is the mean number of nodes that use a report like one of their own probes. With more of them, too many
+	// would send to the backend that was idle then: each sends a request or two before its own attempts count.
 	takers = 4.0
-	// complainEvery bounds the lines on messages that can't be read.
+	// badMessageLogInterval is the least time between two log lines on invalid messages.
 	complainEvery = time.Minute
 )
 
-// pass tells the other nodes what a probe brought. One message that reaches all of them costs less than the probes by
-// which each would learn it; where it costs more than a probe, a part goes out. Nodes that start ask all, and tell nobody.
+// forwardReport sends the result of a probe to the other nodes. One message to all of them costs less than the probes by
+// which each would learn the same. Where it costs more than a probe, only a part of the reports is sent. A node that starts
+// probes all backends and forwards nothing.
 func (b *Balancer) pass(s *server, l Load) {
 	if !b.passes() || b.starting() || l.Has&HasActive == 0 {
 		return
@@ -38,28 +40,28 @@
 		byte(name >> 16), byte(name >> 8), byte(name), byte(max(0, min(l.Active, queueMost)))}})
 }
 
-// passes tells whether this node's traffic is so thin that its own probes meet a server less than once in meanSpan. Where
-// a node can follow its servers by itself, what others tell is older than what it knows.
+// forwardsReports reports whether the traffic of this node is so low that its probes reach a backend less than once in
+// meanSeconds. With more traffic, the reports of peers would be older than its own.
 func (b *Balancer) passes() bool {
 	probes := min(probesPerTick, probeSpend/max(b.cfg.Prices.Probe, 1e-9)) * b.perSecond * meanSpan
 	return b.cfg.Limits.Peers && b.cfg.Instances > 1 && probes < float64(len(b.ready))
 }
 
-// passPrice is what it takes off the result to tell a report to all others, for each first try.
+// forwardPrice returns the cost of a message to all other nodes, in points of the result for each first attempt.
 func (b *Balancer) passPrice() float64 {
 	return b.cfg.Prices.Peer * hearsayLen / 256 * float64(b.cfg.Instances-1)
 }
 
-// name is what all nodes call a server.
+// name returns the name of a backend that all nodes use.
 func (m *Member) name() uint32 { return cmp.Or(m.Name, uint32(m.Backend)) & nameMask }
 
-// onHearsay takes in a report that another node passed on. It names a server of this node's own list or is ignored.
+// onPeerMessage processes a report that another node has forwarded. Reports on backends that aren't listed are ignored.
 func (b *Balancer) onHearsay(ev *Event) {
 	p := ev.Payload
 	if len(p) != hearsayLen || p[0] != hearsayVersion {
 		if b.complainedAt == 0 || b.now-b.complainedAt >= complainEvery {
 			b.complainedAt = b.now
-			b.log(fmt.Sprintf("message of peer %d: not of version %d: ignored", ev.Peer, hearsayVersion))
+			b.log(fmt.Sprintf("message of peer %d ignored: not a load report of version %d", ev.Peer, hearsayVersion))
 		}
 		return
 	}
@@ -77,8 +79,8 @@
 	}
 }
 
-// hearsay takes in what others told. It moves the mean of what servers hold, which rare probes follow too slowly: a node
-// that takes its servers for full long after they have cleared refuses what they could do.
+// applyPeerReport uses a forwarded report. It updates the mean peer load, which rare probes follow too slowly: a node that
+// takes its backends for full long after their queues have cleared rejects requests that they could serve.
 func (b *Balancer) hearsay(s *server, others float64) {
 	if b.rng.Float64()*float64(b.cfg.Instances-1) < takers {
 		s.unconfirmed = 0
--- a/balance/repeats_test.go
+++ b/balance/repeats_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The group that drops a request's repeats is the one that its first attempt went to. A line that takes a backend out may
-// come without a zone or a cell, and one may be moved.
+// A keyed request may be retried only in the group of its first attempt, as of the send. An update that removes a backend
+// may lack the zone and cell, and another may move it, so the current entry doesn't show that group.
 func TestGroupIsThatOfTheSend(t *testing.T) {
 	for _, class := range []int{keyedZone, keyedCell} {
 		for name, line := range map[string]Member{
@@ -38,7 +38,7 @@
 	}
 }
 
-// Two zones that the settings don't name need not be one.
+// Backends with unknown zones may be in different ones, so they are no group.
 func TestUnknownZonesAreNoGroup(t *testing.T) {
 	r := newRig(t, site(), member(1, -1, 0))
 	r.b.retries = retryMost
@@ -50,8 +50,8 @@
 	}
 }
 
-// A repeat carries until when it may be written: what is left of the window of the first attempt that may have run, less the time
-// for which a node may be held up.
+// A retry of a keyed request carries the time within which it has to be written: the rest of the window of the first
+// attempt that may have run, less the longest stall of a node.
 func TestRepeatsCarryTheWindow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -69,18 +69,18 @@
 		r.arrive("x", c.class)
 		first := r.sent()
 		if in := of(Send, r.last)[0].Within; in != 0 {
-			t.Errorf("%s: the first may be written within %v", c.name, in)
+			t.Errorf("%s: the first attempt has to be written within %v", c.name, in)
 		}
 		r.wait(200 * ms)
 		r.outcome("x", 0, first, c.status)
 		r.sent()
 		if in := of(Send, r.last)[0].Within; in != c.within {
-			t.Errorf("%s: the repeat may be written within %v, want %v", c.name, in, c.within)
+			t.Errorf("%s: the retry has to be written within %v, want %v", c.name, in, c.within)
 		}
 	}
 }
 
-// A refusal calls the client back: it is none where that would be after the window.
+// A rejected client repeats its request after the retry-after. If that is not within the window, the request has to fail.
 func TestRefusalKeepsToTheWindow(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -97,7 +97,7 @@
 		if len(got) != 1 {
 			t.Errorf("after %v: %+v", c.after, r.last)
 		} else if c.kind == Refuse && got[0].RetryIn >= 400*ms-heldUpMost {
-			t.Errorf("called back in %v", got[0].RetryIn)
+			t.Errorf("retry-after %v", got[0].RetryIn)
 		}
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// site is a Config with one class of each effect and scope.
+// site returns a Config with one class of each effect and scope.
 func site() Config {
 	class := func(e Effect, sc Scope) Class {
 		return Class{Aim: 300 * ms, Deadline: 1200 * ms, Effect: e, Scope: sc, Window: 500 * ms, Points: 1}
@@ -38,7 +38,7 @@
 	keyedCell
 )
 
-// rig drives a Balancer and keeps what it did.
+// rig drives a Balancer and stores its last actions.
 type rig struct {
 	t    testing.TB
 	b    *Balancer
@@ -65,7 +65,7 @@
 
 func (r *rig) wait(d time.Duration) { r.now += d }
 
-// arrive takes a request to its end or its first send: where it is held for its probes, none of them answers.
+// arrive passes a request to the Balancer. If it is held for its probes, the hold ends without a result of them.
 func (r *rig) arrive(id string, class int) []Action {
 	acts := r.do(Event{Kind: RequestArrived, Request: id, Class: class, Budget: time.Second})
 	if len(r.b.held) > 0 {
@@ -103,6 +103,8 @@
 	return Member{Backend: id, Zone: zone, Cell: cell, Weight: 1}
 }
 
+// A retry must not execute a request twice: it depends on the effect of the class, on whether the first attempt may have
+// run, and for keyed classes on the window and the group of backends.
 func TestRepeatsByEffect(t *testing.T) {
 	members := []Member{member(1, 0, 0), member(2, 0, 1), member(3, 1, 2), member(4, 1, 2)}
 	zoneOf := map[BackendID]int{1: 0, 2: 0, 3: 1, 4: 1}
@@ -121,18 +123,18 @@
 		{"unsafe after an error", unsafe, AppError, 0, false, Fail},
 		{"unsafe after a time-out", unsafe, Expired, 0, false, Fail},
 		{"unsafe after a cancel", unsafe, Revoked, 0, false, Fail},
-		{"unsafe turned away", unsafe, Shed, 0, true, 0},
+		{"unsafe, shed", unsafe, Shed, 0, true, 0},
 		{"unsafe without a connection", unsafe, DialFailed, 0, true, 0},
 		{"keyed by all in its window", keyedAll, Dropped, 0, true, 0},
 		{"keyed by all past its window", keyedAll, Dropped, 600 * ms, false, Fail},
-		{"keyed by all turned away past its window", keyedAll, Shed, 600 * ms, true, 0},
+		{"keyed by all, shed past its window", keyedAll, Shed, 600 * ms, true, 0},
 		{"keyed by zone in its window", keyedZone, Dropped, 0, true, 0},
 		{"keyed by zone past its window", keyedZone, Dropped, 600 * ms, false, Fail},
 		{"keyed by cell past its window", keyedCell, Dropped, 600 * ms, false, Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, site(), members...)
-			for i := range 40 { // earn a retry budget
+			for i := range 40 { // fill the retry budget
 				id := fmt.Sprint("warm", i)
 				r.arrive(id, safe)
 				r.outcome(id, 0, r.sent(), Delivered)
@@ -150,7 +152,7 @@
 			}
 			again := r.sent()
 			if again == first {
-				t.Error("the retry went to the server that had failed")
+				t.Error("the retry went to the backend that had failed")
 			}
 			if c.class == keyedZone && zoneOf[again] != zoneOf[first] {
 				t.Error("the retry left the zone that drops repeats")
@@ -162,7 +164,7 @@
 	}
 }
 
-// Nothing else fits in the cell: the request must fail, since a refusal would promise too much.
+// Without another backend in the cell the request has to fail. Rejecting it would invite a repeat that may run twice.
 func TestKeyedByCellIsNotRefusedOnceItMayHaveRun(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 1))
 	r.arrive("x", keyedCell)
@@ -172,6 +174,7 @@
 	}
 }
 
+// Every request needs exactly one final answer at its deadline, and later outcomes and timers must not cause another.
 func TestDeadlineEndsEveryRequest(t *testing.T) {
 	for class, want := range map[int]ActionKind{safe: Refuse, unsafe: Fail, keyedZone: Fail} {
 		r := newRig(t, site(), member(1, 0, 0))
@@ -188,7 +191,7 @@
 			t.Errorf("class %d at its deadline: %+v", class, acts)
 		}
 		if acts = r.outcome("x", 0, to, Dropped); len(acts) != 0 {
-			t.Errorf("class %d after its answer: %+v", class, acts)
+			t.Errorf("class %d after its final answer: %+v", class, acts)
 		}
 		if acts = r.do(Event{Kind: Timer, Mark: mark}); len(acts) != 0 {
 			t.Errorf("a timer that fired twice: %+v", acts)
@@ -196,7 +199,7 @@
 	}
 }
 
-// An outcome at the deadline leaves the final answer to the node.
+// A time-out of the attempt at the deadline must lead to the final answer, not to a retry.
 func TestTimeOutAtTheDeadlineIsAnswered(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.arrive("x", unsafe)
@@ -207,6 +210,7 @@
 	}
 }
 
+// Without a ready backend a request must be rejected at once, not at its deadline.
 func TestNothingReadyIsRefusedAtOnce(t *testing.T) {
 	r := newRig(t, site())
 	for class := range site().Classes {
@@ -216,6 +220,7 @@
 	}
 }
 
+// A backend that is draining, gone, or missing in a full list must get no new request.
 func TestDrainsAreKept(t *testing.T) {
 	for _, phase := range []Phase{Draining, Gone} {
 		r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
@@ -234,11 +239,12 @@
 		r.wait(10 * time.Second)
 		r.arrive("last", safe)
 		if to := r.sent(); to != 3 {
-			t.Fatalf("sent to %d, which the full list does not name", to)
+			t.Fatalf("sent to %d, which is not in the full list", to)
 		}
 	}
 }
 
+// A started stream may last past the deadline: the client already has a part of it, so no final answer may follow.
 func TestStreamHasNoDeadlineOnceStarted(t *testing.T) {
 	cfg := site()
 	cfg.Classes[safe].Stream = true
@@ -254,10 +260,11 @@
 	}
 	acts := r.do(Event{Kind: Outcome, Request: "x", Backend: to, Status: Dropped, NoMore: true})
 	if len(acts) != 0 {
-		t.Fatalf("a broken stream was answered: %+v", acts)
+		t.Fatalf("a final answer after a broken stream: %+v", acts)
 	}
 }
 
+// Late or wrong events must not cause a send, a second final answer or a panic.
 func TestUnknownNamesAreIgnored(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.arrive("x", safe)
@@ -279,10 +286,11 @@
 		}
 	}
 	if r.do(Event{Kind: ClientGone, Request: "x"}); len(r.last) != 0 {
-		t.Errorf("an answer after the client has gone: %+v", r.last)
+		t.Errorf("a final answer after the client has gone: %+v", r.last)
 	}
 }
 
+// Invalid settings must be rejected, while an empty Config is valid.
 func TestNewRejectsNegativeCounts(t *testing.T) {
 	for _, cfg := range []Config{{Instances: -1}, {Index: -1}, {Limits: Limits{MaxAttempts: -1}},
 		{Classes: []Class{{Deadline: -1}}}} {
@@ -295,7 +303,7 @@
 	}
 }
 
-// world plays random events, odd orders included, and asserts the rules at every action.
+// world plays random events, also in unusual orders, and checks the rules at every action.
 type world struct {
 	*rig
 	rng      *rand.Rand
@@ -345,7 +353,7 @@
 			t.Fatalf("sent to %d, which is not ready", a.Backend)
 		}
 		if r == nil || r.done {
-			t.Fatal("sent for a request that is over")
+			t.Fatal("sent for a request that has ended")
 		}
 		if a.Attempt != len(r.tries) || a.Attempt >= w.cfg.Limits.MaxAttempts {
 			t.Fatalf("attempt %d after %d", a.Attempt, len(r.tries))
@@ -369,13 +377,13 @@
 		r.tries, w.open = append(r.tries, s), append(w.open, s)
 	case Refuse, Fail:
 		if r == nil || r.done {
-			t.Fatal("answered twice")
+			t.Fatal("two final answers")
 		}
 		r.done = true
 		for _, s := range r.tries {
 			if a.Kind == Refuse && s.mayRun && r.class.Effect != Safe &&
 				(r.class.Effect == Unsafe || r.class.Scope != ScopeAll) {
-				t.Fatal("refused though it may have run")
+				t.Fatal("rejected although it may have run")
 			}
 		}
 	}
@@ -393,7 +401,7 @@
 	}
 }
 
-// finish gives a random open attempt its outcome.
+// finish passes the outcome of a random pending attempt to the Balancer.
 func (w *world) finish() {
 	if len(w.open) == 0 {
 		return
@@ -432,7 +440,7 @@
 	case MembersRefused:
 		w.step(Event{Kind: kind})
 		return
-	case MembersAll: // all but one, the absent one counting as removed
+	case MembersAll: // all but one, which counts as removed
 		delete(w.list, BackendID(1+w.rng.IntN(8)))
 	}
 	w.list[m.Backend] = m
@@ -483,7 +491,7 @@
 		}
 		for id, r := range w.requests {
 			if !r.done && w.now > r.deadline+cfg.Rules.GraceToAnswer {
-				t.Fatalf("seed %d: %s has no answer", seed, id)
+				t.Fatalf("seed %d: %s has no final answer", seed, id)
 			}
 		}
 	}
@@ -505,6 +513,7 @@
 	return out
 }
 
+// The rules on attempts, repeats and final answers must hold in any order of events, under all permissions.
 func TestRulesHoldOverRandomEvents(t *testing.T) {
 	for i, cfg := range configs() {
 		for seed := range uint64(6) {
@@ -515,6 +524,7 @@
 	}
 }
 
+// The simulator repeats runs: the same events and seed must give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	for i, cfg := range configs() {
 		if !reflect.DeepEqual(play(t, uint64(i), cfg, 2000), play(t, uint64(i), cfg, 2000)) {
--- a/balance/slowdown_test.go
+++ b/balance/slowdown_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// answers plays n answers that met a queue of two and took so long.
+// answers plays n responses with this response time from a queue of two.
 func (r *rig) answers(n int, took time.Duration) {
 	for i := range n {
 		id := fmt.Sprint("answer", r.now, i)
@@ -20,84 +20,84 @@
 	}
 }
 
-// Servers that become slower at the same queue are known to be within some ten answers, long before each server's own pace
-// has followed, and no longer than they are slow.
+// A slowdown of all backends at the same queue must be detected within some ten responses, long before the service time of
+// each backend follows. It must end when the backends recover.
 func TestSlowdownOfAllServersIsLearnedAtOnce(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.answers(60, 60*ms)
 	if f := r.b.recent.factor; f != 1 {
-		t.Fatalf("factor %v while times are as usual", f)
+		t.Fatalf("factor %v with usual response times", f)
 	}
 	own := r.b.warmPace(r.b.servers[1])
 	r.answers(25, 180*ms)
-	if f := r.b.recent.factor; f < 1.3 { // most are refused by then
-		t.Errorf("factor %v after requests whose answers took three times as long", f)
+	if f := r.b.recent.factor; f < 1.3 { // most requests are rejected by then
+		t.Errorf("factor %v after responses that took three times as long", f)
 	}
 	if p := r.b.pace(r.b.servers[1]); p < 1.5*own {
-		t.Errorf("pace %v, %v before: 1.5 times as long wanted", p, own)
+		t.Errorf("service time %v, %v before: 1.5 times as long wanted", p, own)
 	}
-	r.answers(250, 60*ms) // 15 s, in which most are refused at first
+	r.answers(250, 60*ms) // 15 s, in which most are rejected at first
 	if f := r.b.recent.factor; f != 1 {
-		t.Errorf("factor %v after answers in the usual time", f)
+		t.Errorf("factor %v after usual response times", f)
 	}
 }
 
-// Where answers take next to nothing beside the aim, what stands for them before the first one is no slowdown.
+// With response times far below the aim, the initial service time must not turn into a slowdown.
 func TestSlowdownHasNoPrior(t *testing.T) {
 	for _, took := range []time.Duration{50 * time.Microsecond, ms, 250 * ms} {
 		r := newRig(t, site(), member(1, 0, 0))
 		for range 30 {
 			r.serve(1, safe, func(BackendID) time.Duration { return took })
 			if f := r.b.recent.factor; f != 1 {
-				t.Fatalf("factor %v while all answers take %v", f, took)
+				t.Fatalf("factor %v while all responses take %v", f, took)
 			}
 		}
 	}
 }
 
-// Where no answer comes that would tell of the recovery, the slowdown is forgotten.
+// Without responses nothing shows the recovery, so the slowdown has to end by itself.
 func TestSlowdownEndsWithoutAnswers(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.answers(60, 60*ms)
 	r.answers(25, 180*ms)
 	if r.b.recent.factor == 1 {
-		t.Fatal("no slowdown to begin with")
+		t.Fatal("no slowdown at first")
 	}
 	for range 8 {
 		r.wait(2 * time.Second)
 		r.do(Event{Kind: Timer})
 	}
 	if f := r.b.recent.factor; f != 1 {
-		t.Errorf("factor %v 16 s after the last answer", f)
+		t.Errorf("factor %v 16 s after the last response", f)
 	}
 }
 
-// A server that was slow from the start is no slowdown, nor is one answer that takes long.
+// A backend that was always slow must not count as a slowdown, nor a single slow response.
 func TestSlowdownIsNoChance(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0))
 	r.answers(60, 150*ms)
 	r.answers(1, 300*ms)
 	if f := r.b.recent.factor; f != 1 {
-		t.Errorf("factor %v after a single slow answer", f)
+		t.Errorf("factor %v after a single slow response", f)
 	}
 }
 
-// Where servers differ in speed, the first answer of a class tells of the server that it came from: it must not make all that
-// follow of this class look quick, and those of other classes slow.
+// If backends differ in speed, the first response of a class shows the speed of its backend. It must not make all later
+// responses of this class look fast, and those of other classes slow.
 func TestFewAnswersTellNoClassesApart(t *testing.T) {
 	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(1, safe, func(BackendID) time.Duration { return 250 * ms })
 	r.serve(1, unsafe, func(BackendID) time.Duration { return 16 * ms })
 	slow, quick := r.b.sureBase(&r.b.classes[safe]), r.b.sureBase(&r.b.classes[unsafe])
 	if slow > 3*quick {
-		t.Errorf("%v and %v after one answer each", slow, quick)
+		t.Errorf("base times %v and %v after one response each", slow, quick)
 	}
 	r.serve(100, safe, func(BackendID) time.Duration { return 160 * ms })
 	r.serve(100, unsafe, func(BackendID) time.Duration { return 16 * ms })
 	slow, quick = r.b.sureBase(&r.b.classes[safe]), r.b.sureBase(&r.b.classes[unsafe])
 	if slow < 7*quick {
-		t.Errorf("%v and %v after a hundred answers each, ten times as long", slow, quick)
+		t.Errorf("base times %v and %v after a hundred responses each, with ten times the work", slow, quick)
 	}
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The subset is kept through changes of the list, and is always that of a node which is told the whole list at once.
+// After any sequence of updates the subset has to be that of a node which gets the same list at once.
 func TestSubsetIsThatOfAFreshNode(t *testing.T) {
 	cfg := site()
 	cfg.Index, cfg.Instances = 3, 50
--- a/balance/types.go
+++ b/balance/types.go
@@ -1,36 +1,39 @@
-// Package balance holds the decisions of an HTTP load balancer that runs as a
-// small bank of proxies sharing nothing.
+// Package balance makes the decisions of a load balancer whose nodes share
+// nothing: which backend gets a request, when to retry it, and when to reject it.
 //
-// A node owner builds one Balancer per node with New and feeds it every event
-// the node sees, in order, through Handle. Handle appends the actions to carry
+// The caller creates one Balancer per node with New and passes it every event
+// of the node, in order, through Handle. Handle appends the actions to carry
 // out, in order, to the slice it is given. The package has no clock, no
-// goroutine and no I/O: time is whatever the caller passes, and the same
-// events with the same seed give the same actions.
+// goroutine and no I/O. The caller passes the time, and the same events with
+// the same seed give the same actions.
 //
-// What the caller owes: events in the order they happened, with a time that
-// never goes back (one that does is held); exactly one Outcome event per Send action; a Timer event for
-// each SetTimer action, at or soon after its time; and a fresh Balancer, told
-// the list of backends again, after a restart of the node. A Balancer must not
-// be used from two goroutines at once. Events that name a request, attempt,
-// timer or backend that the Balancer does not know are ignored.
+// The caller has to provide:
+//   - events in the order in which they happened. The time should not go back;
+//     if it does, the Balancer continues at its latest time.
+//   - exactly one Outcome event for each Send action.
+//   - a Timer event for each SetTimer action, at its time or soon after.
+//   - a new Balancer, with the endpoint list, after a restart of the node.
+//
+// A Balancer must not be used by two goroutines at once. It ignores events
+// with an unknown request, attempt, timer or backend.
 package balance
 
 import "time"
 
-// BackendID names a backend. It is opaque: it tells nothing of zone or age.
+// BackendID identifies a backend. It is opaque: neither the zone nor the age follows from it.
 type BackendID uint32
 
-// Effect says what may happen when a request of a class runs twice.
+// Effect is what happens when a request of a class runs twice.
 type Effect uint8
 
 // Effects of a class. The zero value is the strictest.
 const (
-	Unsafe Effect = iota // must never run twice
-	Keyed                // a group of backends drops repeats for a while
+	Unsafe Effect = iota // must not run twice
+	Keyed                // a group of backends drops repeats within Class.Window
 	Safe                 // may be repeated freely
 )
 
-// Scope is the group of backends that drops the repeats of a keyed request.
+// Scope is the group of backends that drops repeats of a keyed request.
 type Scope uint8
 
 // Scopes of a keyed class. The zero value is the narrowest.
@@ -42,68 +45,68 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim        time.Duration // an answer within this earns full worth
-	AimStretch float64       // the aim grows by this multiple of the request's own work
-	Deadline   time.Duration // what the client waits in total, over all its tries
+	Aim        time.Duration // a response within this time earns the full worth
+	AimStretch float64       // the aim grows by this multiple of the work of the request
+	Deadline   time.Duration // how long the client waits in total, over all its tries
 	Effect     Effect
 	Scope      Scope         // for Keyed
 	Window     time.Duration // for Keyed: how long repeats are dropped
 	LateWorth  float64       // fraction of the worth earned after the aim
 	Points     float64       // worth of one request
-	Stream     bool          // the answer is streamed
+	Stream     bool          // the response is streamed
 	Attempts   int           // attempts per request; 0: Limits.MaxAttempts
-	Gone       bool          // no new request is of it: only its number is still in use
+	Gone       bool          // gets no new requests; only its number is still in use
 }
 
-// Tenant describes one tenant and its share.
+// Tenant describes a tenant and its share.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second over all nodes that lie within its share
+	QuotaPerSecond float64 // its share in requests a second, over all nodes; 0: no limit
 	Share          float64
 }
 
-// Limits says what the site permits.
+// Limits holds what a node may do.
 type Limits struct {
 	Cancelling     bool    // Cancel is permitted
 	Probing        bool    // Probe is permitted
 	Peers          bool    // Tell is permitted
 	SecondCopies   bool    // two attempts of one request may be pending at once
-	RetryAfter     bool    // clients receive the advice of a Refuse
+	RetryAfter     bool    // clients receive the RetryIn of a Refuse
 	MaxAttempts    int     // attempts per request; 0 means 1
-	FreeRetries    float64 // attempts a second that may be sent again whatever was sent before; 0: none
+	FreeRetries    float64 // added to the retry budget each second, without regard to traffic; 0: none
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 	IdleClose      time.Duration
 	StreamsPerConn int
-	MaxOpen        int           // requests open at once; more never reach the node
-	CPUPerSecond   time.Duration // CPU that the node may use in a second; 0: not told
-	CPUPerRequest  time.Duration // and for a request with its outcomes; 0: no such limit
+	MaxOpen        int           // open requests; more do not reach the node
+	CPUPerSecond   time.Duration // CPU time that the node may use in a second; 0: unknown
+	CPUPerRequest  time.Duration // and for a request with its outcomes; 0: no limit
 }
 
-// Prices are points taken off the result, each for one full unit.
+// Prices are points that are deducted from the result, each for one full unit.
 type Prices struct {
-	CrossZone float64 // an attempt crossing zones, per first try
-	Waste     float64 // backend work without an answer, per work offered
-	LateFail  float64 // worth ended unserved after its aim, per worth offered
-	Probe     float64 // one probe per first try
-	Peer      float64 // one full message per first try
-	Handshake float64 // one new connection per first try
-
-	Connection float64 // open connections over 100 x backends
-	Discovery  float64 // list lines over 100 x first tries
+	CrossZone float64 // an attempt in another zone, per first attempt
+	Waste     float64 // backend work without a response to the client, per work offered
+	LateFail  float64 // worth that fails after its aim, per worth offered
+	Probe     float64 // one probe per first attempt
+	Peer      float64 // one full message per first attempt
+	Handshake float64 // one new connection per first attempt
+
+	Connection float64 // open connections, per 100 x backends
+	Discovery  float64 // entries of endpoint lists, per 100 x first attempts
 }
 
-// Rules holds the figures of the rules a node keeps on its own.
+// Rules holds the parameters of the rules that a node follows.
 type Rules struct {
-	GraceToAnswer time.Duration // final answers are valid this long past the deadline
-	DrainGrace    time.Duration // nothing new to a backend this long after news of its drain
-	AskEvery      time.Duration // how long a list may be held without a subscription
-	ColdShare     float64       // a backend starts with at least this share of its capacity
-	WarmWithin    time.Duration // and is warm within this time
-	FallMultiple  float64       // more than this multiple of what it can do now ...
-	OverloadFor   time.Duration // ... for this time brings a cold backend down
+	GraceToAnswer time.Duration // a final answer is valid until this long after the deadline
+	DrainGrace    time.Duration // no new attempt to a backend from this long after an update that drains it
+	AskEvery      time.Duration // how long a list may be used without a subscription
+	ColdShare     float64       // a backend starts with at least this part of its capacity
+	WarmWithin    time.Duration // and has all of it within this time
+	FallMultiple  float64       // a load of more than this multiple of its capacity at the time ...
+	OverloadFor   time.Duration // ... for this time takes a cold backend down
 }
 
-// ReportSource says where backends report their load.
+// ReportSource is where backends report their load.
 type ReportSource uint8
 
 // Sources of load reports.
@@ -113,7 +116,7 @@
 	InlineReports              // in outcomes and probe results
 )
 
-// WeightKind says what Member.Weight means.
+// WeightKind is the meaning of Member.Weight.
 type WeightKind uint8
 
 // Kinds of weight.
@@ -122,39 +125,39 @@
 	NominalWeights            // registered size
 	RoughWeights              // approximate size
 	LiveWeights               // size over load, somewhat stale
-	// DeclaredWeights are shares that an operator asks for: each backend is to get requests in proportion, for as
-	// long as its queue is not leadMost places longer than the others'.
+	// DeclaredWeights are shares that an operator sets. Each backend gets requests in proportion, unless its queue is
+	// longer than those of the others by more than maxLeadRequests.
 	DeclaredWeights
 )
 
-// Goal holds the weights of the parts of the result.
+// Goal holds the weights of the parts of the overall result.
 type Goal struct {
 	Whole, WorstClass, WorstTenant, WorstWindow float64
 }
 
-// Config is what a node is told at its start. Zero values are safe defaults:
-// no permission is assumed, and every effect is taken as Unsafe.
+// Config is the configuration of a node. Zero values are safe defaults:
+// nothing is permitted, and every class is Unsafe.
 type Config struct {
 	Index          int // index of this instance among its peers
-	Instances      int // how many instances there are; 0 means 1
+	Instances      int // number of instances; 0 means 1
 	Zone           int // zone of this instance
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request beyond its tenant's share
-	WorthByWork    bool    // worth counts for each unit of work
-	WarmKeys       bool    // a backend that met a key lately needs less work for it
-	ClientsMark    bool    // clients mark their repeats
-	AskDiscovery   bool    // the list is told only after Watch or Fetch
+	OverShareWorth float64 // factor on the worth of a request beyond its tenant's share
+	WorthByWork    bool    // Class.Points are per unit of work, not per request
+	WarmKeys       bool    // a backend needs less work for a key that it has served recently
+	ClientsMark    bool    // clients mark requests that they repeat
+	AskDiscovery   bool    // the endpoint list arrives only after Watch or Fetch
 	Reports        ReportSource
 	Weights        WeightKind
 	Limits         Limits
 	Prices         Prices
 	Rules          Rules
 	Goal           Goal
-	Columns        LoadField     // values that load reports carry
-	PassesDeadline bool          // backends forward the time left when they call the next tier
-	Stage          int           // the tier that this node sends to
-	Tick           time.Duration // least gap between two rounds of events
+	Columns        LoadField     // values in load reports
+	PassesDeadline bool          // backends pass the remaining time to the next tier
+	Stage          int           // the tier that this node sends requests to
+	Tick           time.Duration // least time between two rounds of events
 }
 
 // Phase is the state of a backend in the list.
@@ -167,43 +170,43 @@
 	Gone
 )
 
-// Member is one line of a list of backends.
+// Member is one entry of the endpoint list.
 type Member struct {
 	Backend  BackendID
 	Zone     int
 	Cell     int
 	Kind     int           // machine kind
-	Weight   float64       // meaning by Config.Weights
-	Launched time.Duration // clock time of the last start; 0: long ago
+	Weight   float64       // see Config.Weights
+	Launched time.Duration // time of the last start; 0: long ago
 	Phase    Phase
-	Name     uint32 // the same at every node, by the lower 24 bits; 0: Backend is
-	Returned bool   // operators have put it back, at Launched
+	Name     uint32 // the same at every node, in the lower 24 bits; 0: use Backend
+	Returned bool   // operators have put it back in service, at Launched
 }
 
-// Status is how an attempt or a probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint8
 
 // Statuses of attempts and probes.
 const (
-	Delivered Status = iota
-	AppError
-	Shed
-	Expired
-	DialFailed
-	Dropped
-	Revoked
-	Unused
+	Delivered  Status = iota // complete response
+	AppError                 // error response
+	Shed                     // rejected by the backend, which did not run it
+	Expired                  // time-out
+	DialFailed               // no connection
+	Dropped                  // the connection broke
+	Revoked                  // cancelled by the node or the client
+	Unused                   // did not run, and shows nothing about the backend
 )
 
-// NeverRan tells whether the status proves that the attempt never ran.
+// NeverRan reports whether the status proves that the attempt did not run.
 func (s Status) NeverRan() bool {
 	return s == Shed || s == DialFailed || s == Unused
 }
 
-// Load is a load report. Has tells which values it carries.
+// Load is a load report. Has is the set of values in it.
 type Load struct {
 	Has     LoadField
-	Active  float64 // requests held
+	Active  float64 // requests in progress or queued
 	Waiting float64 // requests queued
 	CPU     float64 // fraction of CPU in use
 	AvgMs   float64 // recent service time in milliseconds
@@ -224,29 +227,29 @@
 	HasErrRPS
 )
 
-// EventKind says what happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Kinds of events, with the Event fields each one uses.
 const (
-	MembersRemembered EventKind = iota // Members: the list as last held, maybe stale
+	MembersRemembered EventKind = iota // Members: the cached endpoint list, maybe out of date
 	MembersAll                         // Members: the full list
-	MembersChanged                     // Members: changed lines only
-	MembersRefused                     // a Watch or Fetch failed or the subscription broke
+	MembersChanged                     // Members: changed entries only
+	MembersRefused                     // a Watch or Fetch failed, or the subscription ended
 	RequestArrived                     // Request, Class, Tenant, Key, HasKey, Budget, Hint, Repeat, Write
-	StreamStarted                      // Request, Attempt, Backend, Spent
+	StreamStarted                      // Request, Attempt, Backend, Spent: the client gets the response of this attempt
 	ClientGone                         // Request
 	Timer                              // Mark
 	Probed                             // Backend, Spent, Status, Load
 	Outcome                            // Request, Attempt, Backend, Spent, Status, NoMore, Load
 	PeerMessage                        // Peer, Payload
 	InstancesCounted                   // Instances
-	SettingsChanged                    // Settings: what follows on Config, without its Index, Instances and Zone
-	StreamAnswered                     // Request, Attempt, Backend: its answer has begun, and may last
-	BudgetChanged                      // Request, Budget: what is left of its time from here on
+	SettingsChanged                    // Settings: the new Config; its Index, Instances and Zone are ignored
+	StreamAnswered                     // Request, Attempt, Backend: the response has started, and may last
+	BudgetChanged                      // Request, Budget: the remaining time from now on
 )
 
-// Event is one thing a node saw. Slices in it are not kept by the Balancer.
+// Event is one event at a node. The Balancer does not keep its slices.
 type Event struct {
 	Kind    EventKind
 	Request string
@@ -255,57 +258,57 @@
 	Key     uint64
 	HasKey  bool
 	Budget  time.Duration // time left before the client abandons this try
-	Hint    time.Duration // expected work; 0 if not told
-	Repeat  bool          // the client marked it as a repeat
+	Hint    time.Duration // expected work; 0: unknown
+	Repeat  bool          // the client has marked the request as repeated
 	Write   bool
 	Attempt int
 	Backend BackendID
 	Spent   time.Duration // time since the attempt or probe was sent
 	Status  Status
-	NoMore  bool // the request is over, by this outcome or earlier
+	NoMore  bool // the request has ended, by this outcome or earlier
 	Load    Load
 	Mark    uint64
 	Peer    int
 	Payload []byte
 	Members []Member
 
-	Instances int // how many instances there are by now, this one included
+	Instances int // current number of instances, with this one
 
-	Settings *Config // kept
+	Settings *Config // the Balancer keeps it
 }
 
-// ActionKind says what to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of actions, with the Action fields each one uses.
 const (
-	Send     ActionKind = iota // Request, Backend, Limit, Within: launch the next attempt
+	Send     ActionKind = iota // Request, Backend, Limit, Within: start the next attempt
 	Cancel                     // Request, Attempt: stop waiting for an attempt
-	Refuse                     // Request, RetryIn: final; trying again is harmless
-	Fail                       // Request: final; promises nothing
+	Refuse                     // Request, RetryIn: final answer; the client may safely repeat the request
+	Fail                       // Request: final answer; a repeat may run the request twice
 	Probe                      // Backend
 	SetTimer                   // In, Mark
-	Watch                      // subscribe to changes of the list
+	Watch                      // subscribe to updates of the endpoint list
 	Unwatch                    // end the subscription
-	Fetch                      // ask for the whole list once
-	Tell                       // Peer (AllPeers for every one), Payload
-	Close                      // Backend: shut idle connections
+	Fetch                      // request the full endpoint list once
+	Tell                       // Peer (or AllPeers), Payload: send a message
+	Close                      // Backend: close idle connections
 	Log                        // Text
 )
 
-// AllPeers as Action.Peer addresses every peer.
+// AllPeers is the Action.Peer of a message to all peers.
 const AllPeers = -1
 
-// Action is one thing for the node to carry out. Attempts of a request are
+// Action is one action for the node to carry out. The attempts of a request are
 // numbered 0, 1, 2 ... in the order of its Send actions.
 type Action struct {
 	Kind    ActionKind
 	Request string
 	Backend BackendID
 	Attempt int
-	Limit   time.Duration // the attempt's time-out; 0: until the client quits
-	Within  time.Duration // a write that would begin later is not made, and the attempt Unused; 0: at any time
-	RetryIn time.Duration // advice to the client; 0: none
+	Limit   time.Duration // time-out of the attempt; 0: until the client leaves
+	Within  time.Duration // no write starts later than this, and the attempt ends as Unused; 0: no limit
+	RetryIn time.Duration // retry-after for the client; 0: none
 	In      time.Duration
 	Mark    uint64
 	Peer    int
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -1,18 +1,18 @@
-// This file holds declared weights: shares that an operator asks for, beside the estimates of queues.
+// This file holds declared weights: the shares of requests that an operator sets. They apply beside the queue estimates.
 
 package balance
 
 import "math"
 
 const (
-	// leadMost is how many places more in a queue a declared share is worth: beyond it the queues decide. A place
-	// is worth leadAims of an aim at least: where answers take next to nothing, one that took a little more would
-	// end a share. minWeight stands for a weight that is no share.
+	// maxLeadRequests is the difference in queued requests up to which shares decide. Beyond it the queues decide. A
+	// request counts at least minLeadAims of an aim: with response times close to zero, a slightly longer one would
+	// override a share. minWeight replaces weights that are too small for a share.
 	leadMost, leadAims, minWeight = 8.0, 0.01, 1e-3
 )
 
-// declared returns the mean weight of the ready servers and the spent of the one that is furthest behind its
-// share; zeros where no shares are declared.
+// declaredShares returns the mean weight of the ready backends and the smallest weightedSends, which is that of the backend
+// furthest behind its share. Both are 0 if no weights are declared.
 func (b *Balancer) declared() (weight, behind float64) {
 	if b.cfg.Weights != DeclaredWeights || len(b.ready) == 0 {
 		return 0, 0
@@ -25,7 +25,7 @@
 	return weight, behind
 }
 
-// lead is the time that a server's being ahead of its share is worth.
+// leadCost returns the cost, in seconds, of a backend's lead over its share.
 func (b *Balancer) lead(s *server, weight, behind float64) float64 {
 	if weight == 0 {
 		return 0
@@ -33,7 +33,8 @@
 	return (s.spent - behind) * weight * max(b.peerPace, leadAims*b.meanAim)
 }
 
-// spend counts a request against a declared share. None stays further behind than leadMost places: it is owed no flood.
+// countSend counts a request against a declared share. No backend stays further behind than maxLeadRequests, so that none
+// is flooded to catch up.
 func (b *Balancer) spend(s *server) {
 	weight, _ := b.declared()
 	if weight == 0 {
--- a/balance/weights_test.go
+++ b/balance/weights_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Declared weights: shares hold at any load that the backends can carry, and whatever small differences there are between
-// them; a backend that is far slower gets less; one that was away gets no flood.
+// Declared weights have to hold at any load below the capacity of the backends, and with small differences between them. A
+// backend that is far slower must get less, and one that was away must not be flooded to catch up.
 func TestDeclaredWeights(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		weights []float64
-		slow    []float64 // times slower
+		slow    []float64 // slowdown factor of each backend
 		gap     time.Duration
-		within  float64 // of the share, at any backend
+		within  float64 // allowed deviation from the share, of each backend
 		awayMid bool
 	}{
 		{"equal, one at a time", []float64{1, 1, 1}, nil, 30 * time.Millisecond, 0.01, false},
@@ -88,10 +88,10 @@
 				}
 			}
 			if flood > 10+int(leadMost) {
-				t.Errorf("%d of the first 20 after its return", flood)
+				t.Errorf("%d of the first 20 requests after its return went to it", flood)
 			}
 			if c.awayMid && most > 4*int(leadMost) {
-				t.Errorf("%d in a row: a flood", most)
+				t.Errorf("%d requests in a row to one backend", most)
 			}
 			sum := 0.0
 			for _, w := range c.weights {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost is the adapter: it hosts many instances of the decision module
-// and speaks the wire on standard input and output.
+// Command simhost is the adapter to the simulator. It runs one balance.Balancer
+// for each simulated node and exchanges messages on standard input and output.
 package main
 
 import (
@@ -20,8 +20,8 @@
 	}
 }
 
-// run answers batches until the input ends. On an error the reply in the
-// making is dropped, so that only whole replies are ever written.
+// run processes batches until the input ends. On an error it discards the
+// reply to the current batch, so that it writes whole replies only.
 func run(stdin io.Reader, stdout, notes io.Writer) error {
 	in, out := wire.NewReader(stdin), bufio.NewWriterSize(stdout, 1<<16)
 	nodes := map[string]*balance.Balancer{}
@@ -69,7 +69,7 @@
 		case wire.Happened:
 			b := nodes[m.Node]
 			if b == nil {
-				fmt.Fprintf(notes, "line %d: %s for %s, which is not alive\n", m.Line, m.Name, m.Node)
+				fmt.Fprintf(notes, "line %d: %s for %s, which is not running\n", m.Line, m.Name, m.Node)
 				continue
 			}
 			if m.UsesSheet {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -18,7 +18,7 @@
 	return o.String(), n.String(), err
 }
 
-// spawned starts the nodes on a list of one server each, by way of the same list number.
+// spawned returns the input that starts nodes, each with a list of one backend. All lists use the same number.
 func spawned(nodes ...int) string {
 	var b strings.Builder
 	b.WriteString("clock atTime=1000000000\n")
@@ -35,6 +35,7 @@
 	return fmt.Sprintf("work_item node=node_%d requestId=%s band=0 timeBudget=1000000000\n", node, id)
 }
 
+// An empty batch gets a reply, also if the clock stands still.
 func TestEmptyBatches(t *testing.T) {
 	out, _, err := runInput(t, "clock atTime=1\nyour_turn\nclock atTime=1\nyour_turn\n")
 	if err != nil || out != "ack\nack\n" {
@@ -42,7 +43,7 @@
 	}
 }
 
-// A list number used twice in one batch means another list for each node.
+// A list number may be used twice in one batch. Each node must get the list that was last sent before its event.
 func TestListNumbersAreResolvedInOrder(t *testing.T) {
 	out, _, err := runInput(t, spawned(1, 2)+"clock atTime=2000000000\n"+arrival(1, "a")+arrival(2, "b")+"your_turn\n")
 	if err != nil || !strings.Contains(out, "call_out node=node_1 requestId=a backend=101") ||
@@ -60,6 +61,7 @@
 	return out
 }
 
+// Nodes in one process share nothing: a node's actions don't depend on other nodes.
 func TestNodesActAsTheyWouldAlone(t *testing.T) {
 	var both, alone strings.Builder
 	both.WriteString(spawned(1, 2))
@@ -80,15 +82,17 @@
 	}
 }
 
+// A restarted node must not process a timer of its earlier run.
 func TestRestartForgets(t *testing.T) {
 	out, _, err := runInput(t, spawned(1)+"clock atTime=2000000000\n"+arrival(1, "a")+"teardown node=node_1\n"+
 		strings.TrimPrefix(spawned(1), "clock atTime=1000000000\n")+
 		"clock atTime=4000000000\nbell node=node_1 mark=1\nyour_turn\n")
 	if err != nil || !strings.HasSuffix(out, "ack\nack\n") {
-		t.Fatalf("a timer of the earlier life was answered: %s %v", out, err)
+		t.Fatalf("a timer of the earlier run was processed: %s %v", out, err)
 	}
 }
 
+// Events for a node that isn't running, and unknown messages, are noted and otherwise ignored.
 func TestEventsForTheDeadAreNoted(t *testing.T) {
 	out, notes, err := runInput(t, "clock atTime=1\nbell node=node_9 mark=1\nweather sky=blue\nyour_turn\n")
 	if err != nil || out != "ack\n" || !strings.Contains(notes, "node_9") || !strings.Contains(notes, "weather") {
@@ -96,7 +100,7 @@
 	}
 }
 
-// Only whole replies go out: a batch that breaks off leaves nothing of itself.
+// Only whole replies are written: a batch that ends in an error leaves no part of a reply.
 func TestBadInputEndsWithoutAPartOfAReply(t *testing.T) {
 	for _, bad := range []string{
 		"clock atTime=2000000000\n" + arrival(1, "a") + "bell node=node_1\nyour_turn\n",
