--- a/balance/balance.go
+++ b/balance/balance.go
@@ -15,190 +15,198 @@
 const (
 	// Each arrival earns as many probes as cost probeCostBudget points of the result. At most
 	// maxProbesPerTick are sent in a tick.
-	probesPerTick, probeSpend = 3, 0.004
+	maxProbesPerTick, probeCostBudget = 3, 0.004
 	// An arrival is held for its probes for at most maxHoldFraction of its aim. A node probes backends
 	// twice in a row at most maxProbePairs times, to learn the interval between two of their load reports.
-	holdMost, pairsMost = 0.05, 16
+	maxHoldFraction, maxProbePairs = 0.05, 16
 	// Nodes use warmUpBudgetFraction of the warm-up budget; the rest covers uneven work. The budget of
 	// warmUpBurstSeconds may be used at once. Unused budget is kept for warmUpHoldWindows. An old peak of
 	// the warm rate decays by warmRateDecay a window; warmRateDeviations standard deviations are chance.
-	coldMargin, coldBurst, coldHold, rateDecay, rateDeviations = 0.4, 0.1, 0.5, 0.97, 1.75
+	warmUpBudgetFraction, warmUpBurstSeconds, warmUpHoldWindows,
+	warmRateDecay, warmRateDeviations = 0.4, 0.1, 0.5, 0.97, 1.75
 	// A node uses minSubsetSize backends of each zone, or one for each request in subsetSeconds if more.
-	subsetServers, subsetSpan = 8, 0.5
+	minSubsetSize, subsetSeconds = 8, 0.5
 	// The mean peer load of a zone is averaged over meanSeconds, or over sharedMeanSeconds where the
 	// reports of all nodes arrive, and the baseline of a backend over baselineSeconds. maxMeanWeight and
 	// maxBaselineWeight limit the weight of a single report.
-	meanSpan, meanMost, usualSpan, usualMost, meanLeast = 4.0, 0.25, 15.0, 0.1, 1.0
+	meanSeconds, maxMeanWeight, baselineSeconds, maxBaselineWeight,
+	sharedMeanSeconds = 4.0, 0.25, 15.0, 0.1, 1.0
 	// A first attempt adds retryBudgetPerRequest to the retry budget, which holds at most maxRetryBudget.
-	retryEarn, retryMost = 0.1, 20.0
+	retryBudgetPerRequest, maxRetryBudget = 0.1, 20.0
 	// initialServiceAims, in aims, is the service time and the time of a request until there is a response.
 	// A new response has the weight sampleWeight. Without responses, the service time of a backend moves
 	// idleDecay of the way to the mean in each window.
-	firstPace, paceWeight, forget = 0.1, 0.05, 0.3
+	initialServiceAims, sampleWeight, idleDecay = 0.1, 0.05, 0.3
 	// A certain failure costs failureCostAims. An outcome has the weight failureSampleWeight in the failure
 	// rate of a backend. The rate decays by failureRateDecay a window, so that traffic returns. Chance
 	// explains a difference of up to noiseDeviations standard deviations.
-	failAims, failWeight, failFade, deviations = 3.0, 0.1, 0.25, 2.0
+	failureCostAims, failureSampleWeight, failureRateDecay, noiseDeviations = 3.0, 0.1, 0.25, 2.0
 	// crossZoneCostAims is the wait, in aims, that costs as much as the whole worth of a request.
-	crossAims = 1.5
+	crossZoneCostAims = 1.5
 	// A tenant's share is a token bucket of shareBurstSeconds of its rate, but at least minShareBurst: of a
 	// share spread over hundreds of nodes, each receives a request now and then, and a few may coincide.
-	shareSpan, shareLeast = 1.0, 4.0
+	shareBurstSeconds, minShareBurst = 1.0, 4.0
 	// worthSampleWeight is the weight of a request in the mean worth. Worth changes the longest wait by a
 	// factor of at most maxAdmissionWeight.
-	valueWeight, weightMost = 0.01, 2.0
+	worthSampleWeight, maxAdmissionWeight = 0.01, 2.0
 	// The log reports a backend as failing above highFailureRate, which is more than a single failure, and
 	// as recovered below lowFailureRate. Silence costs beyond silenceGraceFactor times the expected time.
-	failsHigh, failsLow, silentQueues = 0.11, 0.02, 2
+	highFailureRate, lowFailureRate, silenceGraceFactor = 0.11, 0.02, 2
 	// The admission factor is the part of the headroom that queues may take up. It changes with the
 	// responses, by admissionRate a second and maxAdmissionStep a response at most, and stays level while
 	// one in lateOneIn is late. Of the requests to be rejected within their tenant's share, one in
 	// trialOneIn is sent all the same: its response shows whether rejecting is right. Like a congestion
 	// window, the factor grows only while at least minUtilization of it is used (RFC 7661).
-	admissionSpeed, admissionStep, lateOnce, probeOnce    = 2.0, 0.1, 20, 20
-	admissionFirst, admissionLeast, admissionMost, tested = 0.3, 0.12, 4.0, 0.5
+	admissionRate, maxAdmissionStep, lateOneIn, trialOneIn       = 2.0, 0.1, 20, 20
+	initialAdmission, minAdmission, maxAdmission, minUtilization = 0.3, 0.12, 4.0, 0.5
 	// A backend with a queue estimate up to maxIdleQueue is idle. A response that met a queue up to
 	// maxEmptyQueue shows the base time, with the weight baseTimeWeight. The mean of all classes counts as
 	// priorSamples of each class: response times deviate by about their mean, so two samples can only show
 	// that classes differ by more than 0.7 of it.
-	idleEntry, freeEntry, baseWeight, priorAnswers = 0.1, 1.0, 0.03, 2
+	maxIdleQueue, maxEmptyQueue, baseTimeWeight, priorSamples = 0.1, 1.0, 0.03, 2
 	// intervalFallWeight and intervalRiseWeight move the report interval to a shorter or a longer one.
-	fallWeight, riseWeight = 0.3, 0.01
+	intervalFallWeight, intervalRiseWeight = 0.3, 0.01
 	// A failed discovery call is repeated after AskEvery/watchRetryParts, later above watchRetryNodes
 	// nodes, and after maxWatchRetryInterval at most. With a call of discoveryCallTimeout this is 6 s, when
 	// an update counts as received. The interval exceeds it only after maxWatchTimeouts calls timed out.
-	rewatchParts, rewatchNodes      = 20, 8
-	rewatchMost, callMost, vainMost = 4 * time.Second, 2 * time.Second, 2
+	watchRetryParts, watchRetryNodes                              = 20, 8
+	maxWatchRetryInterval, discoveryCallTimeout, maxWatchTimeouts = 4 * time.Second, 2 * time.Second, 2
 	// maxStall is the longest time for which a node may be held up between reading the clock and its write.
-	heldUpMost = 150 * time.Millisecond
+	maxStall = 150 * time.Millisecond
 )
 
 // Balancer makes the decisions of one node.
 type Balancer struct {
-	cfg                Config
-	rng                *rand.Rand
-	now                time.Duration
-	out                []Action
-	servers            map[BackendID]*server
-	ready              []*server // backends that requests may go to, by id
-	ranked             []*server // all backends, by rank
-	unsorted, outdated bool      // ranked has to be sorted; ready has to be rebuilt
+	cfg      Config
+	rng      *rand.Rand
+	now      time.Duration
+	actions  []Action
+	backends map[BackendID]*backend
+	ready    []*backend // backends that requests may go to, by id
+	ranked   []*backend // all backends, by rank
+
+	needsSort, needsSubset bool // ranked has to be sorted; ready has to be rebuilt
 
 	requests map[string]*request
 	timers   map[uint64]timer
 	held     []*request // arrivals that wait for the probes of their tick
-	refused  int        // rejected requests
-
-	asked, pairs       int // pending probes of held requests; backends that were probed twice in a row
-	lastMark           uint64
-	probedAt           time.Duration // the last tick that sent probes
-	classes            []classStats
-	warmRate           float64       // this node's part of the mean requests a second of one warm backend
-	rolledAt, judgedAt time.Duration // start of the window; last response that counted for admission
-	probeDue           float64       // probes that arrivals have earned
-	admission          float64       // part of the headroom that queues may take up
-	subsetSize         int           // backends of a zone that this node uses
-	listed             map[int]int   // ready backends of each zone, without the failing ones
-	gap                float64       // mean time between responses, seconds
-	shares             []share
-
-	crowded, blind     bool          // responses are late; discovery calls fail: as logged
-	refusals, vain     int           // failed calls since the last list; those that timed out
-	freedAt, watchedAt time.Duration // last refill of the retry budget; last repeated discovery call
-	allFail, allBroke  float64       // mean rate of all failures, and of errors and broken attempts
-	meanValue          float64       // running mean of the worth of requests for each unit of work
-	meanAim            float64       // mean aim of the classes, seconds
-	peerPace           float64       // service time over all responses, from the two means below
-
-	allTime, allDepth, answers float64 // response time (seconds), queue at the send, number of responses
-
-	recent       slowdown
-	all          crowd // peer load over all backends
-	zones        map[int]*crowd
-	names        map[uint32]*server // by the name that all nodes use
-	numbers      map[int]uint16     // sequence number of the last message of each peer
-	passed       uint16             // sequence number of the last message to peers
-	passDue      float64            // messages that load reports have earned
-	perSecond    float64            // requests a second that this node should receive
-	complainedAt time.Duration      // last log line on an invalid message of a peer
-	cold         crowd              // peer load over cold backends
-	retries      float64            // attempts that may be repeated
-	probes       float64            // probes sent
-	refresh      float64            // seconds between two different load reports of a backend
+	rejected int        // rejected requests
+
+	pendingProbes, probePairs int // probes that held requests wait for; backends probed twice in a row
+
+	lastMark uint64
+	probedAt time.Duration // the last tick that sent probes
+	classes  []classStats
+	warmRate float64 // this node's part of the mean requests a second of one warm backend
+
+	windowStartedAt, lastAdjustedAt time.Duration // lastAdjustedAt: of the admission factor
+
+	probeCredit     float64     // probes that arrivals have earned
+	admissionFactor float64     // part of the headroom that queues may take up
+	subsetSize      int         // backends of a zone that this node uses
+	listedByZone    map[int]int // ready backends of each zone, without the failing ones
+	responseGap     float64     // mean time between responses, seconds
+	shareBuckets    []tokenBucket
+
+	responsesLate, discoveryFailing bool          // as logged
+	failedWatches, timedOutWatches  int           // failed discovery calls since the last list; time-outs
+	retriesRefilledAt, watchedAt    time.Duration // watchedAt: the last repeated discovery call
+	meanFailureRate, meanErrorRate  float64       // all failures; errors and broken attempts only
+
+	meanWorth       float64 // running mean of the worth of requests for each unit of work
+	meanAim         float64 // mean aim of the classes, seconds
+	meanServiceTime float64 // service time over all responses, from the next two fields
+
+	meanResponseTime, meanQueueMet, responses float64 // seconds; queue at the send; number of responses
+
+	recent        slowdown
+	allLoad       peerLoadMean // peer load over all backends
+	zoneLoads     map[int]*peerLoadMean
+	byName        map[uint32]*backend // by the name that all nodes use
+	peerSequences map[int]uint16      // sequence number of the last message of each peer
+	sentSequence  uint16              // sequence number of the last message to peers
+	forwardCredit float64             // messages that load reports have earned
+	requestRate   float64             // requests a second that this node should receive
+
+	badMessageLoggedAt time.Duration // last log line on an invalid message of a peer
+
+	coldLoad       peerLoadMean // peer load over cold backends
+	retryBudget    float64      // attempts that may be repeated
+	probesSent     float64      // probes sent
+	reportInterval float64      // seconds between two different load reports of a backend
 }
 
 // backend is one entry of the endpoint list.
-type server struct {
+type backend struct {
 	Member
-	zone *crowd  // peer load over its zone
-	more float64 // usual peer load here, beyond the mean of the zone
-	told float64 // peer load by the last report or probe
-
-	toldAt      time.Duration
-	fails       float64       // failure rate
-	failed      bool          // traffic is withheld, as logged
-	owesAt      time.Duration // last sign, or the first send since no attempt was pending
-	out         float64       // pending attempts of this node
-	open        float64       // those of them that are streams with a started response
-	unconfirmed float64       // attempts that were not accepted since the last report
-	seen        float64       // queue by the last report
-	seenAt      time.Duration // when that report was first received
-	time        float64       // running mean of the response time, seconds
-	depth       float64       // running mean of the queue estimate that those responses met
-	heard       time.Duration // last response
-	credit      float64       // mean requests that may be sent during warm-up, as of the time below
-	granted     time.Duration
-	served      float64       // work done since the window began, in mean requests
-	since       time.Duration // when this process was first listed
-	used        bool          // a request was sent to this process
-	spent       float64       // requests sent, each divided by the declared weight
-	rank        uint64        // position in this node's own order of the backends
+	zoneLoad       *peerLoadMean // peer load over its zone
+	peerLoadOffset float64       // usual peer load here, beyond the mean of the zone
+	lastPeerLoad   float64       // peer load by the last report or probe
+	peerLoadAt     time.Duration
+	failureRate    float64
+	isFailing      bool          // traffic is withheld, as logged
+	silentSince    time.Duration // last sign, or the first send since no attempt was pending
+	inFlight       float64       // pending attempts of this node
+	openStreams    float64       // those of them that are streams with a started response
+	unconfirmed    float64       // attempts that were not accepted since the last report
+	reportedQueue  float64       // queue by the last report
+	reportedAt     time.Duration // when that report was first received
+	responseTime   float64       // running mean of the response time, seconds
+	queueMet       float64       // running mean of the queue estimate that those responses met
+	lastResponseAt time.Duration
+	warmUpBudget   float64 // mean requests that may be sent during warm-up, as of warmUpBudgetAt
+	warmUpBudgetAt time.Duration
+	servedWork     float64       // work done since the window began, in mean requests
+	listedAt       time.Duration // when this process was first listed
+	wasUsed        bool          // a request was sent to this process
+	weightedSends  float64       // requests sent, each divided by the declared weight
+	rank           uint64        // position in this node's own order of the backends
 }
 
 // request is one client request that this node has received.
 type request struct {
-	id                      string
-	class                   *Class
-	stats                   *classStats
-	tenant                  int
-	hint, arrived, deadline time.Duration
-	attempts                []attempt
-	pending                 int
-	ended                   bool // the final answer is sent
-	streamed                bool // the response has started, so the client has it
-	mark                    uint64
+	id                        string
+	class                     *Class
+	stats                     *classStats
+	tenant                    int
+	hint, arrivedAt, deadline time.Duration
+	attempts                  []attempt
+	pendingAttempts           int
+	ended                     bool // the final answer is sent
+	streamStarted             bool // the response has started, so the client has it
+	deadlineMark              uint64
 }
 
 // timer holds what a Timer event is for: the deadline of a request, the end of its hold, a second probe, or
 // a repeated call to discovery if all fields are nil.
 type timer struct {
-	end, hold *request
-	again     *server
+	expiring, heldRequest *request
+	reprobe               *backend
 }
 
 // attempt is one copy of a request at a backend.
 type attempt struct {
-	to         *server
-	zone, cell int // the group at the send: an update may move the backend, or remove it without a group
-	at         time.Duration
-	met        float64 // queue estimate at the send
-	wait       float64 // time that this queue takes, seconds
-	pending    bool
-	mayRun     bool // it may have run, or may still run
-	open       bool // a stream with a started response
+	backend         *backend
+	zone, cell      int // the group at the send: an update may move the backend, or remove it without a group
+	sentAt          time.Duration
+	queueMet        float64 // queue estimate at the send
+	queueTime       float64 // time that this queue takes, seconds
+	pending         bool
+	mayHaveRun      bool // it may have run, or may still run
+	responseStarted bool // a stream with a started response
 }
 
 // classStats holds what a node has learned about a class.
 type classStats struct {
-	base float64 // mean response time without a queue, seconds
-	seen float64 // responses that base is learned from
-	free float64 // those that met no queue
+	baseTime        float64 // mean response time without a queue, seconds
+	samples         float64 // responses that base is learned from
+	unqueuedSamples float64 // those that met no queue
 }
 
 // tokenBucket is the rest of a tenant's share at this node.
-type share struct {
-	left float64 // requests
-	at   time.Duration
+type tokenBucket struct {
+	tokens    float64 // requests
+	updatedAt time.Duration
 }
 
 // New returns a Balancer for one node. Equal seeds and events give equal actions.
@@ -211,21 +219,22 @@
 	}
 	aim := meanAim(cfg.Classes)
 	cfg.Instances, cfg.Limits.MaxAttempts = max(cfg.Instances, 1), max(cfg.Limits.MaxAttempts, 1)
-	var perSecond float64
+	var requestRate float64
 	for _, t := range cfg.Tenants {
-		perSecond += t.QuotaPerSecond / float64(cfg.Instances)
+		requestRate += t.QuotaPerSecond / float64(cfg.Instances)
 	}
-	perSecond = cmp.Or(perSecond, math.MaxInt32) // no quotas: use all backends
+	requestRate = cmp.Or(requestRate, math.MaxInt32) // no quotas: use all backends
 	return &Balancer{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)),
-		servers: map[BackendID]*server{}, requests: map[string]*request{},
-		timers: map[uint64]timer{}, zones: map[int]*crowd{}, probedAt: -1,
-		names: map[uint32]*server{}, numbers: map[int]uint16{}, perSecond: perSecond,
-		meanAim: aim, gap: aim, peerPace: firstPace * aim, admission: admissionFirst,
-		recent:     slowdown{factor: 1},
-		subsetSize: max(subsetServers, int(perSecond*subsetSpan)),
-		classes:    make([]classStats, len(cfg.Classes)),
-		shares:     slices.Repeat([]share{{left: shareLeast}}, len(cfg.Tenants)),
+		backends: map[BackendID]*backend{}, requests: map[string]*request{},
+		timers: map[uint64]timer{}, zoneLoads: map[int]*peerLoadMean{}, probedAt: -1,
+		byName: map[uint32]*backend{}, peerSequences: map[int]uint16{}, requestRate: requestRate,
+		meanAim: aim, responseGap: aim, meanServiceTime: initialServiceAims * aim,
+		admissionFactor: initialAdmission,
+		recent:          slowdown{factor: 1},
+		subsetSize:      max(minSubsetSize, int(requestRate*subsetSeconds)),
+		classes:         make([]classStats, len(cfg.Classes)),
+		shareBuckets:    slices.Repeat([]tokenBucket{{tokens: minShareBurst}}, len(cfg.Tenants)),
 	}, nil
 }
 
@@ -241,27 +250,27 @@
 }
 
 // applySettings replaces the settings in use. Requests in progress keep their class as it was.
-func (b *Balancer) adopt(cfg *Config) {
-	was, known, mean := b.cfg, b.classes, b.meanBase()
+func (b *Balancer) applySettings(cfg *Config) {
+	oldConfig, oldStats, oldBaseTime := b.cfg, b.classes, b.meanBaseTime()
 	b.cfg = *cfg
-	b.cfg.Index, b.cfg.Instances, b.cfg.Zone = was.Index, was.Instances, was.Zone
+	b.cfg.Index, b.cfg.Instances, b.cfg.Zone = oldConfig.Index, oldConfig.Instances, oldConfig.Zone
 	b.cfg.Limits.MaxAttempts = max(cfg.Limits.MaxAttempts, 1)
 	b.meanAim, b.classes = meanAim(cfg.Classes), make([]classStats, len(cfg.Classes))
-	for i := range min(len(known), len(b.classes)) {
-		if !was.Classes[i].Gone { // another class may have its number now
-			b.classes[i] = known[i]
+	for i := range min(len(oldStats), len(b.classes)) {
+		if !oldConfig.Classes[i].Gone { // another class may have its number now
+			b.classes[i] = oldStats[i]
 		}
 	}
-	b.warmRate *= mean / max(b.meanBase(), 1e-6)
-	for i := len(b.shares); i < len(cfg.Tenants); i++ {
-		b.shares = append(b.shares, share{left: shareLeast, at: b.now})
+	b.warmRate *= oldBaseTime / max(b.meanBaseTime(), 1e-6)
+	for i := len(b.shareBuckets); i < len(cfg.Tenants); i++ {
+		b.shareBuckets = append(b.shareBuckets, tokenBucket{tokens: minShareBurst, updatedAt: b.now})
 	}
 }
 
 // Handle processes one event and appends the resulting actions to out.
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
-	b.now, b.out = max(b.now, now), out // time must not go back
-	b.rollRates()
+	b.now, b.actions = max(b.now, now), out // time must not go back
+	b.closeWindow()
 	switch ev.Kind {
 	case MembersRemembered, MembersAll, MembersChanged, MembersRefused:
 		b.onMembers(&ev)
@@ -269,64 +278,64 @@
 		b.onRequest(&ev)
 	case StreamStarted:
 		if r := b.requests[ev.Request]; r != nil {
-			r.streamed = true
+			r.streamStarted = true
 		}
 	case ClientGone:
 		if r := b.requests[ev.Request]; r != nil {
-			b.end(r)
+			b.finish(r)
 		}
 	case BudgetChanged:
-		b.endIn(b.requests[ev.Request], ev.Budget)
+		b.setDeadline(b.requests[ev.Request], ev.Budget)
 	case Timer:
 		b.onTimer(ev.Mark)
 	case Probed:
-		if s := b.servers[ev.Backend]; s != nil {
-			b.report(s, ev.Load)
-			b.pass(s, ev.Load)
-			if b.pairs < pairsMost && s.seen > 0 {
-				b.pairs++
-				gap := cmp.Or(b.refresh, 2*b.peerPace) / 2
-				b.setTimer(time.Duration(gap*float64(time.Second)), timer{again: s})
+		if s := b.backends[ev.Backend]; s != nil {
+			b.applyReport(s, ev.Load)
+			b.forwardReport(s, ev.Load)
+			if b.probePairs < maxProbePairs && s.reportedQueue > 0 {
+				b.probePairs++
+				gap := cmp.Or(b.reportInterval, 2*b.meanServiceTime) / 2
+				b.setTimer(time.Duration(gap*float64(time.Second)), timer{reprobe: s})
 			}
 		}
-		if b.asked--; b.asked <= 0 {
-			b.release()
+		if b.pendingProbes--; b.pendingProbes <= 0 {
+			b.releaseHeld()
 		}
 	case Outcome:
 		b.onOutcome(&ev)
 	case StreamAnswered:
-		b.onAnswered(&ev)
+		b.onStreamAnswered(&ev)
 	case PeerMessage:
-		b.onHearsay(&ev)
+		b.onPeerMessage(&ev)
 	case SettingsChanged:
-		b.adopt(ev.Settings)
+		b.applySettings(ev.Settings)
 	case InstancesCounted: // the warm-up budget and the shares of tenants are divided by the new count
 		b.warmRate *= float64(b.cfg.Instances) / float64(max(ev.Instances, 1))
 		b.cfg.Instances = max(ev.Instances, 1)
 	}
-	out, b.out = b.out, nil
+	out, b.actions = b.actions, nil
 	return out
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) log(text string) { b.do(Action{Kind: Log, Text: text}) }
+func (b *Balancer) log(text string) { b.emit(Action{Kind: Log, Text: text}) }
 
 // logTransition logs when a condition begins and when it ends.
-func (b *Balancer) state(is *bool, begins, ends bool, begin, end string) {
+func (b *Balancer) logTransition(current *bool, begins, ends bool, beginText, endText string) {
 	switch {
-	case begins && !*is:
-		b.log(begin)
-	case ends && *is:
-		b.log(end)
+	case begins && !*current:
+		b.log(beginText)
+	case ends && *current:
+		b.log(endText)
 	}
-	*is = (*is || begins) && !ends
+	*current = (*current || begins) && !ends
 }
 
 func (b *Balancer) setTimer(in time.Duration, t timer) {
 	b.lastMark++
 	b.timers[b.lastMark] = t
-	b.do(Action{Kind: SetTimer, In: in, Mark: b.lastMark})
+	b.emit(Action{Kind: SetTimer, In: in, Mark: b.lastMark})
 }
 
 func (b *Balancer) onTimer(mark uint64) {
@@ -334,19 +343,19 @@
 	delete(b.timers, mark)
 	switch {
 	case !ok:
-	case t.hold != nil:
-		if slices.Contains(b.held, t.hold) {
-			b.release() // a probe without a result is no reason to wait longer
+	case t.heldRequest != nil:
+		if slices.Contains(b.held, t.heldRequest) {
+			b.releaseHeld() // a probe without a result is no reason to wait longer
 		}
-	case t.again != nil:
-		if t.again.Phase == Ready {
-			b.do(Action{Kind: Probe, Backend: t.again.Backend})
+	case t.reprobe != nil:
+		if t.reprobe.Phase == Ready {
+			b.emit(Action{Kind: Probe, Backend: t.reprobe.Backend})
 		}
-	case t.end == nil:
+	case t.expiring == nil:
 		b.watchedAt = b.now
-		b.do(Action{Kind: Watch})
-	case !t.end.ended && !t.end.streamed:
-		b.answer(t.end)
+		b.emit(Action{Kind: Watch})
+	case !t.expiring.ended && !t.expiring.streamStarted:
+		b.sendFinalAnswer(t.expiring)
 	}
 }
 
@@ -356,96 +365,96 @@
 	}
 	r := &request{
 		id: ev.Request, class: &b.cfg.Classes[ev.Class], stats: &b.classes[ev.Class], tenant: ev.Tenant,
-		hint: ev.Hint, arrived: b.now,
+		hint: ev.Hint, arrivedAt: b.now,
 	}
 	b.requests[r.id] = r
-	b.endIn(r, ev.Budget)
-	b.probe()
-	b.meanValue = cmp.Or(b.meanValue, b.value(r))
-	b.meanValue += valueWeight * (b.value(r) - b.meanValue)
-	if b.asked > 0 {
+	b.setDeadline(r, ev.Budget)
+	b.sendProbes()
+	b.meanWorth = cmp.Or(b.meanWorth, b.worthPerWork(r))
+	b.meanWorth += worthSampleWeight * (b.worthPerWork(r) - b.meanWorth)
+	if b.pendingProbes > 0 {
 		b.held = append(b.held, r)
-		b.setTimer(min(time.Duration(holdMost*float64(r.class.Aim)), ev.Budget), timer{hold: r})
+		b.setTimer(min(time.Duration(maxHoldFraction*float64(r.class.Aim)), ev.Budget), timer{heldRequest: r})
 		return
 	}
-	b.place(r)
+	b.dispatch(r)
 }
 
 // setDeadline sets the time within which a request gets its final answer, whatever happens to its attempts.
-func (b *Balancer) endIn(r *request, in time.Duration) {
+func (b *Balancer) setDeadline(r *request, in time.Duration) {
 	if r != nil && !r.ended {
-		delete(b.timers, r.mark)
-		b.setTimer(in, timer{end: r})
-		r.deadline, r.mark = b.now+in, b.lastMark
+		delete(b.timers, r.deadlineMark)
+		b.setTimer(in, timer{expiring: r})
+		r.deadline, r.deadlineMark = b.now+in, b.lastMark
 	}
 }
 
 // releaseHeld dispatches the held requests. With little traffic the queue estimates of a node are older
 // than a queue lasts. Only the probes of the same tick are current, so a request waits for them for one
 // round trip.
-func (b *Balancer) release() {
+func (b *Balancer) releaseHeld() {
 	held := slices.DeleteFunc(b.held, func(r *request) bool { return r.ended })
-	b.held, b.asked = nil, 0
+	b.held, b.pendingProbes = nil, 0
 	for _, r := range held {
-		b.place(r)
+		b.dispatch(r)
 	}
 }
 
 // dispatch sends an attempt of a request, or its final answer if no attempt is possible.
-func (b *Balancer) place(r *request) {
-	again := len(r.attempts) > 0 // without a budget, retries multiply the load on full backends
-	b.freeRetries()
-	most := cmp.Or(r.class.Attempts, b.cfg.Limits.MaxAttempts)
-	spent := b.now >= r.deadline || len(r.attempts) >= most || again && b.retries < 1
-	var s *server
-	if !spent {
-		s = b.pick(r, b.bound(r))
-	}
-	if left := b.shareLeft(r); s == nil && !spent && !again && (left == nil || *left >= 1) {
-		if b.refused++; b.refused%probeOnce == 0 {
+func (b *Balancer) dispatch(r *request) {
+	isRetry := len(r.attempts) > 0 // without a budget, retries multiply the load on full backends
+	b.refillRetryBudget()
+	maxAttempts := cmp.Or(r.class.Attempts, b.cfg.Limits.MaxAttempts)
+	exhausted := b.now >= r.deadline || len(r.attempts) >= maxAttempts || isRetry && b.retryBudget < 1
+	var s *backend
+	if !exhausted {
+		s = b.pick(r, b.maxWait(r))
+	}
+	if tokens := b.shareTokens(r); s == nil && !exhausted && !isRetry && (tokens == nil || *tokens >= 1) {
+		if b.rejected++; b.rejected%trialOneIn == 0 {
 			s = b.pick(r, math.Inf(1)) // a node that rejects all gets no responses to correct its estimates
 		}
 	}
 	if s == nil {
-		b.answer(r)
+		b.sendFinalAnswer(r)
 		return
 	}
-	if again {
-		b.retries--
+	if isRetry {
+		b.retryBudget--
 	} else {
-		b.retries = min(b.retries+retryEarn, retryMost)
-		if left := b.shareLeft(r); left != nil {
-			*left = max(*left-1, 0)
+		b.retryBudget = min(b.retryBudget+retryBudgetPerRequest, maxRetryBudget)
+		if tokens := b.shareTokens(r); tokens != nil {
+			*tokens = max(*tokens-1, 0)
 		}
 	}
 	b.send(r, s)
 }
 
 // pick returns the permitted backend with the lowest score, or nil. It breaks ties at random.
-func (b *Balancer) pick(r *request, bound float64) *server {
-	var best *server
-	least, ties := 0.0, 0
-	base, again := b.meanBase()/b.recent.factor, len(r.attempts) > 0
-	weight, behind := b.declared()
+func (b *Balancer) pick(r *request, maxWait float64) *backend {
+	var best *backend
+	lowest, ties := 0.0, 0
+	baseTime, isRetry := b.meanBaseTime()/b.recent.factor, len(r.attempts) > 0
+	meanWeight, minSends := b.declaredShares()
 	for _, s := range b.ready {
-		if again && (r.tried(s) || !b.mayGo(r, s)) || !b.coldAllows(r, s) {
+		if isRetry && (r.tried(s) || !b.mayRetryOn(r, s)) || !b.warmUpAllows(r, s) {
 			continue
 		}
-		pace := b.pace(s)
-		queue := b.others(s, pace) + s.out + s.unconfirmed
-		cost := b.costOf(s, queue, pace)
+		serviceTime := b.serviceTime(s)
+		queue := b.peerLoad(s, serviceTime) + s.inFlight + s.unconfirmed
+		cost := b.costOf(s, queue, serviceTime)
 		// A request doesn't wait at an idle backend, however slow the backend is.
-		if queue > idleEntry && cost-b.handicap(s)-base-b.chance(s) > bound {
+		if queue > maxIdleQueue && cost-b.crossZoneCost(s)-baseTime-b.failureNoise(s) > maxWait {
 			continue
 		}
 		// Own attempts count twice. Otherwise each node settles on backends of its own.
-		entry := cost + s.out*pace + b.lead(s, weight, behind)
-		if s.Returned && !s.used {
-			entry = -1 // operators soon see it in use, within its warm-up budget
+		score := cost + s.inFlight*serviceTime + b.leadCost(s, meanWeight, minSends)
+		if s.Returned && !s.wasUsed {
+			score = -1 // operators soon see it in use, within its warm-up budget
 		}
-		if best == nil || entry < least {
-			best, least, ties = s, entry, 1
-		} else if entry == least {
+		if best == nil || score < lowest {
+			best, lowest, ties = s, score, 1
+		} else if score == lowest {
 			if ties++; b.rng.IntN(ties) == 0 {
 				best = s
 			}
@@ -454,31 +463,32 @@
 	return best
 }
 
-func (r *request) tried(s *server) bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.to == s })
+func (r *request) tried(s *backend) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.backend == s })
 }
 
-func (b *Balancer) send(r *request, s *server) {
-	met := b.estimate(s)
+func (b *Balancer) send(r *request, s *backend) {
+	queue := b.queueEstimate(s)
 	var within time.Duration
-	if first := r.firstRun(); first != nil && r.class.Effect == Keyed {
-		within = first.repeatBy(r.class) - b.now
+	if first := r.firstPossibleRun(); first != nil && r.class.Effect == Keyed {
+		within = first.retryUntil(r.class) - b.now
 	}
-	r.attempts = append(r.attempts, attempt{to: s, zone: s.Zone, cell: s.Cell,
-		at: b.now, met: met, wait: met * b.pace(s), pending: true, mayRun: true})
-	if s.out == s.open {
-		s.owesAt = b.now
+	r.attempts = append(r.attempts, attempt{backend: s, zone: s.Zone, cell: s.Cell,
+		sentAt: b.now, queueMet: queue, queueTime: queue * b.serviceTime(s), pending: true, mayHaveRun: true})
+	if s.inFlight == s.openStreams {
+		s.silentSince = b.now
 	}
-	s.out++
-	s.used = true
-	b.spend(s)
-	s.credit -= b.work(r) / max(b.meanBase(), 1e-6)
-	r.pending++
-	b.do(Action{Kind: Send, Request: r.id, Backend: s.Backend, Attempt: len(r.attempts) - 1, Within: within})
+	s.inFlight++
+	s.wasUsed = true
+	b.countSend(s)
+	s.warmUpBudget -= b.work(r) / max(b.meanBaseTime(), 1e-6)
+	r.pendingAttempts++
+	b.emit(Action{Kind: Send, Request: r.id, Backend: s.Backend, Attempt: len(r.attempts) - 1,
+		Within: within})
 }
 
 // pendingAttempt returns the attempt that an event refers to, or nil if it isn't pending.
-func (b *Balancer) pending(ev *Event) (*request, *attempt) {
+func (b *Balancer) pendingAttempt(ev *Event) (*request, *attempt) {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].pending {
 		return nil, nil
@@ -487,198 +497,202 @@
 }
 
 // onStreamAnswered records that the response of a stream has started. No further sign is expected of it.
-func (b *Balancer) onAnswered(ev *Event) {
-	if _, a := b.pending(ev); a != nil && !a.open {
-		a.open = true
-		a.to.open++
-		a.to.owesAt = b.now
+func (b *Balancer) onStreamAnswered(ev *Event) {
+	if _, a := b.pendingAttempt(ev); a != nil && !a.responseStarted {
+		a.responseStarted = true
+		a.backend.openStreams++
+		a.backend.silentSince = b.now
 	}
 }
 
 func (b *Balancer) onOutcome(ev *Event) {
-	r, a := b.pending(ev)
+	r, a := b.pendingAttempt(ev)
 	if a == nil {
 		return
 	}
-	a.pending, a.mayRun = false, !ev.Status.NeverRan()
-	r.pending--
-	a.to.out--
-	if a.open {
-		a.to.open--
+	a.pending, a.mayHaveRun = false, !ev.Status.NeverRan()
+	r.pendingAttempts--
+	a.backend.inFlight--
+	if a.responseStarted {
+		a.backend.openStreams--
 	}
 	if ev.Status != Delivered {
 		// The attempt was not accepted. It counts in the queue estimate until the next report, because a
 		// backend that fails fast looks idle.
-		a.to.unconfirmed++
+		a.backend.unconfirmed++
 	}
 	// A time-out at a silent backend is a fault of that backend, not a sign of overload.
-	if ev.Status != Expired || a.to.owesAt > a.at {
-		b.pressure(ev.Status, b.now-r.arrived-r.class.Aim, a.wait)
+	if ev.Status != Expired || a.backend.silentSince > a.sentAt {
+		b.adjustAdmission(ev.Status, b.now-r.arrivedAt-r.class.Aim, a.queueTime)
 	}
-	b.judge(a.to, ev.Status, a.at)
-	b.compare(a.to)
-	b.report(a.to, ev.Load)
+	b.updateFailureRate(a.backend, ev.Status, a.sentAt)
+	b.compareFailureRate(a.backend)
+	b.applyReport(a.backend, ev.Load)
 	if ev.Status == Delivered {
-		b.learnBase(r, a, ev.Spent.Seconds())
-		a.to.served += b.work(r) / max(b.meanBase(), 1e-6)
-		b.learn(a.to, r, a, ev.Spent)
+		b.learnBaseTime(r, a, ev.Spent.Seconds())
+		a.backend.servedWork += b.work(r) / max(b.meanBaseTime(), 1e-6)
+		b.learnServiceTime(a.backend, r, a, ev.Spent)
 	}
 	r.ended = r.ended || ev.NoMore
 	switch {
 	case r.ended:
-		b.end(r)
-	case r.streamed: // the client has the stream, so there is no final answer to send
-	case r.pending == 0:
-		b.place(r)
+		b.finish(r)
+	case r.streamStarted: // the client has the stream, so there is no final answer to send
+	case r.pendingAttempts == 0:
+		b.dispatch(r)
 	}
-	b.forget(a.to)
+	b.dropIfGone(a.backend)
 }
 
 // sendFinalAnswer rejects a request if the client may repeat it without harm, and fails it otherwise.
-func (b *Balancer) answer(r *request) {
+func (b *Balancer) sendFinalAnswer(r *request) {
 	if r.ended {
 		return
 	}
-	kind, in := Fail, b.comeBack()
-	if b.mayRefuse(r, in) {
+	kind, after := Fail, b.retryAfter()
+	if b.mayReject(r, after) {
 		kind = Refuse
 	}
-	b.do(Action{Kind: kind, Request: r.id, RetryIn: in})
-	b.end(r)
+	b.emit(Action{Kind: kind, Request: r.id, RetryIn: after})
+	b.finish(r)
 }
 
 // finish marks a request as ended and removes it once no attempt is pending.
-func (b *Balancer) end(r *request) {
+func (b *Balancer) finish(r *request) {
 	r.ended = true
-	delete(b.timers, r.mark) // or the timer would keep the request in memory until its deadline
-	if r.pending == 0 {
+	delete(b.timers, r.deadlineMark) // or the timer would keep the request in memory until its deadline
+	if r.pendingAttempts == 0 {
 		delete(b.requests, r.id)
 	}
 }
 
 // firstPossibleRun returns the first attempt that may have run, or nil.
-func (r *request) firstRun() *attempt {
-	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayRun }); i >= 0 {
+func (r *request) firstPossibleRun() *attempt {
+	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun }); i >= 0 {
 		return &r.attempts[i]
 	}
 	return nil
 }
 
 // retryUntil returns the latest time for a retry, which a stalled node still writes within the window.
-func (a *attempt) repeatBy(class *Class) time.Duration { return a.at + class.Window - heldUpMost }
+func (a *attempt) retryUntil(class *Class) time.Duration { return a.sentAt + class.Window - maxStall }
 
 // mayRetryOn reports whether a retry on s can't execute the request twice.
-func (b *Balancer) mayGo(r *request, s *server) bool {
-	first := r.firstRun()
+func (b *Balancer) mayRetryOn(r *request, s *backend) bool {
+	first := r.firstPossibleRun()
 	return first == nil || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && b.now < first.repeatBy(r.class) && (r.class.Scope == ScopeAll ||
+		r.class.Effect == Keyed && b.now < first.retryUntil(r.class) && (r.class.Scope == ScopeAll ||
 			r.class.Scope == ScopeZone && s.Zone == first.zone && s.Zone >= 0 ||
 			r.class.Scope == ScopeCell && s.Cell == first.cell)
 }
 
 // mayReject reports whether the client can repeat the request after this time without harm.
-func (b *Balancer) mayRefuse(r *request, in time.Duration) bool {
-	first := r.firstRun()
+func (b *Balancer) mayReject(r *request, after time.Duration) bool {
+	first := r.firstPossibleRun()
 	return first == nil || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && r.class.Scope == ScopeAll && b.now+in < first.repeatBy(r.class)
+		r.class.Effect == Keyed && r.class.Scope == ScopeAll && b.now+after < first.retryUntil(r.class)
 }
 
 // sendProbes probes distinct random backends, once in each tick with arrivals.
-func (b *Balancer) probe() {
-	due := min(probesPerTick, probeSpend/max(b.cfg.Prices.Probe, 1e-9))
-	if b.passes() {
-		due = min(probesPerTick, probeSpend/max(b.cfg.Prices.Probe+b.passPrice(), 1e-9))
+func (b *Balancer) sendProbes() {
+	earned := min(maxProbesPerTick, probeCostBudget/max(b.cfg.Prices.Probe, 1e-9))
+	if b.forwardsReports() {
+		earned = min(maxProbesPerTick, probeCostBudget/max(b.cfg.Prices.Probe+b.forwardPrice(), 1e-9))
 	}
-	if b.starting() {
-		due = max(due, 1)
+	if b.isStarting() {
+		earned = max(earned, 1)
 	}
-	b.probeDue = min(b.probeDue+due, 2*probesPerTick)
+	b.probeCredit = min(b.probeCredit+earned, 2*maxProbesPerTick)
 	if !b.cfg.Limits.Probing || b.probedAt == b.now {
 		return
 	}
 	b.probedAt = b.now
-	d := min(int(b.probeDue), probesPerTick, len(b.ready))
-	b.probeDue -= float64(d)
-	for _, i := range b.rng.Perm(len(b.ready))[:d] {
-		b.probes++
-		b.do(Action{Kind: Probe, Backend: b.ready[i].Backend})
+	count := min(int(b.probeCredit), maxProbesPerTick, len(b.ready))
+	b.probeCredit -= float64(count)
+	for _, i := range b.rng.Perm(len(b.ready))[:count] {
+		b.probesSent++
+		b.emit(Action{Kind: Probe, Backend: b.ready[i].Backend})
 	}
-	if d > 1 && b.refresh < b.peerPace {
-		b.asked += d
+	if count > 1 && b.reportInterval < b.meanServiceTime {
+		b.pendingProbes += count
 	}
 }
 
 // isStarting reports whether this node lacks estimates: it has sent fewer probes than it has backends.
-func (b *Balancer) starting() bool { return b.probes < float64(len(b.ready)) }
+func (b *Balancer) isStarting() bool { return b.probesSent < float64(len(b.ready)) }
 
 // queueEstimate returns the estimated queue: peer load, own pending attempts and unconfirmed load.
-func (b *Balancer) estimate(s *server) float64 { return b.others(s, b.pace(s)) + s.out + s.unconfirmed }
+func (b *Balancer) queueEstimate(s *backend) float64 {
+	return b.peerLoad(s, b.serviceTime(s)) + s.inFlight + s.unconfirmed
+}
 
 // cost returns the expected response time of an average request at a backend, in seconds: the queue
 // estimate times the recent service time, plus the cost of failures, of silence and of crossing zones.
-func (b *Balancer) cost(s *server) float64 { return b.costOf(s, b.estimate(s), b.pace(s)) }
+func (b *Balancer) cost(s *backend) float64 { return b.costOf(s, b.queueEstimate(s), b.serviceTime(s)) }
 
-func (b *Balancer) costOf(s *server, entry, pace float64) float64 {
-	queue := (entry + 1) * pace
-	failing := max(0, s.fails-b.allFail) * failAims * b.meanAim
-	silent := max(0, b.silence(s)-silentQueues*queue)
-	return queue + failing + silent + b.handicap(s)
+func (b *Balancer) costOf(s *backend, queue, serviceTime float64) float64 {
+	responseTime := (queue + 1) * serviceTime
+	failing := max(0, s.failureRate-b.meanFailureRate) * failureCostAims * b.meanAim
+	silent := max(0, b.silence(s)-silenceGraceFactor*responseTime)
+	return responseTime + failing + silent + b.crossZoneCost(s)
 }
 
 // crossZoneCost returns the time that another zone must save. Response times include the network.
-func (b *Balancer) handicap(s *server) float64 {
+func (b *Balancer) crossZoneCost(s *backend) float64 {
 	if s.Zone == b.cfg.Zone {
 		return 0
 	}
-	return b.cfg.Prices.CrossZone * crossAims * b.meanAim
+	return b.cfg.Prices.CrossZone * crossZoneCostAims * b.meanAim
 }
 
 // silence returns how long a backend has given no sign with attempts pending. A hung one has a short queue.
-func (b *Balancer) silence(s *server) float64 {
-	if s.out == s.open {
+func (b *Balancer) silence(s *backend) float64 {
+	if s.inFlight == s.openStreams {
 		return 0
 	}
-	return (b.now - s.owesAt).Seconds()
+	return (b.now - s.silentSince).Seconds()
 }
 
 // serviceTime returns the current service time per queued request. A backend gets faster as it warms up.
-func (b *Balancer) pace(s *server) float64 { return b.warmPace(s) * b.recent.factor / b.warmth(s) }
+func (b *Balancer) serviceTime(s *backend) float64 {
+	return b.warmServiceTime(s) * b.recent.factor / b.warmFraction(s)
+}
 
 // warmServiceTime returns the service time per queued request once warm. The default is the mean.
-func (b *Balancer) warmPace(s *server) float64 {
-	if s.time == 0 {
-		return b.peerPace
+func (b *Balancer) warmServiceTime(s *backend) float64 {
+	if s.responseTime == 0 {
+		return b.meanServiceTime
 	}
-	return s.time / (s.depth + 1)
+	return s.responseTime / (s.queueMet + 1)
 }
 
 // expectedWait returns the extra time of an average request, without the cost of crossing zones.
-func (b *Balancer) wait(s *server) float64 {
-	return b.cost(s) - b.handicap(s) - b.meanBase()
+func (b *Balancer) expectedWait(s *backend) float64 {
+	return b.cost(s) - b.crossZoneCost(s) - b.meanBaseTime()
 }
 
 // maxWait returns the longest expected wait at which a request is still sent.
-func (b *Balancer) bound(r *request) float64 {
-	return b.meanBound() * min(max(b.admissionWeight(r), 1/weightMost), weightMost)
+func (b *Balancer) maxWait(r *request) float64 {
+	return b.meanMaxWait() * min(max(b.admissionWeight(r), 1/maxAdmissionWeight), maxAdmissionWeight)
 }
 
 // meanMaxWait returns the longest wait for a request of mean worth. It is a part of the headroom, because
 // longer queues only make requests late. It is a part of the base time if that is more, or slow backends
 // would be idle.
-func (b *Balancer) meanBound() float64 {
-	return b.admission * max(b.headroom(), b.meanBase()) / b.recent.factor
+func (b *Balancer) meanMaxWait() float64 {
+	return b.admissionFactor * max(b.headroom(), b.meanBaseTime()) / b.recent.factor
 }
 
 // headroom returns the longest wait with which an average request still meets its aim.
-func (b *Balancer) headroom() float64 { return max(b.meanAim-b.meanBase(), 0) }
+func (b *Balancer) headroom() float64 { return max(b.meanAim-b.meanBaseTime(), 0) }
 
 // admissionWeight returns the factor of a request's longest wait. It is higher for more worth per unit of
 // work, and low beyond the tenant's share. Only requests that were sent use up a share.
 func (b *Balancer) admissionWeight(r *request) float64 {
 	weight := 1.0
-	if b.meanValue > 0 {
-		weight = b.value(r) / b.meanValue
-		if left := b.shareLeft(r); left != nil && *left < 1 {
+	if b.meanWorth > 0 {
+		weight = b.worthPerWork(r) / b.meanWorth
+		if tokens := b.shareTokens(r); tokens != nil && *tokens < 1 {
 			weight *= b.cfg.OverShareWorth
 		}
 	}
@@ -686,169 +700,174 @@
 }
 
 // worthPerWork returns the worth of a request per unit of work. The unit is the work of a mean class.
-func (b *Balancer) value(r *request) float64 {
+func (b *Balancer) worthPerWork(r *request) float64 {
 	if b.cfg.WorthByWork || b.work(r) == 0 {
 		return r.class.Points
 	}
-	return r.class.Points * b.meanBase() / b.work(r)
+	return r.class.Points * b.meanBaseTime() / b.work(r)
 }
 
 // shareTokens returns the tokens of the tenant's share at this node, or nil if there is no quota.
-func (b *Balancer) shareLeft(r *request) *float64 {
-	if r.tenant < 0 || r.tenant >= len(b.shares) || b.cfg.Tenants[r.tenant].QuotaPerSecond <= 0 {
+func (b *Balancer) shareTokens(r *request) *float64 {
+	if r.tenant < 0 || r.tenant >= len(b.shareBuckets) || b.cfg.Tenants[r.tenant].QuotaPerSecond <= 0 {
 		return nil
 	}
-	share := &b.shares[r.tenant]
+	bucket := &b.shareBuckets[r.tenant]
 	rate := b.cfg.Tenants[r.tenant].QuotaPerSecond / float64(b.cfg.Instances)
-	share.left = min(share.left+rate*(b.now-share.at).Seconds(), max(rate*shareSpan, shareLeast))
-	share.at = b.now
-	return &share.left
+	bucket.tokens = min(bucket.tokens+rate*(b.now-bucket.updatedAt).Seconds(),
+		max(rate*shareBurstSeconds, minShareBurst))
+	bucket.updatedAt = b.now
+	return &bucket.tokens
 }
 
 // adjustAdmission adapts the admission factor. Overloaded backends may slow down so much that a short queue
 // never clears; only late responses show it. Requests that are late by their own work, and not by the
 // queue, don't count.
-func (b *Balancer) pressure(st Status, late time.Duration, queued float64) {
-	if b.judgedAt > 0 { // before the first response there is no gap
-		b.gap += paceWeight * ((b.now - b.judgedAt).Seconds() - b.gap)
+func (b *Balancer) adjustAdmission(st Status, late time.Duration, queued float64) {
+	if b.lastAdjustedAt > 0 { // before the first response there is no gap
+		b.responseGap += sampleWeight * ((b.now - b.lastAdjustedAt).Seconds() - b.responseGap)
 	}
-	b.judgedAt = b.now
-	step := min(admissionSpeed*b.gap, admissionStep) * b.admission
+	b.lastAdjustedAt = b.now
+	step := min(admissionRate*b.responseGap, maxAdmissionStep) * b.admissionFactor
 	switch {
 	case st == Expired || st == Delivered && late > 0 && late.Seconds() <= queued:
-		b.admission -= step
-	case st == Delivered && late <= 0 && (b.admission < admissionFirst || queued >= tested*b.meanBound()):
-		b.admission += step / lateOnce
-	}
-	b.admission = min(max(b.admission, admissionLeast), admissionMost)
-	b.state(&b.crowded, b.admission == admissionLeast, b.admission >= admissionFirst,
+		b.admissionFactor -= step
+	case st == Delivered && late <= 0 &&
+		(b.admissionFactor < initialAdmission || queued >= minUtilization*b.meanMaxWait()):
+		b.admissionFactor += step / lateOneIn
+	}
+	b.admissionFactor = min(max(b.admissionFactor, minAdmission), maxAdmission)
+	b.logTransition(&b.responsesLate, b.admissionFactor == minAdmission,
+		b.admissionFactor >= initialAdmission,
 		"responses are late: rejecting requests early", "responses are in time again")
 }
 
 // learnBaseTime updates the base time of a class by a response that met no queue. Rejecting early empties
 // the queues of overloaded backends, which then show their base time. Until then the hint is used, as a
 // queue is not work.
-func (b *Balancer) learnBase(r *request, a *attempt, spent float64) {
-	c, w, mean := r.stats, baseWeight, b.meanBase()
+func (b *Balancer) learnBaseTime(r *request, a *attempt, spent float64) {
+	class, weight, oldBaseTime := r.stats, baseTimeWeight, b.meanBaseTime()
 	switch {
-	case a.met > freeEntry && c.free > 0:
+	case a.queueMet > maxEmptyQueue && class.unqueuedSamples > 0:
 		return
-	case a.met > freeEntry && r.hint > 0:
+	case a.queueMet > maxEmptyQueue && r.hint > 0:
 		spent = r.hint.Seconds()
-	case a.met <= freeEntry:
-		c.free++
-		w = max(w, 1/c.free)
+	case a.queueMet <= maxEmptyQueue:
+		class.unqueuedSamples++
+		weight = max(weight, 1/class.unqueuedSamples)
 	}
-	c.seen++
-	c.base += max(w, 1/c.seen) * (spent - c.base)
-	if c.seen == 1 { // one more class changes the mean request
-		b.warmRate *= mean / max(b.meanBase(), 1e-6)
+	class.samples++
+	class.baseTime += max(weight, 1/class.samples) * (spent - class.baseTime)
+	if class.samples == 1 { // one more class changes the mean request
+		b.warmRate *= oldBaseTime / max(b.meanBaseTime(), 1e-6)
 	}
 }
 
 // learnServiceTime updates a backend's service time by a response, relative to the class's base time.
-func (b *Balancer) learn(s *server, r *request, a *attempt, spent time.Duration) {
-	if r.stats.base == 0 {
+func (b *Balancer) learnServiceTime(s *backend, r *request, a *attempt, spent time.Duration) {
+	if r.stats.baseTime == 0 {
 		return
 	}
-	took := spent.Seconds() / b.sureBase(r.stats) * b.meanBase() * b.warmth(s)
-	if s.time == 0 {
-		s.time, s.depth = b.peerPace*(a.met+1), a.met
-		if b.answers == 0 && b.cfg.Weights == DeclaredWeights {
-			s.time = took // the prior would keep the first backend from its declared share for long
+	normalized := spent.Seconds() / b.shrunkBaseTime(r.stats) * b.meanBaseTime() * b.warmFraction(s)
+	if s.responseTime == 0 {
+		s.responseTime, s.queueMet = b.meanServiceTime*(a.queueMet+1), a.queueMet
+		if b.responses == 0 && b.cfg.Weights == DeclaredWeights {
+			s.responseTime = normalized // the prior would deny this backend its share for long
 		}
 	}
-	s.heard = b.now
+	s.lastResponseAt = b.now
 	// A long queue shows the service time better: a short one is no load for a backend with many cores.
-	w := min(paceWeight*(a.met+1)/(s.depth+1), 1)
-	s.time += w * (took - s.time)
-	s.depth += w * (a.met - s.depth)
-	b.answers++ // a single backend may have few responses, so all of them count for the mean
-	w = max(w/float64(len(b.ready)+1), 1/b.answers)
-	b.allTime, b.allDepth = b.allTime+w*(took-b.allTime), b.allDepth+w*(a.met-b.allDepth)
-	b.peerPace = b.allTime / (b.allDepth + 1)
-	b.learnSlowdown(took, a.met, recentWeight)
+	weight := min(sampleWeight*(a.queueMet+1)/(s.queueMet+1), 1)
+	s.responseTime += weight * (normalized - s.responseTime)
+	s.queueMet += weight * (a.queueMet - s.queueMet)
+	b.responses++ // a single backend may have few responses, so all of them count for the mean
+	weight = max(weight/float64(len(b.ready)+1), 1/b.responses)
+	b.meanResponseTime, b.meanQueueMet = b.meanResponseTime+weight*(normalized-b.meanResponseTime),
+		b.meanQueueMet+weight*(a.queueMet-b.meanQueueMet)
+	b.meanServiceTime = b.meanResponseTime / (b.meanQueueMet + 1)
+	b.learnSlowdown(normalized, a.queueMet, recentWeight)
 }
 
 // updateFailureRate updates the failure rate of a backend, because one that fails fast looks idle.
-func (b *Balancer) judge(s *server, st Status, sent time.Duration) {
+func (b *Balancer) updateFailureRate(s *backend, st Status, sentAt time.Duration) {
 	switch st {
 	case Delivered, Shed:
-		s.fails -= failWeight * s.fails
-		s.owesAt = b.now
-		b.allBroke -= failWeight * b.allBroke / float64(len(b.ready)+1)
+		s.failureRate -= failureSampleWeight * s.failureRate
+		s.silentSince = b.now
+		b.meanErrorRate -= failureSampleWeight * b.meanErrorRate / float64(len(b.ready)+1)
 	case Expired:
 		// A time-out is no failure while the backend responds to other attempts.
-		if s.out == s.open && s.owesAt <= sent {
-			s.fails = 1 // the backend has given no sign since the send
+		if s.inFlight == s.openStreams && s.silentSince <= sentAt {
+			s.failureRate = 1 // the backend has given no sign since the send
 		}
 	case AppError, Dropped, DialFailed:
-		s.owesAt = b.now
-		s.fails += failWeight * (1 - s.fails)
+		s.silentSince = b.now
+		s.failureRate += failureSampleWeight * (1 - s.failureRate)
 		if st != DialFailed { // a full backend refuses connections: not by chance
-			b.allBroke += failWeight * (1 - b.allBroke) / float64(len(b.ready)+1)
+			b.meanErrorRate += failureSampleWeight * (1 - b.meanErrorRate) / float64(len(b.ready)+1)
 		}
 	}
 }
 
 // compareFailureRate updates the mean failure rate, and logs when traffic to a backend is withheld.
-func (b *Balancer) compare(s *server) {
+func (b *Balancer) compareFailureRate(s *backend) {
 	// Failures that all backends share make none of them an outlier, and are no reason to reject requests.
-	b.allFail += failWeight * (s.fails - b.allFail) / float64(len(b.ready)+1)
-	if begins, ends := s.fails > failsHigh, s.fails < failsLow; begins && !s.failed || ends && s.failed {
+	b.meanFailureRate += failureSampleWeight * (s.failureRate - b.meanFailureRate) / float64(len(b.ready)+1)
+	if begins, ends := s.failureRate > highFailureRate, s.failureRate < lowFailureRate; begins &&
+		!s.isFailing || ends && s.isFailing {
 		name := fmt.Sprintf("backend %d ", s.Backend) // only here: most outcomes log nothing
-		b.outdated = true                             // failing backends don't count in the subset
-		b.state(&s.failed, begins, ends, name+"fails: traffic withheld", name+"answers again")
+		b.needsSubset = true                          // failing backends don't count in the subset
+		b.logTransition(&s.isFailing, begins, ends, name+"fails: traffic withheld", name+"answers again")
 	}
 }
 
 // applyReport sets the peer load to the reported queue less this node's own pending attempts.
-func (b *Balancer) report(s *server, l Load) {
-	queue := l.Active
+func (b *Balancer) applyReport(s *backend, load Load) {
+	queue := load.Active
 	switch {
-	case l.Has&(HasActive|HasWaiting) == 0:
+	case load.Has&(HasActive|HasWaiting) == 0:
 		return
-	case l.Has&HasActive == 0:
-		queue = l.Waiting
+	case load.Has&HasActive == 0:
+		queue = load.Waiting
 	}
 	s.unconfirmed = 0
-	age, first := (b.now - s.seenAt).Seconds(), s.seenAt == 0
+	age, first := (b.now - s.reportedAt).Seconds(), s.reportedAt == 0
 	switch {
 	case first:
-	case queue != s.seen && (b.refresh == 0 || age < 2*b.refresh):
-		b.refresh = cmp.Or(b.refresh, age)
-		b.refresh += fallWeight * (age - b.refresh)
-	case age < b.refresh:
+	case queue != s.reportedQueue && (b.reportInterval == 0 || age < 2*b.reportInterval):
+		b.reportInterval = cmp.Or(b.reportInterval, age)
+		b.reportInterval += intervalFallWeight * (age - b.reportInterval)
+	case age < b.reportInterval:
 		return // the same report; after the interval an equal one is new: an idle backend always reports 0
-	case queue > 0 && age < 2*b.refresh:
-		b.refresh += riseWeight * (age - b.refresh)
+	case queue > 0 && age < 2*b.reportInterval:
+		b.reportInterval += intervalRiseWeight * (age - b.reportInterval)
 	}
-	s.seen, s.seenAt = queue, b.now
-	b.tell(s, max(0, queue-s.out), b.refresh)
+	s.reportedQueue, s.reportedAt = queue, b.now
+	b.recordPeerLoad(s, max(0, queue-s.inFlight), b.reportInterval)
 }
 
 // work returns the expected work of a request, in seconds: its hint, or else the base time of its class.
 // Mean response times are no measure of work, because queues make those of light and heavy classes alike.
 func (b *Balancer) work(r *request) float64 {
-	return cmp.Or(r.hint.Seconds(), r.stats.base, b.meanBase())
+	return cmp.Or(r.hint.Seconds(), r.stats.baseTime, b.meanBaseTime())
 }
 
 // shrunkBaseTime returns the base time of a class, drawn to the mean of all: few responses show the
 // backend's speed.
-func (b *Balancer) sureBase(c *classStats) float64 {
-	return (c.free*c.base + priorAnswers*b.meanBase()) / (c.free + priorAnswers)
+func (b *Balancer) shrunkBaseTime(c *classStats) float64 {
+	return (c.unqueuedSamples*c.baseTime + priorSamples*b.meanBaseTime()) / (c.unqueuedSamples + priorSamples)
 }
 
 // meanBaseTime returns the mean base time of the classes with responses, in seconds.
-func (b *Balancer) meanBase() float64 {
+func (b *Balancer) meanBaseTime() float64 {
 	var m mean
 	for i := range b.classes {
-		if b.classes[i].base > 0 && !b.cfg.Classes[i].Gone {
-			m.add(b.classes[i].base)
+		if b.classes[i].baseTime > 0 && !b.cfg.Classes[i].Gone {
+			m.add(b.classes[i].baseTime)
 		}
 	}
 	if m.n == 0 {
-		return firstPace * b.meanAim
+		return initialServiceAims * b.meanAim
 	}
 	return m.value()
 }
@@ -856,35 +875,37 @@
 // closeWindow ends a window of OverloadFor, 1 s at least. The warm rate is what a warm backend serves for
 // this node, in mean requests a second: a decaying maximum, on which the node's own part of a warm-up
 // budget is based. With few requests the highest window is partly chance, which is deducted.
-func (b *Balancer) rollRates() {
-	span := (b.now - b.rolledAt).Seconds()
-	if span < max(b.cfg.Rules.OverloadFor.Seconds(), 1) {
+func (b *Balancer) closeWindow() {
+	elapsed := (b.now - b.windowStartedAt).Seconds()
+	if elapsed < max(b.cfg.Rules.OverloadFor.Seconds(), 1) {
 		return
 	}
 	var warm, count mean
 	for _, s := range b.ready {
-		if b.warmth(s) == 1 && s.since <= b.rolledAt && s.fails < failsHigh { // one that fails could do more
-			warm.add(s.served / span * b.reach(s))
-			count.add(s.served)
+		// A failing backend could serve more.
+		if b.warmFraction(s) == 1 && s.listedAt <= b.windowStartedAt && s.failureRate < highFailureRate {
+			warm.add(s.servedWork / elapsed * b.subsetShare(s))
+			count.add(s.servedWork)
 		}
-		s.served = 0
-		s.fails -= failFade * s.fails
+		s.servedWork = 0
+		s.failureRate -= failureRateDecay * s.failureRate
 		if !b.cfg.Limits.Probing {
-			s.unconfirmed -= failFade * s.unconfirmed // without probes no report clears it
+			s.unconfirmed -= failureRateDecay * s.unconfirmed // without probes no report clears it
 		}
-		if s.heard < b.rolledAt && s.time > 0 {
+		if s.lastResponseAt < b.windowStartedAt && s.responseTime > 0 {
 			// A slow backend gets no traffic, and so no responses that would show its recovery.
-			s.time += forget * (b.peerPace*(s.depth+1) - s.time)
+			s.responseTime += idleDecay * (b.meanServiceTime*(s.queueMet+1) - s.responseTime)
 		}
 	}
 	if warm.n > 0 {
-		b.warmRate = max(b.warmRate*rateDecay, warm.value()*(1-rateDeviations/math.Sqrt(max(count.sum, 1))))
+		b.warmRate = max(b.warmRate*warmRateDecay,
+			warm.value()*(1-warmRateDeviations/math.Sqrt(max(count.sum, 1))))
 	}
-	if b.recent.at < b.rolledAt { // without responses, nothing else shows that all backends have recovered
-		b.learnSlowdown(b.recent.usual*(b.recent.depth+1), b.recent.depth, forget)
+	if b.recent.updatedAt < b.windowStartedAt { // without responses nothing else shows a recovery of all
+		b.learnSlowdown(b.recent.baseline*(b.recent.queueMet+1), b.recent.queueMet, idleDecay)
 	}
-	if b.rolledAt = b.now; b.outdated {
-		b.choose()
+	if b.windowStartedAt = b.now; b.needsSubset {
+		b.chooseSubset()
 	}
 }
 
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -9,7 +9,7 @@
 )
 
 // New staff read this file as a whole, so its length and width are limited by contract.
-func TestModuleStaysPrintable(t *testing.T) {
+func TestModuleSizeIsLimited(t *testing.T) {
 	f, err := os.Open("balance.go")
 	if err != nil {
 		t.Fatal(err)
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkRequestAtFullSize handles one request with its probes and its response, in a fleet of full size. The subset of
 // the node has all backends.
 func BenchmarkRequestAtFullSize(b *testing.B) {
-	cfg := site()
+	cfg := testConfig()
 	cfg.Instances, cfg.Prices.Probe = 600, 0.001
 	cfg.Tenants = nil
 	members := make([]Member, 250)
@@ -21,9 +21,9 @@
 		id := strconv.Itoa(i)
 		r.wait(200 * time.Millisecond)
 		r.do(Event{Kind: RequestArrived, Request: id, Hint: 20 * ms, Budget: time.Second})
-		for _, a := range of(Probe, r.last) {
+		for _, a := range ofKind(Probe, r.last) {
 			r.do(report(a.Backend, 1))
-			for _, s := range of(Send, r.last) {
+			for _, s := range ofKind(Send, r.last) {
 				r.do(Event{Kind: Outcome, Request: id, Backend: s.Backend, Spent: 20 * ms, NoMore: true})
 			}
 		}
--- a/balance/departures_test.go
+++ b/balance/departures_test.go
@@ -16,7 +16,7 @@
 	for i := range n {
 		id := fmt.Sprint("serve", r.now, i)
 		r.arrive(id, class)
-		sends, probes := of(Send, r.last), of(Probe, r.last)
+		sends, probes := ofKind(Send, r.last), ofKind(Probe, r.last)
 		r.wait(10 * ms)
 		for len(sends) > 0 {
 			a := sends[0]
@@ -31,18 +31,18 @@
 				r.wait(500 * ms)
 				ev.Status = Expired
 			}
-			r.note(r.do(ev))
-			sends = of(Send, r.last)
+			r.collectLogs(r.do(ev))
+			sends = ofKind(Send, r.last)
 		}
 		for _, a := range probes {
-			r.do(report(a.Backend, r.b.servers[a.Backend].out))
+			r.do(report(a.Backend, r.b.backends[a.Backend].inFlight))
 		}
 	}
 	return count
 }
 
-func (r *rig) note(acts []Action) {
-	for _, a := range of(Log, acts) {
+func (r *rig) collectLogs(acts []Action) {
+	for _, a := range ofKind(Log, acts) {
 		r.logs = append(r.logs, a.Text)
 	}
 }
@@ -57,58 +57,58 @@
 }
 
 // setPeerLoad sets the peer load at a backend, both the last report and the baseline.
-func (r *rig) holds(id BackendID, queue float64) {
-	s := r.b.servers[id]
-	s.told, s.more = queue, 0
-	*r.b.zones[s.Zone] = crowd{others: queue, reports: 1e9, at: r.now}
+func (r *rig) setPeerLoad(id BackendID, queue float64) {
+	s := r.b.backends[id]
+	s.lastPeerLoad, s.peerLoadOffset = queue, 0
+	*r.b.zoneLoads[s.Zone] = peerLoadMean{mean: queue, reports: 1e9, updatedAt: r.now}
 }
 
-func steady(BackendID) time.Duration { return 20 * ms }
+func constantTime(BackendID) time.Duration { return 20 * ms }
 
 func report(backend BackendID, active float64) Event {
 	return Event{Kind: Probed, Backend: backend, Load: Load{Has: HasActive, Active: active}}
 }
 
 // Without a load report, a response must undo exactly the increment of its send.
-func TestAnswersTakeBackTheirIncrement(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.serve(5, safe, steady)
-	if e := r.b.estimate(r.b.servers[1]); e != 0 {
+func TestResponseUndoesIncrementOfSend(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.serve(5, safe, constantTime)
+	if e := r.b.queueEstimate(r.b.backends[1]); e != 0 {
 		t.Errorf("queue estimate %v after all responses", e)
 	}
 	r.arrive("x", safe)
-	if e := r.b.estimate(r.b.servers[1]); e != 1 {
+	if e := r.b.queueEstimate(r.b.backends[1]); e != 1 {
 		t.Errorf("queue estimate %v with one pending request", e)
 	}
 }
 
 // A backend that fails fast looks idle, so the attempts that it did not accept count until its next report.
-func TestUnacceptedAttemptsStayCountedUntilAReport(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
+func TestUnacceptedAttemptsCountUntilReport(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
 	r.arrive("x", safe)
 	r.outcome("x", 0, 1, Shed)
-	if e := r.b.estimate(r.b.servers[1]); e != 1 {
+	if e := r.b.queueEstimate(r.b.backends[1]); e != 1 {
 		t.Errorf("queue estimate %v", e)
 	}
 	r.do(report(1, 0))
-	if e := r.b.estimate(r.b.servers[1]); e != 0 {
+	if e := r.b.queueEstimate(r.b.backends[1]); e != 0 {
 		t.Errorf("queue estimate %v after a report", e)
 	}
 }
 
 // A load report is old. It must not erase attempts sent since, nor count this node's own attempts twice.
-func TestReportsKeepWhatIsNewer(t *testing.T) {
+func TestReportKeepsNewerAttempts(t *testing.T) {
 	for _, c := range []struct {
 		wait   time.Duration
 		report float64
 	}{{0, 0}, {5 * time.Second, 3}} {
-		r := newRig(t, site(), member(1, 0, 0))
+		r := newRig(t, testConfig(), member(1, 0, 0))
 		for i := range 3 {
 			r.arrive(fmt.Sprint(i), safe)
 		}
 		r.wait(c.wait)
 		r.do(report(1, c.report))
-		if e := r.b.estimate(r.b.servers[1]); e < 3 || e > 3.1 {
+		if e := r.b.queueEstimate(r.b.backends[1]); e < 3 || e > 3.1 {
 			t.Errorf("queue estimate %v with three attempts sent %v ago and a report of %v", e, c.wait, c.report)
 		}
 	}
@@ -116,22 +116,22 @@
 
 // A node of a large fleet takes seconds to probe all backends. For a backend without a report it assumes the
 // mean of the others. A single report must not move the baseline far, but many have to.
-func TestFirstReports(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0), member(3, 0, 0))
+func TestBaselineFromFirstReports(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0), member(3, 0, 0))
 	r.do(report(1, 10))
-	if o := r.b.others(r.b.servers[1], r.b.pace(r.b.servers[1])); o != 10 {
+	if o := r.b.peerLoad(r.b.backends[1], r.b.serviceTime(r.b.backends[1])); o != 10 {
 		t.Errorf("peer load %v after a first report of 10", o)
 	}
 	for i := range 100 {
 		r.wait(5 * time.Second)
 		r.do(report(2, float64(10+i%2)))
 	}
-	if o := r.b.others(r.b.servers[3], r.b.pace(r.b.servers[3])); o < 9 || o > 11 {
+	if o := r.b.peerLoad(r.b.backends[3], r.b.serviceTime(r.b.backends[3])); o < 9 || o > 11 {
 		t.Errorf("peer load %v at a backend without a report, 10 at the others", o)
 	}
 	r.wait(5 * time.Second)
 	r.do(report(3, 0))
-	if o := r.b.usual(r.b.servers[3]); o < 6 {
+	if o := r.b.baseline(r.b.backends[3]); o < 6 {
 		t.Errorf("baseline %v after a single report: the smallest of many such is chance", o)
 	}
 	for range 40 {
@@ -140,60 +140,60 @@
 		r.do(report(2, 10))
 		r.do(report(1, 10))
 	}
-	if o := r.b.usual(r.b.servers[3]); o > 2 {
+	if o := r.b.baseline(r.b.backends[3]); o > 2 {
 		t.Errorf("baseline %v at a backend that always reports 0", o)
 	}
 }
 
 // An idle backend always reports 0. Ignoring equal reports would keep its queue estimate high for ever.
-func TestEqualReportsPastTheirTimeAreNews(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.serve(5, safe, steady)
-	r.b.servers[1].time, r.b.servers[1].depth = 1, 0 // so slow that its reports are still current on arrival
+func TestEqualReportCountsAfterReportInterval(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.serve(5, safe, constantTime)
+	r.b.backends[1].responseTime, r.b.backends[1].queueMet = 1, 0 // so slow that its reports are still current on arrival
 	for _, q := range []float64{5, 9, 0} {
 		r.wait(200 * ms)
 		r.do(report(1, q))
 	}
 	was := 4.0
-	r.holds(1, was)
+	r.setPeerLoad(1, was)
 	for range 20 {
 		r.wait(time.Second)
 		r.do(report(1, 0))
 	}
-	if is := r.b.estimate(r.b.servers[1]); is > was/4 {
+	if is := r.b.queueEstimate(r.b.backends[1]); is > was/4 {
 		t.Errorf("queue estimate %v, then %v after many reports of 0", was, is)
 	}
 }
 
 // A stale report used as it is would send every node to the backend that was idle then.
-func TestOldReportsCountInPart(t *testing.T) {
+func TestStaleReportHasLittleEffect(t *testing.T) {
 	for _, c := range []struct {
-		gap, pace time.Duration
-		kept      bool
+		gap, serviceTime time.Duration
+		kept             bool
 	}{{2 * time.Second, 20 * ms, true}, {10 * ms, time.Second, false}} {
-		r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-		r.serve(50, safe, steady)
-		s := r.b.servers[1]
+		r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+		r.serve(50, safe, constantTime)
+		s := r.b.backends[1]
 		for i := range 300 { // the report interval is learned from these
 			r.wait(c.gap)
 			r.do(report(1, float64(10+i%2)))
 			r.do(report(2, 10))
 		}
-		r.holds(1, 10)
-		s.time, s.depth = c.pace.Seconds(), 0
+		r.setPeerLoad(1, 10)
+		s.responseTime, s.queueMet = c.serviceTime.Seconds(), 0
 		r.wait(c.gap)
 		r.do(report(2, 10))
 		r.do(report(1, 0))
-		if kept := r.b.estimate(s) > 5; kept != c.kept {
-			t.Errorf("reports %v apart, service time %v: queue estimate 10 became %v", c.gap, c.pace, r.b.estimate(s))
+		if kept := r.b.queueEstimate(s) > 5; kept != c.kept {
+			t.Errorf("reports %v apart, service time %v: queue estimate 10 became %v", c.gap, c.serviceTime, r.b.queueEstimate(s))
 		}
 	}
 }
 
 // A slower backend must get fewer requests.
-func TestSlowServersGetLess(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
+func TestSlowBackendGetsFewerRequests(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(50, safe, constantTime)
 	n := r.serve(200, safe, func(b BackendID) time.Duration { return time.Duration(b*b) * 20 * ms })
 	if n[2]*4 > n[1] {
 		t.Errorf("the backend that is four times as slow got %d of 200", n[2])
@@ -201,62 +201,62 @@
 }
 
 // The slow responses of a cold backend must not keep it idle once it is warm.
-func TestColdAnswersCountAsWarm(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), Member{Backend: 2, Weight: 1, Launched: time.Hour})
-	r.serve(100, safe, steady)
-	s := r.b.servers[2]
+func TestColdResponsesAreScaledToWarm(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), Member{Backend: 2, Weight: 1, Launched: time.Hour})
+	r.serve(100, safe, constantTime)
+	s := r.b.backends[2]
 	for range 50 { // at a fifth of its capacity: 100 ms for 20 ms of work
-		r.b.learn(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}, &attempt{to: s}, 100*ms)
+		r.b.learnServiceTime(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}, &attempt{backend: s}, 100*ms)
 	}
-	if cold, peer := r.b.pace(s), r.b.pace(r.b.servers[1]); cold < 2*peer {
+	if cold, peer := r.b.serviceTime(s), r.b.serviceTime(r.b.backends[1]); cold < 2*peer {
 		t.Errorf("service time %v while cold, %v at a warm backend", cold, peer)
 	}
 	s.Launched = 1
-	if cold, warm := r.b.pace(s), r.b.pace(r.b.servers[1]); cold > 1.5*warm {
+	if cold, warm := r.b.serviceTime(s), r.b.serviceTime(r.b.backends[1]); cold > 1.5*warm {
 		t.Errorf("service time %v once warm, %v at a backend that was always warm", cold, warm)
 	}
 }
 
 // A backend that was slow for a while gets no requests, and so no responses. It must be tried again all the same.
-func TestUnheardServersAreForgiven(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
-	s := r.b.servers[2]
-	s.time, s.depth = 1, 0 // a service time of one second, fifty times that of the other
+func TestSlowBackendIsTriedAgain(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(50, safe, constantTime)
+	s := r.b.backends[2]
+	s.responseTime, s.queueMet = 1, 0 // a service time of one second, fifty times that of the other
 	for range 60 {
 		r.wait(1500 * ms)
-		r.serve(1, safe, steady)
+		r.serve(1, safe, constantTime)
 	}
-	if now := r.b.pace(s); now > 2*r.b.peerPace {
-		t.Errorf("service time %v after a minute and a half, mean %v", now, r.b.peerPace)
+	if now := r.b.serviceTime(s); now > 2*r.b.meanServiceTime {
+		t.Errorf("service time %v after a minute and a half, mean %v", now, r.b.meanServiceTime)
 	}
 }
 
 // A backend in error must get next to no requests, and its part of them again once it recovers.
-func TestErrorsAreLeftAloneAndComeBack(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
-	bad := func(b BackendID) time.Duration { return time.Duration(2-b) * 20 * ms } // backend 2 has errors only
-	r.serve(40, safe, bad)
-	if n := r.serve(50, safe, bad); n[2] > 5 {
+func TestFailingBackendLosesAndRegainsTraffic(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(50, safe, constantTime)
+	failing := func(b BackendID) time.Duration { return time.Duration(2-b) * 20 * ms } // backend 2 has errors only
+	r.serve(40, safe, failing)
+	if n := r.serve(50, safe, failing); n[2] > 5 {
 		t.Errorf("%d of 50 went to the backend in error", n[2])
 	}
 	r.wait(30 * time.Second)
 	for range 20 {
 		r.wait(1500 * ms)
-		r.serve(2, safe, steady)
+		r.serve(2, safe, constantTime)
 	}
 	r.arrive("a", safe)
-	first := r.sent()
+	first := r.sentTo()
 	r.arrive("b", safe)
-	if second := r.sent(); first+second != 3 {
+	if second := r.sentTo(); first+second != 3 {
 		t.Errorf("with backend %d busy the next request went to %d", first, second)
 	}
 }
 
 // Without probes no report clears the attempts that were not accepted, so they have to decay.
-func TestUnacceptedAttemptsFadeWithoutProbes(t *testing.T) {
-	cfg := site()
+func TestUnconfirmedLoadDecaysWithoutProbes(t *testing.T) {
+	cfg := testConfig()
 	cfg.Limits.Probing = false
 	r := newRig(t, cfg, member(1, 0, 0))
 	r.arrive("x", safe)
@@ -265,65 +265,66 @@
 		r.wait(1500 * ms)
 		r.do(Event{Kind: ClientGone})
 	}
-	if e := r.b.estimate(r.b.servers[1]); e > 0.1 {
+	if e := r.b.queueEstimate(r.b.backends[1]); e > 0.1 {
 		t.Errorf("queue estimate %v", e)
 	}
 }
 
 // A failure rate that all backends share must not add to the cost of any of them.
-func TestSharedFailuresAreNotCharged(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
+func TestSharedFailuresHaveNoCost(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(50, safe, constantTime)
 	r.serve(400, unsafe, func(BackendID) time.Duration { return 0 })
-	s := r.b.servers[1]
-	if charge := r.b.cost(s) - (r.b.estimate(s)+1)*r.b.pace(s); s.fails < 0.3 || charge > s.fails*failAims*r.b.meanAim/2 {
-		t.Errorf("failure rate %v, mean %v, cost %v", s.fails, r.b.allFail, charge)
+	s := r.b.backends[1]
+	if charge := r.b.cost(s) - (r.b.queueEstimate(s)+1)*r.b.serviceTime(s); s.failureRate < 0.3 ||
+		charge > s.failureRate*failureCostAims*r.b.meanAim/2 {
+		t.Errorf("failure rate %v, mean %v, cost %v", s.failureRate, r.b.meanFailureRate, charge)
 	}
 }
 
 // When all backends fail alike none is an outlier, and requests must still be sent.
-func TestNobodyIsLeftOutWhenAllFail(t *testing.T) {
-	cfg := site()
+func TestRequestsAreSentWhenAllBackendsFail(t *testing.T) {
+	cfg := testConfig()
 	cfg.Prices.Probe = 0 // reports clear the unconfirmed load; the failures remain
 	r := newRig(t, cfg, member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
+	r.serve(50, safe, constantTime)
 	r.serve(60, unsafe, func(BackendID) time.Duration { return 0 })
-	if n := r.serve(40, safe, steady); n[1]+n[2] < 20 {
+	if n := r.serve(40, safe, constantTime); n[1]+n[2] < 20 {
 		t.Errorf("only %v of 40 were sent", n)
 	}
 }
 
 // A backend that hangs has a short queue and accepts all requests. Only its silence shows the fault.
-func TestSilenceIsCharged(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
-	kept := ""
+func TestSilentBackendGetsNoRequests(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(50, safe, constantTime)
+	answered := ""
 	for _, id := range []string{"one", "two"} { // one at each backend; only backend 1 responds
 		r.arrive(id, unsafe)
-		if to := r.sent(); to == 1 {
-			kept = id
+		if to := r.sentTo(); to == 1 {
+			answered = id
 		}
 	}
-	if r.b.servers[1].out != 1 || r.b.servers[2].out != 1 {
+	if r.b.backends[1].inFlight != 1 || r.b.backends[2].inFlight != 1 {
 		t.Fatal("both attempts went to one backend")
 	}
-	r.outcome(kept, 0, 1, Delivered)
+	r.outcome(answered, 0, 1, Delivered)
 	r.wait(300 * ms)
-	if n := r.serve(30, safe, steady); n[2] != 0 {
+	if n := r.serve(30, safe, constantTime); n[2] != 0 {
 		t.Errorf("%d of 30 went to the silent backend", n[2])
 	}
 }
 
 // Without pending attempts there is no silence. A fault left a healthy backend without traffic for good: it gave a
 // sign after its last attempt was sent, and then that attempt timed out.
-func TestSilenceEndsWithTheLastAttempt(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.serve(50, safe, steady)
+func TestSilenceEndsWithLastAttempt(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.serve(50, safe, constantTime)
 	r.arrive("lost", safe)
-	r.serve(1, safe, steady)
+	r.serve(1, safe, constantTime)
 	r.outcome("lost", 0, 1, Expired)
 	r.wait(time.Minute)
-	if s := r.b.silence(r.b.servers[1]); s != 0 {
+	if s := r.b.silence(r.b.backends[1]); s != 0 {
 		t.Errorf("%v s of silence without pending attempts", s)
 	}
 }
@@ -331,127 +332,127 @@
 // Nodes must not settle on backends of their own. Of two backends with equal queues, one with this node's attempts
 // and one with those of other nodes, the node has to choose the latter.
 func TestOwnAttemptsCountTwice(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	own, other := r.b.servers[1], r.b.servers[2]
-	own.out, other.told = 2, 2.5
-	other.more, other.toldAt = 2.5, r.now
-	own.owesAt = r.now
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	own, other := r.b.backends[1], r.b.backends[2]
+	own.inFlight, other.lastPeerLoad = 2, 2.5
+	other.peerLoadOffset, other.peerLoadAt = 2.5, r.now
+	own.silentSince = r.now
 	r.arrive("x", safe)
-	if to := r.sent(); to != 2 {
+	if to := r.sentTo(); to != 2 {
 		t.Errorf("sent to %d, which has this node's own attempts", to)
 	}
 }
 
 // Clients give up some requests early. A time-out among other responses is no failure of the backend.
-func TestTimeOutsAmongAnswersAreNoFailures(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
+func TestTimeoutAmongResponsesIsNoFailure(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
 	r.arrive("slow", safe)
-	r.serve(5, safe, steady)
+	r.serve(5, safe, constantTime)
 	r.outcome("slow", 0, 1, Expired)
-	if f := r.b.servers[1].fails; f != 0 {
+	if f := r.b.backends[1].failureRate; f != 0 {
 		t.Errorf("failure rate %v", f)
 	}
 }
 
 // With full queues all responses are late. Only rejecting requests clears the queues.
-func TestLongQueuesAreRefused(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
+func TestRequestsAreRejectedBehindLongQueues(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(50, safe, constantTime)
 	sent, refused := 0, 0
 	for i := range 200 {
 		r.arrive(fmt.Sprint("flood", i), unsafe)
-		sent += len(of(Send, r.last))
-		refused += len(of(Refuse, r.last))
+		sent += len(ofKind(Send, r.last))
+		refused += len(ofKind(Refuse, r.last))
 	}
 	if sent+refused != 200 || refused < 100 || sent < 8 {
 		t.Errorf("%d sent, %d rejected of a flood of 200", sent, refused)
 	}
 }
 
-// late plays n responses that are all later than the aim.
-func (r *rig) late(n int) {
+// playLate plays n responses that are all later than the aim.
+func (r *rig) playLate(n int) {
 	for i := range n {
 		id := fmt.Sprint("late", r.now, i)
 		r.arrive(id, safe)
-		if len(of(Send, r.last)) == 0 {
+		if len(ofKind(Send, r.last)) == 0 {
 			continue
 		}
-		to := r.sent()
-		r.b.requests[id].attempts[0].wait = 0.4 // the queue made it late
+		to := r.sentTo()
+		r.b.requests[id].attempts[0].queueTime = 0.4 // the queue made it late
 		r.wait(400 * ms)
-		r.note(r.do(Event{Kind: Outcome, Request: id, Backend: to, Spent: 400 * ms, NoMore: true}))
+		r.collectLogs(r.do(Event{Kind: Outcome, Request: id, Backend: to, Spent: 400 * ms, NoMore: true}))
 	}
 }
 
-// queued plays n responses in time, each from a queue of half the longest wait.
-func (r *rig) queued(n int) {
+// playQueued plays n responses in time, each from a queue of half the longest wait.
+func (r *rig) playQueued(n int) {
 	for i := range n {
 		id := fmt.Sprint("queued", r.now, i)
 		r.arrive(id, safe)
-		if len(of(Send, r.last)) == 0 {
+		if len(ofKind(Send, r.last)) == 0 {
 			continue
 		}
-		to := r.sent()
-		r.b.requests[id].attempts[0].wait = tested * r.b.meanBound()
+		to := r.sentTo()
+		r.b.requests[id].attempts[0].queueTime = minUtilization * r.b.meanMaxWait()
 		r.wait(20 * ms)
-		r.note(r.do(Event{Kind: Outcome, Request: id, Backend: to, Spent: 20 * ms, NoMore: true}))
+		r.collectLogs(r.do(Event{Kind: Outcome, Request: id, Backend: to, Spent: 20 * ms, NoMore: true}))
 	}
 }
 
 // When all backends become slow at once, the earlier response times must not make a node reject requests for idle ones.
-func TestIdleServersAreNotRefused(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
+func TestNoRejectionWithIdleBackends(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(50, safe, constantTime)
 	if n := r.serve(100, safe, func(BackendID) time.Duration { return 500 * ms }); n[1]+n[2] < 100 {
 		t.Errorf("only %v of 100 were sent to idle backends", n)
 	}
 }
 
 // No setting tells how long a queue may be. The longest wait has to follow the measured lateness.
-func TestLatenessTightensTheBound(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(1000, safe, steady)
-	if r.b.admission != admissionFirst {
-		t.Fatalf("admission factor %v after responses without a queue, which must not move it", r.b.admission)
+func TestLateResponsesLowerAdmissionFactor(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(1000, safe, constantTime)
+	if r.b.admissionFactor != initialAdmission {
+		t.Fatalf("admission factor %v after responses without a queue, which must not move it", r.b.admissionFactor)
 	}
-	r.queued(1000)
-	if r.b.admission < 2*admissionFirst || r.b.admission > admissionMost {
-		t.Fatalf("admission factor %v while all responses are in time", r.b.admission)
+	r.playQueued(1000)
+	if r.b.admissionFactor < 2*initialAdmission || r.b.admissionFactor > maxAdmission {
+		t.Fatalf("admission factor %v while all responses are in time", r.b.admissionFactor)
 	}
-	r.late(200)
-	if r.b.admission != admissionLeast {
-		t.Errorf("admission factor %v after 200 late responses", r.b.admission)
+	r.playLate(200)
+	if r.b.admissionFactor != minAdmission {
+		t.Errorf("admission factor %v after 200 late responses", r.b.admissionFactor)
 	}
-	r.serve(3000, safe, steady)
-	if r.b.admission < admissionFirst {
-		t.Errorf("admission factor %v after 3000 responses in time", r.b.admission)
+	r.serve(3000, safe, constantTime)
+	if r.b.admissionFactor < initialAdmission {
+		t.Errorf("admission factor %v after 3000 responses in time", r.b.admissionFactor)
 	}
 }
 
 // Responses from a queue must not raise the base time, or an overload would look like slow backends.
-func TestTimesWithoutAQueueIgnoreQueues(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.serve(50, safe, steady)
-	was := r.b.classes[safe].base
+func TestBaseTimeIgnoresQueuedResponses(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.serve(50, safe, constantTime)
+	was := r.b.classes[safe].baseTime
 	for i := range 20 {
 		id := fmt.Sprint(i)
-		r.b.admission = admissionMost
-		r.holds(1, 2)
+		r.b.admissionFactor = maxAdmission
+		r.setPeerLoad(1, 2)
 		r.arrive(id, safe)
-		r.sent()
+		r.sentTo()
 		r.wait(100 * ms)
 		r.do(Event{Kind: Outcome, Request: id, Backend: 1, Spent: 100 * ms, NoMore: true})
 	}
-	if base := r.b.classes[safe].base; base != was {
+	if base := r.b.classes[safe].baseTime; base != was {
 		t.Errorf("base time went from %v to %v", was, base)
 	}
 }
 
 // The time-outs of a hung backend are no sign of overload, and must not lower the admission factor.
-func TestTimeOutsOfSilentServersAreNoPressure(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.serve(300, safe, steady)
-	was := r.b.admission
+func TestTimeoutsOfSilentBackendKeepAdmissionFactor(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.serve(300, safe, constantTime)
+	was := r.b.admissionFactor
 	for i := range 5 {
 		r.arrive(fmt.Sprint(i), unsafe)
 	}
@@ -459,20 +460,20 @@
 	for i := range 5 {
 		r.outcome(fmt.Sprint(i), 0, 1, Expired)
 	}
-	if r.b.admission != was {
-		t.Errorf("admission factor went from %v to %v", was, r.b.admission)
+	if r.b.admissionFactor != was {
+		t.Errorf("admission factor went from %v to %v", was, r.b.admissionFactor)
 	}
 }
 
 // Under load, requests beyond their tenant's share must be rejected before others.
-func TestOverShareIsRefusedFirst(t *testing.T) {
-	cfg := site()
+func TestOverShareIsRejectedFirst(t *testing.T) {
+	cfg := testConfig()
 	cfg.Tenants = []Tenant{{QuotaPerSecond: 4, Share: 0.5}, {QuotaPerSecond: 4000, Share: 0.5}}
 	cfg.OverShareWorth = 0.1
 	r := newRig(t, cfg, member(1, 0, 0))
-	r.serve(50, safe, steady)
+	r.serve(50, safe, constantTime)
 	bound := func(tenant int) float64 {
-		return r.b.bound(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
+		return r.b.maxWait(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
 	}
 	if bound(0) >= bound(1) { // the share of the first tenant is used up
 		t.Errorf("longest waits %v over the share and %v within", bound(0), bound(1))
@@ -480,35 +481,35 @@
 }
 
 // Under overload, requests with more worth for their work must come first.
-func TestTheBoundLeansToWorth(t *testing.T) {
+func TestMaxWaitGrowsWithWorth(t *testing.T) {
 	for _, byWork := range []bool{true, false} {
-		cfg := site()
+		cfg := testConfig()
 		cfg.WorthByWork = byWork
 		cfg.Classes[safe].Points, cfg.Classes[unsafe].Points = 4, 1
 		r := newRig(t, cfg, member(1, 0, 0))
-		r.serve(100, safe, steady)
-		r.serve(100, unsafe, steady)
-		dear := r.b.bound(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
-		cheap := r.b.bound(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
-		if dear < 2*cheap {
-			t.Errorf("by work %v: longest wait %v for high worth, %v for low", byWork, dear, cheap)
+		r.serve(100, safe, constantTime)
+		r.serve(100, unsafe, constantTime)
+		high := r.b.maxWait(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
+		low := r.b.maxWait(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
+		if high < 2*low {
+			t.Errorf("by work %v: longest wait %v for high worth, %v for low", byWork, high, low)
 		}
-		heavy := r.b.bound(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, hint: time.Second})
-		if byWork != (heavy == dear) {
-			t.Errorf("by work %v: longest wait %v for a heavy request, %v for a usual one", byWork, heavy, dear)
+		heavy := r.b.maxWait(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, hint: time.Second})
+		if byWork != (heavy == high) {
+			t.Errorf("by work %v: longest wait %v for a heavy request, %v for a usual one", byWork, heavy, high)
 		}
 	}
 }
 
 // Retries must not multiply the load on backends that reject everything.
-func TestRetriesKeepToTheirBudget(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0), member(3, 0, 0))
+func TestRetriesStayWithinBudget(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0), member(3, 0, 0))
 	sends := 0
 	for i := range 400 {
 		id := fmt.Sprint("r", i)
 		r.arrive(id, safe)
-		for len(of(Send, r.last)) > 0 {
-			a := of(Send, r.last)[0]
+		for len(ofKind(Send, r.last)) > 0 {
+			a := ofKind(Send, r.last)[0]
 			sends++
 			r.wait(5 * ms)
 			r.do(report(a.Backend, 0))
@@ -521,25 +522,25 @@
 }
 
 // The rate of probes has to follow their price, and probes have to reach all backends.
-func TestProbesAreDistinctDrawnAtRandomAndPaidFor(t *testing.T) {
+func TestProbeRateFollowsPrice(t *testing.T) {
 	for _, price := range []float64{0, 0.001, 0.01, 0.08} {
-		cfg := site()
+		cfg := testConfig()
 		cfg.Prices.Probe = price
 		r := newRig(t, cfg, member(1, 0, 0), member(2, 0, 0), member(3, 0, 0))
 		seen, probes := map[BackendID]bool{}, 0
 		for i := range 1000 {
 			r.wait(2 * ms)
 			r.arrive(fmt.Sprint(i), safe)
-			for _, a := range of(Probe, r.last) {
+			for _, a := range ofKind(Probe, r.last) {
 				seen[a.Backend], probes = true, probes+1
 			}
 			r.arrive(fmt.Sprint("same tick", i), safe)
-			if len(of(Probe, r.last)) != 0 {
+			if len(ofKind(Probe, r.last)) != 0 {
 				t.Fatal("probes twice in one tick")
 			}
 		}
 		// Two arrivals in each of 1000 ticks, and at most maxProbesPerTick probes in each tick.
-		want := int(min(1000*probesPerTick, 2000*probeSpend/max(price, 1e-9)))
+		want := int(min(1000*maxProbesPerTick, 2000*probeCostBudget/max(price, 1e-9)))
 		if probes < want*9/10 || probes > want*11/10+1 || len(seen) != 3 {
 			t.Errorf("price %v: %d probes of %d backends, want %d", price, probes, len(seen), want)
 		}
@@ -547,12 +548,12 @@
 }
 
 // A request may go to another zone only if that saves more time than the crossing costs.
-func TestCrossingZonesMustPay(t *testing.T) {
-	cfg := site()
+func TestCrossesZonesOnlyIfItPays(t *testing.T) {
+	cfg := testConfig()
 	cfg.Prices.CrossZone = 0.12
 	r := newRig(t, cfg, member(1, 0, 0), member(2, 1, 1))
-	r.serve(50, safe, steady)
-	if n := r.serve(100, safe, steady); n[2] > 5 {
+	r.serve(50, safe, constantTime)
+	if n := r.serve(100, safe, constantTime); n[2] > 5 {
 		t.Errorf("%d of 100 crossed to an equal backend", n[2])
 	}
 	if n := r.serve(300, safe, func(b BackendID) time.Duration { return time.Duration(3-b) * 100 * ms }); n[2] < 100 {
@@ -562,16 +563,16 @@
 
 // In each window of OverloadFor a cold backend must get less than this node's part of its capacity. The unit is
 // work: one heavy request counts as many light ones.
-func TestColdServersAreNotPushedOver(t *testing.T) {
+func TestColdBackendIsNotOverloaded(t *testing.T) {
 	for _, heavy := range []bool{false, true} {
-		cfg := site()
+		cfg := testConfig()
 		r := newRig(t, cfg, member(1, 0, 0), member(2, 0, 0))
 		hint, busy := 20*ms, false
 		spent := map[BackendID]time.Duration{1: 20 * ms, 2: 20 * ms}
 		send := func(id string) BackendID {
 			r.do(Event{Kind: RequestArrived, Request: id, Hint: hint, Budget: time.Second})
 			r.wait(10 * ms)
-			s := of(Send, r.last)
+			s := ofKind(Send, r.last)
 			if len(s) == 0 {
 				return 0
 			}
@@ -586,7 +587,7 @@
 			send(fmt.Sprint("warm", i))
 		}
 		busy = true
-		r.b.servers[1].more = 500 // so that the cold one is preferred
+		r.b.backends[1].peerLoadOffset = 500 // so that the cold one is preferred
 		cold := member(2, 0, 0)
 		cold.Launched = r.now
 		r.do(Event{Kind: MembersChanged, Members: []Member{cold}})
@@ -606,9 +607,9 @@
 				work += hint.Seconds()
 			}
 			end := min((at[i]+cfg.Rules.OverloadFor-cold.Launched).Seconds()/cfg.Rules.WarmWithin.Seconds(), 1)
-			can := (cfg.Rules.ColdShare + (1-cfg.Rules.ColdShare)*end) * rate * cfg.Rules.OverloadFor.Seconds()
-			if at[i] < cold.Launched+cfg.Rules.WarmWithin-cfg.Rules.OverloadFor && work > 0.5*cfg.Rules.FallMultiple*can {
-				t.Fatalf("heavy %v: %.2f s of work within a window with a capacity of %.2f s", heavy, work, can)
+			capacity := (cfg.Rules.ColdShare + (1-cfg.Rules.ColdShare)*end) * rate * cfg.Rules.OverloadFor.Seconds()
+			if at[i] < cold.Launched+cfg.Rules.WarmWithin-cfg.Rules.OverloadFor && work > 0.5*cfg.Rules.FallMultiple*capacity {
+				t.Fatalf("heavy %v: %.2f s of work within a window with a capacity of %.2f s", heavy, work, capacity)
 			}
 		}
 		if len(at) < 10 {
@@ -623,10 +624,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := site()
+	cfg := testConfig()
 	cfg.AskDiscovery = true
 	r := newRig(t, cfg, member(1, 0, 0), member(2, 0, 0))
-	r.serve(100, safe, steady)
+	r.serve(100, safe, constantTime)
 	for range 80 {
 		r.wait(200 * ms)
 		r.serve(20, safe, func(b BackendID) time.Duration { return time.Duration(2-b) * 150 * ms })
@@ -635,11 +636,11 @@
 		r.wait(1500 * ms)
 		r.serve(20, safe, func(b BackendID) time.Duration { return time.Duration(3-b) * 15 * ms })
 	}
-	r.late(200)
-	r.serve(3000, safe, steady)
-	r.note(r.do(Event{Kind: MembersRefused}))
-	r.note(r.do(Event{Kind: MembersRefused}))
-	r.note(r.do(Event{Kind: MembersAll}))
+	r.playLate(200)
+	r.serve(3000, safe, constantTime)
+	r.collectLogs(r.do(Event{Kind: MembersRefused}))
+	r.collectLogs(r.do(Event{Kind: MembersRefused}))
+	r.collectLogs(r.do(Event{Kind: MembersAll}))
 	for _, text := range []string{"backend N fails: traffic withheld", "backend N answers again", "no ready backend",
 		"responses are late: rejecting requests early", "responses are in time again", "discovery call failed: retrying"} {
 		if !strings.Contains(string(page), "`"+text+"`") {
--- a/balance/figures.go
+++ b/balance/figures.go
@@ -6,10 +6,10 @@
 // those outside its subset and those that fail.
 func (b *Balancer) Avoided() int {
 	n := -len(b.ready)
-	for _, s := range b.servers {
+	for _, s := range b.backends {
 		if s.Phase == Ready {
 			n++
-			if s.failed { // a failing one may still be in the subset
+			if s.isFailing { // a failing one may still be in the subset
 				n++
 			}
 		}
--- a/balance/heldup_test.go
+++ b/balance/heldup_test.go
@@ -7,29 +7,30 @@
 
 // A node may stall for 0.15 s between reading the clock and its write. A retry of a keyed request still has to be written
 // within the window. So no retry may start in the last 0.15 s of the window, and Within has to keep writes out of them.
-func TestRepeatsLeaveRoomForAHoldUp(t *testing.T) {
-	const heldUp = 150 * ms
-	window := site().Classes[keyedAll].Window
+func TestKeyedRetryLeavesRoomForStall(t *testing.T) {
+	const stall = 150 * ms
+	window := testConfig().Classes[keyedAll].Window
 	for after := time.Duration(0); after <= window; after += 10 * ms {
-		r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-		r.b.retries = retryMost
+		r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+		r.b.retryBudget = maxRetryBudget
 		r.arrive("x", keyedAll)
-		first := r.sent()
+		first := r.sentTo()
 		r.wait(after)
 		r.outcome("x", 0, first, Dropped)
-		sent := of(Send, r.last)
-		if after < window-heldUp {
+		sent := ofKind(Send, r.last)
+		if after < window-stall {
 			if len(sent) != 1 {
 				t.Errorf("after %v: no retry: %+v", after, r.last)
-			} else if written := after + sent[0].Within + heldUp; sent[0].Within <= 0 || written > window {
-				t.Errorf("after %v: may be written within %v plus a stall of %v, so after %v of a window of %v", after, sent[0].Within, heldUp, written, window)
+			} else if written := after + sent[0].Within + stall; sent[0].Within <= 0 || written > window {
+				t.Errorf("after %v: may be written within %v plus a stall of %v, so after %v of a window of %v",
+					after, sent[0].Within, stall, written, window)
 			}
 			continue
 		}
 		if len(sent) > 0 {
 			t.Errorf("after %v of a window of %v: a retry", after, window)
 		}
-		if refused := of(Refuse, r.last); len(refused) > 0 {
+		if refused := ofKind(Refuse, r.last); len(refused) > 0 {
 			t.Errorf("after %v of a window of %v: rejected with a retry-after", after, window)
 		}
 	}
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -37,79 +37,86 @@
 
 // Learned returns what this Balancer has learned, as input of Relearn.
 func (b *Balancer) Learned() Learned {
-	of := func(c *crowd) LearnedCrowd { return LearnedCrowd{c.others, c.reports, c.at} }
+	export := func(c *peerLoadMean) LearnedCrowd { return LearnedCrowd{c.mean, c.reports, c.updatedAt} }
 	l := Learned{
-		Part: b.admission, Gap: b.gap, PeerPace: b.peerPace, AllTime: b.allTime, AllDepth: b.allDepth, Answers: b.answers,
-		Refresh: b.refresh, WarmRate: b.warmRate * b.meanBase(), Instances: b.cfg.Instances, MeanValue: b.meanValue, AllFail: b.allFail, AllBroke: b.allBroke,
-		JudgedAt: b.judgedAt, All: of(&b.all), Cold: of(&b.cold), Zones: map[int]LearnedCrowd{},
+		Part: b.admissionFactor, Gap: b.responseGap, PeerPace: b.meanServiceTime,
+		AllTime: b.meanResponseTime, AllDepth: b.meanQueueMet, Answers: b.responses,
+		Refresh: b.reportInterval, WarmRate: b.warmRate * b.meanBaseTime(), Instances: b.cfg.Instances,
+		MeanValue: b.meanWorth, AllFail: b.meanFailureRate, AllBroke: b.meanErrorRate,
+		JudgedAt: b.lastAdjustedAt, All: export(&b.allLoad), Cold: export(&b.coldLoad), Zones: map[int]LearnedCrowd{},
 	}
-	for zone, c := range b.zones {
-		l.Zones[zone] = of(c)
+	for zone, c := range b.zoneLoads {
+		l.Zones[zone] = export(c)
 	}
 	for _, c := range b.classes {
-		l.Classes = append(l.Classes, LearnedClass{c.base, c.seen, c.free})
+		l.Classes = append(l.Classes, LearnedClass{c.baseTime, c.samples, c.unqueuedSamples})
 	}
-	for _, s := range b.servers {
+	for _, s := range b.backends {
 		if s.Phase == Gone {
 			continue
 		}
 		l.Servers = append(l.Servers, LearnedServer{
-			Name: s.name(), Launched: s.Launched, ToldAt: s.toldAt, Heard: s.heard, SeenAt: s.seenAt, Since: s.since,
-			More: s.more, Told: s.told, Fails: s.fails, Time: s.time, Depth: s.depth, Seen: s.seen, Failed: s.failed, Used: s.used,
+			Name: s.name(), Launched: s.Launched, ToldAt: s.peerLoadAt, Heard: s.lastResponseAt, SeenAt: s.reportedAt, Since: s.listedAt,
+			More: s.peerLoadOffset, Told: s.lastPeerLoad, Fails: s.failureRate, Time: s.responseTime,
+			Depth: s.queueMet, Seen: s.reportedQueue, Failed: s.isFailing, Used: s.wasUsed,
 		})
 	}
 	return l
 }
 
 // isValid reports whether the values are in the range that a Balancer produces.
-func (l *Learned) ok() bool {
-	least := min(l.Part, l.Gap, l.PeerPace, l.AllTime, l.AllDepth, l.Answers, l.Refresh, l.WarmRate, l.MeanValue, l.AllFail, l.AllBroke)
+func (l *Learned) isValid() bool {
+	lowest := min(l.Part, l.Gap, l.PeerPace, l.AllTime, l.AllDepth, l.Answers, l.Refresh, l.WarmRate, l.MeanValue, l.AllFail, l.AllBroke)
 	for _, c := range l.Classes {
-		least = min(least, c.Base, c.Seen, c.Free)
+		lowest = min(lowest, c.Base, c.Seen, c.Free)
 	}
 	for _, s := range l.Servers {
-		least = min(least, s.Told, s.Fails, s.Time, s.Depth, s.Seen, 1-s.Fails)
+		lowest = min(lowest, s.Told, s.Fails, s.Time, s.Depth, s.Seen, 1-s.Fails)
 	}
-	return least >= 0 && l.Answers > 0 && max(l.WarmRate, l.PeerPace, l.AllTime, l.AllDepth) < learnedMost
+	return lowest >= 0 && l.Answers > 0 && max(l.WarmRate, l.PeerPace, l.AllTime, l.AllDepth) < maxLearnedValue
 }
 
 // maxLearnedValue is above every value of a Balancer. An excessive warm rate would raise the warm-up budget.
-const learnedMost = 1e4
+const maxLearnedValue = 1e4
 
 // Relearn continues with what another Balancer of the node has learned. It has to be called before all events other than
 // endpoint lists. It does nothing once this Balancer has seen a response, because its own data take precedence.
 func (b *Balancer) Relearn(l Learned) {
-	if b.answers > 0 || !l.ok() {
+	if b.responses > 0 || !l.isValid() {
 		return
 	}
-	of := func(c LearnedCrowd) crowd { return crowd{max(c.Others, 0), max(c.Reports, 0), min(c.At, b.now)} }
-	b.admission, b.gap, b.peerPace = min(max(l.Part, admissionLeast), admissionMost), l.Gap, l.PeerPace
-	b.allTime, b.allDepth, b.answers = l.AllTime, l.AllDepth, l.Answers
-	b.recent.time, b.recent.depth, b.recent.usual = l.AllTime, l.AllDepth, l.PeerPace
-	b.refresh, b.meanValue = l.Refresh, l.MeanValue
-	b.allFail, b.allBroke, b.judgedAt = l.AllFail, l.AllBroke, min(l.JudgedAt, b.now)
-	b.all, b.cold = of(l.All), of(l.Cold)
+	restore := func(c LearnedCrowd) peerLoadMean {
+		return peerLoadMean{max(c.Others, 0), max(c.Reports, 0), min(c.At, b.now)}
+	}
+	b.admissionFactor, b.responseGap, b.meanServiceTime = min(max(l.Part, minAdmission), maxAdmission), l.Gap, l.PeerPace
+	b.meanResponseTime, b.meanQueueMet, b.responses = l.AllTime, l.AllDepth, l.Answers
+	b.recent.responseTime, b.recent.queueMet, b.recent.baseline = l.AllTime, l.AllDepth, l.PeerPace
+	b.reportInterval, b.meanWorth = l.Refresh, l.MeanValue
+	b.meanFailureRate, b.meanErrorRate, b.lastAdjustedAt = l.AllFail, l.AllBroke, min(l.JudgedAt, b.now)
+	b.allLoad, b.coldLoad = restore(l.All), restore(l.Cold)
 	for zone, c := range l.Zones {
-		if b.zones[zone] == nil {
-			b.zones[zone] = &crowd{}
+		if b.zoneLoads[zone] == nil {
+			b.zoneLoads[zone] = &peerLoadMean{}
 		}
-		*b.zones[zone] = of(c)
+		*b.zoneLoads[zone] = restore(c)
 	}
 	for i := range min(len(l.Classes), len(b.classes)) {
 		b.classes[i] = classStats{l.Classes[i].Base, l.Classes[i].Seen, l.Classes[i].Free}
 	}
-	part := float64(max(cmp.Or(l.Instances, b.cfg.Instances), 1)) / float64(b.cfg.Instances) // two processes of a node divide its part
-	b.warmRate = l.WarmRate * part / max(b.meanBase(), 1e-6)
-	for _, x := range l.Servers {
-		s := b.names[x.Name&nameMask]
-		if s == nil || s.name() != x.Name || s.Launched != x.Launched {
+	// Two processes of a node divide its part.
+	instanceRatio := float64(max(cmp.Or(l.Instances, b.cfg.Instances), 1)) / float64(b.cfg.Instances)
+	b.warmRate = l.WarmRate * instanceRatio / max(b.meanBaseTime(), 1e-6)
+	for _, saved := range l.Servers {
+		s := b.byName[saved.Name&nameMask]
+		if s == nil || s.name() != saved.Name || s.Launched != saved.Launched {
 			continue // not listed here, or restarted since
 		}
-		s.toldAt, s.heard = min(x.ToldAt, b.now), min(x.Heard, b.now) // no time lies in the future
-		s.seenAt, s.since = min(x.SeenAt, b.now), min(x.Since, b.now)
-		s.more, s.told, s.fails, s.time, s.depth, s.seen = x.More, x.Told, x.Fails, x.Time, x.Depth, x.Seen
-		s.failed, s.used = x.Failed, x.Used
+		s.peerLoadAt, s.lastResponseAt = min(saved.ToldAt, b.now), min(saved.Heard, b.now) // no time lies in the future
+		s.reportedAt, s.listedAt = min(saved.SeenAt, b.now), min(saved.Since, b.now)
+		s.peerLoadOffset, s.lastPeerLoad, s.failureRate, s.responseTime, s.queueMet, s.reportedQueue =
+			saved.More, saved.Told, saved.Fails, saved.Time, saved.Depth, saved.Seen
+		s.isFailing, s.wasUsed = saved.Failed, saved.Used
 	}
-	b.probes = max(b.probes, float64(len(b.servers))) // no probes as at a first start
-	b.choose()
+	b.probesSent = max(b.probesSent, float64(len(b.backends))) // no probes as at a first start
+	b.chooseSubset()
 }
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -10,26 +10,27 @@
 // a larger warm-up budget by that, and must reject values outside the valid range.
 func TestRelearn(t *testing.T) {
 	cold := member(3, 0, 0)
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
-	r.serve(200, safe, steady)
-	r.b.servers[2].fails, r.b.servers[2].failed = 0.9, true
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
+	r.serve(200, safe, constantTime)
+	r.b.backends[2].failureRate, r.b.backends[2].isFailing = 0.9, true
 	l := r.b.Learned()
 	fresh := func() *rig {
-		n := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
+		n := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
 		cold.Launched = n.now
 		n.do(Event{Kind: MembersChanged, Members: []Member{cold}})
 		return n
 	}
 	n := fresh()
-	before := n.b.servers[3].credit
+	before := n.b.backends[3].warmUpBudget
 	n.b.Relearn(l)
-	if n.b.peerPace != r.b.peerPace || n.b.servers[2].fails != 0.9 || n.b.warmRate != r.b.warmRate || n.b.warmRate == 0 {
-		t.Errorf("service time %v, failure rate %v, warm rate %v", n.b.peerPace, n.b.servers[2].fails, n.b.warmRate)
+	if n.b.meanServiceTime != r.b.meanServiceTime || n.b.backends[2].failureRate != 0.9 ||
+		n.b.warmRate != r.b.warmRate || n.b.warmRate == 0 {
+		t.Errorf("service time %v, failure rate %v, warm rate %v", n.b.meanServiceTime, n.b.backends[2].failureRate, n.b.warmRate)
 	}
-	if n.b.servers[3].credit != before || n.b.servers[3].time != 0 {
-		t.Errorf("a backend without learned values: %+v", n.b.servers[3])
+	if n.b.backends[3].warmUpBudget != before || n.b.backends[3].responseTime != 0 {
+		t.Errorf("a backend without learned values: %+v", n.b.backends[3])
 	}
-	if at := n.b.servers[1].toldAt; at > n.b.now {
+	if at := n.b.backends[1].peerLoadAt; at > n.b.now {
 		t.Errorf("last report at %v, now %v", at, n.b.now)
 	}
 	for name, spoil := range map[string]func(*Learned){
@@ -43,23 +44,23 @@
 		spoil(&bad)
 		n := fresh()
 		n.b.Relearn(bad)
-		if n.b.answers != 0 || n.b.warmRate != 0 {
+		if n.b.responses != 0 || n.b.warmRate != 0 {
 			t.Errorf("%s: accepted", name)
 		}
 	}
 	// Another process at the same address must not get the values of the old one.
-	n = newRig(t, site(), Member{Backend: 1, Launched: time.Hour})
+	n = newRig(t, testConfig(), Member{Backend: 1, Launched: time.Hour})
 	n.b.Relearn(l)
-	if n.b.servers[1].time != 0 {
+	if n.b.backends[1].responseTime != 0 {
 		t.Error("a restarted process has the service time of the old one")
 	}
 }
 
 // New settings apply to new requests. Requests in progress keep their class, and the number of instances doesn't change.
 func TestSettingsChange(t *testing.T) {
-	cfg := site()
+	cfg := testConfig()
 	r := newRig(t, cfg, member(1, 0, 0), member(2, 0, 0))
-	r.serve(50, safe, steady)
+	r.serve(50, safe, constantTime)
 	r.arrive("old", safe)
 	next := cfg
 	next.Classes = append([]Class(nil), cfg.Classes...)
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -8,7 +8,7 @@
 
 // Backends come and go under new ids. One that is gone must stay in memory for as long as it has pending attempts, and no
 // longer. A late outcome for it must be harmless.
-func TestServersThatAreGoneAreForgotten(t *testing.T) {
+func TestGoneBackendIsRemovedFromMemory(t *testing.T) {
 	b, err := New(Config{Classes: []Class{{Aim: time.Second, Deadline: time.Minute}}, Limits: Limits{MaxAttempts: 2}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -34,21 +34,21 @@
 			handle(Event{Kind: MembersAll})
 		}
 	}
-	if len(out) != ids || len(b.servers) != ids {
-		t.Fatalf("%d attempts pending, %d backends in memory", len(out), len(b.servers))
+	if len(out) != ids || len(b.backends) != ids {
+		t.Fatalf("%d attempts pending, %d backends in memory", len(out), len(b.backends))
 	}
 	for _, ev := range out {
 		handle(ev)
 	}
-	if len(b.servers) != 0 || len(b.requests) != 0 {
-		t.Errorf("%d backends and %d requests left in memory", len(b.servers), len(b.requests))
+	if len(b.backends) != 0 || len(b.requests) != 0 {
+		t.Errorf("%d backends and %d requests left in memory", len(b.backends), len(b.requests))
 	}
 	handle(out[0])
 	handle(Event{Kind: Probed, Backend: 5, Load: Load{Has: HasActive, Active: 3}})
 }
 
 // If one attempt in ten breaks at every backend alike, none is an outlier, and no request may be rejected for it.
-func TestBreaksByChanceRefuseNothing(t *testing.T) {
+func TestRandomFailuresCauseNoRejection(t *testing.T) {
 	b, err := New(Config{Classes: []Class{{Aim: time.Second, Deadline: time.Minute, Effect: Safe}},
 		Limits: Limits{MaxAttempts: 1}}, 7)
 	if err != nil {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// site returns a Config with one class of each effect and scope.
-func site() Config {
+// testConfig returns a Config with one class of each effect and scope.
+func testConfig() Config {
 	class := func(e Effect, sc Scope) Class {
 		return Class{Aim: 300 * ms, Deadline: 1200 * ms, Effect: e, Scope: sc, Window: 500 * ms, Points: 1}
 	}
@@ -79,7 +79,7 @@
 		Spent: 20 * ms, NoMore: st == Delivered})
 }
 
-func of(kind ActionKind, acts []Action) []Action {
+func ofKind(kind ActionKind, acts []Action) []Action {
 	var out []Action
 	for _, a := range acts {
 		if a.Kind == kind {
@@ -89,10 +89,10 @@
 	return out
 }
 
-// sent returns the backend of the only Send.
-func (r *rig) sent() BackendID {
+// sentTo returns the backend of the only Send.
+func (r *rig) sentTo() BackendID {
 	r.t.Helper()
-	s := of(Send, r.last)
+	s := ofKind(Send, r.last)
 	if len(s) != 1 {
 		r.t.Fatalf("%d sends, want 1: %+v", len(s), r.last)
 	}
@@ -105,7 +105,7 @@
 
 // A retry must not execute a request twice: it depends on the effect of the class, on whether the first attempt may have
 // run, and for keyed classes on the window and the group of backends.
-func TestRepeatsByEffect(t *testing.T) {
+func TestRetriesByEffect(t *testing.T) {
 	members := []Member{member(1, 0, 0), member(2, 0, 1), member(3, 1, 2), member(4, 1, 2)}
 	zoneOf := map[BackendID]int{1: 0, 2: 0, 3: 1, 4: 1}
 	cellOf := map[BackendID]int{1: 0, 2: 1, 3: 2, 4: 2}
@@ -133,24 +133,24 @@
 		{"keyed by cell past its window", keyedCell, Dropped, 600 * ms, false, Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, site(), members...)
+			r := newRig(t, testConfig(), members...)
 			for i := range 40 { // fill the retry budget
 				id := fmt.Sprint("warm", i)
 				r.arrive(id, safe)
-				r.outcome(id, 0, r.sent(), Delivered)
+				r.outcome(id, 0, r.sentTo(), Delivered)
 				r.wait(5 * ms)
 			}
 			r.arrive("x", c.class)
-			first := r.sent()
+			first := r.sentTo()
 			r.wait(c.after + ms)
 			acts := r.outcome("x", 0, first, c.status)
 			if !c.resend {
-				if len(of(Send, acts)) != 0 || len(of(c.final, acts)) != 1 {
+				if len(ofKind(Send, acts)) != 0 || len(ofKind(c.final, acts)) != 1 {
 					t.Fatalf("got %+v", acts)
 				}
 				return
 			}
-			again := r.sent()
+			again := r.sentTo()
 			if again == first {
 				t.Error("the retry went to the backend that had failed")
 			}
@@ -165,11 +165,11 @@
 }
 
 // Without another backend in the cell the request has to fail. Rejecting it would invite a repeat that may run twice.
-func TestKeyedByCellIsNotRefusedOnceItMayHaveRun(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 1))
+func TestKeyedByCellFailsOnceItMayHaveRun(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 1))
 	r.arrive("x", keyedCell)
-	acts := r.outcome("x", 0, r.sent(), Dropped)
-	if len(of(Fail, acts)) != 1 || len(of(Refuse, acts)) != 0 || len(of(Send, acts)) != 0 {
+	acts := r.outcome("x", 0, r.sentTo(), Dropped)
+	if len(ofKind(Fail, acts)) != 1 || len(ofKind(Refuse, acts)) != 0 || len(ofKind(Send, acts)) != 0 {
 		t.Fatalf("got %+v", acts)
 	}
 }
@@ -177,17 +177,17 @@
 // Every request needs exactly one final answer at its deadline, and later outcomes and timers must not cause another.
 func TestDeadlineEndsEveryRequest(t *testing.T) {
 	for class, want := range map[int]ActionKind{safe: Refuse, unsafe: Fail, keyedZone: Fail} {
-		r := newRig(t, site(), member(1, 0, 0))
+		r := newRig(t, testConfig(), member(1, 0, 0))
 		var mark uint64
-		for _, a := range of(SetTimer, r.arrive("x", class)) {
+		for _, a := range ofKind(SetTimer, r.arrive("x", class)) {
 			if a.In == time.Second {
 				mark = a.Mark
 			}
 		}
-		to := r.sent()
+		to := r.sentTo()
 		r.wait(time.Second)
 		acts := r.do(Event{Kind: Timer, Mark: mark})
-		if len(of(want, acts)) != 1 {
+		if len(ofKind(want, acts)) != 1 {
 			t.Errorf("class %d at its deadline: %+v", class, acts)
 		}
 		if acts = r.outcome("x", 0, to, Dropped); len(acts) != 0 {
@@ -200,30 +200,30 @@
 }
 
 // A time-out of the attempt at the deadline must lead to the final answer, not to a retry.
-func TestTimeOutAtTheDeadlineIsAnswered(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
+func TestTimeoutAtDeadlineGetsFinalAnswer(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
 	r.arrive("x", unsafe)
-	to := r.sent()
+	to := r.sentTo()
 	r.wait(time.Second)
-	if acts := r.outcome("x", 0, to, Expired); len(of(Fail, acts)) != 1 || len(of(Send, acts)) != 0 {
+	if acts := r.outcome("x", 0, to, Expired); len(ofKind(Fail, acts)) != 1 || len(ofKind(Send, acts)) != 0 {
 		t.Fatalf("got %+v", acts)
 	}
 }
 
 // Without a ready backend a request must be rejected at once, not at its deadline.
-func TestNothingReadyIsRefusedAtOnce(t *testing.T) {
-	r := newRig(t, site())
-	for class := range site().Classes {
-		if acts := r.arrive(fmt.Sprint(class), class); len(of(Refuse, acts)) != 1 {
+func TestRequestIsRejectedWithoutReadyBackend(t *testing.T) {
+	r := newRig(t, testConfig())
+	for class := range testConfig().Classes {
+		if acts := r.arrive(fmt.Sprint(class), class); len(ofKind(Refuse, acts)) != 1 {
 			t.Errorf("class %d: %+v", class, acts)
 		}
 	}
 }
 
 // A backend that is draining, gone, or missing in a full list must get no new request.
-func TestDrainsAreKept(t *testing.T) {
+func TestDrainingBackendGetsNoNewRequest(t *testing.T) {
 	for _, phase := range []Phase{Draining, Gone} {
-		r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
+		r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
 		drained := member(1, 0, 0)
 		drained.Phase = phase
 		r.do(Event{Kind: MembersChanged, Members: []Member{drained}})
@@ -238,7 +238,7 @@
 		r.do(Event{Kind: MembersAll, Members: []Member{member(3, 0, 0)}})
 		r.wait(10 * time.Second)
 		r.arrive("last", safe)
-		if to := r.sent(); to != 3 {
+		if to := r.sentTo(); to != 3 {
 			t.Fatalf("sent to %d, which is not in the full list", to)
 		}
 	}
@@ -246,11 +246,11 @@
 
 // A started stream may last past the deadline: the client already has a part of it, so no final answer may follow.
 func TestStreamHasNoDeadlineOnceStarted(t *testing.T) {
-	cfg := site()
+	cfg := testConfig()
 	cfg.Classes[safe].Stream = true
 	r := newRig(t, cfg, member(1, 0, 0), member(2, 0, 0))
-	timers := of(SetTimer, r.arrive("x", safe))
-	to := r.sent()
+	timers := ofKind(SetTimer, r.arrive("x", safe))
+	to := r.sentTo()
 	r.do(Event{Kind: StreamStarted, Request: "x", Backend: to})
 	r.wait(time.Second)
 	for _, a := range timers {
@@ -266,7 +266,7 @@
 
 // Late or wrong events must not cause a send, a second final answer or a panic.
 func TestUnknownNamesAreIgnored(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
+	r := newRig(t, testConfig(), member(1, 0, 0))
 	r.arrive("x", safe)
 	for _, ev := range []Event{
 		{Kind: Outcome, Request: "nobody"},
@@ -281,7 +281,7 @@
 		{Kind: RequestArrived, Request: "x", Class: safe},
 		{Kind: PeerMessage, Peer: 1, Payload: []byte{1, 2}},
 	} {
-		if acts := of(Send, r.do(ev)); len(acts) != 0 {
+		if acts := ofKind(Send, r.do(ev)); len(acts) != 0 {
 			t.Errorf("%+v: %+v", ev, acts)
 		}
 	}
@@ -309,21 +309,21 @@
 	rng      *rand.Rand
 	cfg      Config
 	list     map[BackendID]Member
-	requests map[string]*tracked
-	open     []sending
+	requests map[string]*requestState
+	inFlight []attemptState
 	timers   []Action
 	due      []time.Duration
 	all      []Action
 }
 
-type tracked struct {
+type requestState struct {
 	class    *Class
 	deadline time.Duration
-	tries    []sending
+	tries    []attemptState
 	done     bool
 }
 
-type sending struct {
+type attemptState struct {
 	id      string
 	attempt int
 	to      Member
@@ -373,8 +373,8 @@
 				t.Fatal("a keyed request was sent outside its window or group")
 			}
 		}
-		s := sending{a.Request, a.Attempt, m, w.now, true, true}
-		r.tries, w.open = append(r.tries, s), append(w.open, s)
+		s := attemptState{a.Request, a.Attempt, m, w.now, true, true}
+		r.tries, w.inFlight = append(r.tries, s), append(w.inFlight, s)
 	case Refuse, Fail:
 		if r == nil || r.done {
 			t.Fatal("two final answers")
@@ -403,12 +403,12 @@
 
 // finish passes the outcome of a random pending attempt to the Balancer.
 func (w *world) finish() {
-	if len(w.open) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.open))
-	s := w.open[i]
-	w.open = append(w.open[:i:i], w.open[i+1:]...)
+	i := w.rng.IntN(len(w.inFlight))
+	s := w.inFlight[i]
+	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 	st := Status(w.rng.IntN(int(Unused) + 1))
 	if w.rng.IntN(4) > 0 {
 		st = Delivered
@@ -460,7 +460,7 @@
 		members = append(members, member(id+1, int(id)%2, int(id)%3))
 	}
 	w := &world{rig: newRig(t, cfg, members...), rng: rng, cfg: cfg, list: map[BackendID]Member{},
-		requests: map[string]*tracked{}}
+		requests: map[string]*requestState{}}
 	for _, m := range members {
 		w.list[m.Backend] = m
 	}
@@ -472,7 +472,7 @@
 			id := fmt.Sprint("r", i)
 			class := rng.IntN(len(cfg.Classes))
 			budget := time.Duration(50+rng.IntN(1000)) * ms
-			w.requests[id] = &tracked{class: &cfg.Classes[class], deadline: w.now + budget}
+			w.requests[id] = &requestState{class: &cfg.Classes[class], deadline: w.now + budget}
 			w.step(Event{Kind: RequestArrived, Request: id, Class: class, Budget: budget,
 				Tenant: rng.IntN(3) - 1, Hint: time.Duration(rng.IntN(50)) * ms, Key: rng.Uint64N(9), HasKey: true})
 		case k < 17:
@@ -482,10 +482,10 @@
 		case k == 18 && rng.IntN(4) == 0:
 			w.change()
 		case k == 19 && rng.IntN(10) == 0:
-			if len(w.open) == 0 {
+			if len(w.inFlight) == 0 {
 				continue
 			}
-			id := w.open[rng.IntN(len(w.open))].id
+			id := w.inFlight[rng.IntN(len(w.inFlight))].id
 			w.requests[id].done = true
 			w.step(Event{Kind: ClientGone, Request: id})
 		}
@@ -501,7 +501,7 @@
 func configs() []Config {
 	var out []Config
 	for i := range 8 {
-		cfg := site()
+		cfg := testConfig()
 		cfg.AskDiscovery = i&1 != 0
 		cfg.Limits.SecondCopies = i&2 == 0
 		cfg.Limits.Probing = i&4 == 0
@@ -514,11 +514,11 @@
 }
 
 // The rules on attempts, repeats and final answers must hold in any order of events, under all permissions.
-func TestRulesHoldOverRandomEvents(t *testing.T) {
+func TestRulesHoldForRandomEvents(t *testing.T) {
 	for i, cfg := range configs() {
 		for seed := range uint64(6) {
-			if acts := play(t, seed*8+uint64(i), cfg, 2000); len(of(Send, acts)) < 20 {
-				t.Errorf("config %d: only %d sends", i, len(of(Send, acts)))
+			if acts := play(t, seed*8+uint64(i), cfg, 2000); len(ofKind(Send, acts)) < 20 {
+				t.Errorf("config %d: only %d sends", i, len(ofKind(Send, acts)))
 			}
 		}
 	}
--- a/balance/slowdown.go
+++ b/balance/slowdown.go
@@ -9,8 +9,8 @@
 // service times are now. It is 1 while chance explains the difference: up to noiseDeviations standard deviations of a mean
 // over recent responses, each with the weight recentWeight.
 type slowdown struct {
-	time, depth, usual, factor float64 // running means of response times (seconds) and queues met; usual service time
-	at                         time.Duration
+	responseTime, queueMet, baseline, factor float64 // running means of response times (seconds) and queues met; usual service time
+	updatedAt                                time.Duration
 }
 
 const recentWeight = 0.1
@@ -19,17 +19,17 @@
 // is far too slow when many backends are overloaded: a queue that looked short enough stays, and so does the overload. The
 // factor lengthens all service times and shortens the longest wait. The first keeps expected response times right; the
 // second gives the backends room to recover.
-func (b *Balancer) learnSlowdown(took, met, weight float64) {
+func (b *Balancer) learnSlowdown(sample, queue, weight float64) {
 	r := &b.recent
-	r.time, r.depth = r.time+weight*(took-r.time), r.depth+weight*(met-r.depth)
-	pace := r.time / (r.depth + 1)
+	r.responseTime, r.queueMet = r.responseTime+weight*(sample-r.responseTime), r.queueMet+weight*(queue-r.queueMet)
+	serviceTime := r.responseTime / (r.queueMet + 1)
 	// The baseline follows over baselineSeconds, and more slowly during a slowdown. A lasting slowdown becomes the baseline.
-	r.usual += min((b.now-r.at).Seconds()/usualSpan/r.factor/r.factor, recentWeight) * (pace - r.usual)
-	if b.answers*paceWeight < 1 { // there is no baseline beside the first responses
-		r.time, r.depth, r.usual, pace = b.allTime, b.allDepth, b.peerPace, b.peerPace
+	r.baseline += min((b.now-r.updatedAt).Seconds()/baselineSeconds/r.factor/r.factor, recentWeight) * (serviceTime - r.baseline)
+	if b.responses*sampleWeight < 1 { // there is no baseline beside the first responses
+		r.responseTime, r.queueMet, r.baseline, serviceTime = b.meanResponseTime, b.meanQueueMet, b.meanServiceTime, b.meanServiceTime
 	}
-	r.at, r.factor = b.now, 1
-	if pace > r.usual*(1+deviations*math.Sqrt(recentWeight/(2-recentWeight))) {
-		r.factor = max(1, pace/b.peerPace)
+	r.updatedAt, r.factor = b.now, 1
+	if serviceTime > r.baseline*(1+noiseDeviations*math.Sqrt(recentWeight/(2-recentWeight))) {
+		r.factor = max(1, serviceTime/b.meanServiceTime)
 	}
 }
--- a/balance/slowdown_test.go
+++ b/balance/slowdown_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// answers plays n responses with this response time from a queue of two.
-func (r *rig) answers(n int, took time.Duration) {
+// playResponses plays n responses with this response time from a queue of two.
+func (r *rig) playResponses(n int, took time.Duration) {
 	for i := range n {
 		id := fmt.Sprint("answer", r.now, i)
-		r.holds(1, 2)
+		r.setPeerLoad(1, 2)
 		r.arrive(id, safe)
-		if len(of(Send, r.last)) == 0 {
+		if len(ofKind(Send, r.last)) == 0 {
 			continue
 		}
 		r.wait(took)
@@ -22,31 +22,31 @@
 
 // A slowdown of all backends at the same queue must be detected within some ten responses, long before the service time of
 // each backend follows. It must end when the backends recover.
-func TestSlowdownOfAllServersIsLearnedAtOnce(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.serve(50, safe, steady)
-	r.answers(60, 60*ms)
+func TestSlowdownOfAllBackendsIsDetected(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.serve(50, safe, constantTime)
+	r.playResponses(60, 60*ms)
 	if f := r.b.recent.factor; f != 1 {
 		t.Fatalf("factor %v with usual response times", f)
 	}
-	own := r.b.warmPace(r.b.servers[1])
-	r.answers(25, 180*ms)
+	own := r.b.warmServiceTime(r.b.backends[1])
+	r.playResponses(25, 180*ms)
 	if f := r.b.recent.factor; f < 1.3 { // most requests are rejected by then
 		t.Errorf("factor %v after responses that took three times as long", f)
 	}
-	if p := r.b.pace(r.b.servers[1]); p < 1.5*own {
+	if p := r.b.serviceTime(r.b.backends[1]); p < 1.5*own {
 		t.Errorf("service time %v, %v before: 1.5 times as long wanted", p, own)
 	}
-	r.answers(250, 60*ms) // 15 s, in which most are rejected at first
+	r.playResponses(250, 60*ms) // 15 s, in which most are rejected at first
 	if f := r.b.recent.factor; f != 1 {
 		t.Errorf("factor %v after usual response times", f)
 	}
 }
 
 // With response times far below the aim, the initial service time must not turn into a slowdown.
-func TestSlowdownHasNoPrior(t *testing.T) {
+func TestInitialServiceTimeIsNoSlowdown(t *testing.T) {
 	for _, took := range []time.Duration{50 * time.Microsecond, ms, 250 * ms} {
-		r := newRig(t, site(), member(1, 0, 0))
+		r := newRig(t, testConfig(), member(1, 0, 0))
 		for range 30 {
 			r.serve(1, safe, func(BackendID) time.Duration { return took })
 			if f := r.b.recent.factor; f != 1 {
@@ -57,11 +57,11 @@
 }
 
 // Without responses nothing shows the recovery, so the slowdown has to end by itself.
-func TestSlowdownEndsWithoutAnswers(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.serve(50, safe, steady)
-	r.answers(60, 60*ms)
-	r.answers(25, 180*ms)
+func TestSlowdownEndsWithoutResponses(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.serve(50, safe, constantTime)
+	r.playResponses(60, 60*ms)
+	r.playResponses(25, 180*ms)
 	if r.b.recent.factor == 1 {
 		t.Fatal("no slowdown at first")
 	}
@@ -75,10 +75,10 @@
 }
 
 // A backend that was always slow must not count as a slowdown, nor a single slow response.
-func TestSlowdownIsNoChance(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0))
-	r.answers(60, 150*ms)
-	r.answers(1, 300*ms)
+func TestSingleSlowResponseIsNoSlowdown(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0))
+	r.playResponses(60, 150*ms)
+	r.playResponses(1, 300*ms)
 	if f := r.b.recent.factor; f != 1 {
 		t.Errorf("factor %v after a single slow response", f)
 	}
@@ -86,17 +86,17 @@
 
 // If backends differ in speed, the first response of a class shows the speed of its backend. It must not make all later
 // responses of this class look fast, and those of other classes slow.
-func TestFewAnswersTellNoClassesApart(t *testing.T) {
-	r := newRig(t, site(), member(1, 0, 0), member(2, 0, 0))
+func TestFewResponsesDoNotSeparateClasses(t *testing.T) {
+	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(1, safe, func(BackendID) time.Duration { return 250 * ms })
 	r.serve(1, unsafe, func(BackendID) time.Duration { return 16 * ms })
-	slow, quick := r.b.sureBase(&r.b.classes[safe]), r.b.sureBase(&r.b.classes[unsafe])
+	slow, quick := r.b.shrunkBaseTime(&r.b.classes[safe]), r.b.shrunkBaseTime(&r.b.classes[unsafe])
 	if slow > 3*quick {
 		t.Errorf("base times %v and %v after one response each", slow, quick)
 	}
 	r.serve(100, safe, func(BackendID) time.Duration { return 160 * ms })
 	r.serve(100, unsafe, func(BackendID) time.Duration { return 16 * ms })
-	slow, quick = r.b.sureBase(&r.b.classes[safe]), r.b.sureBase(&r.b.classes[unsafe])
+	slow, quick = r.b.shrunkBaseTime(&r.b.classes[safe]), r.b.shrunkBaseTime(&r.b.classes[unsafe])
 	if slow < 7*quick {
 		t.Errorf("base times %v and %v after a hundred responses each, with ten times the work", slow, quick)
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -8,8 +8,8 @@
 )
 
 // After any sequence of updates the subset has to be that of a node which gets the same list at once.
-func TestSubsetIsThatOfAFreshNode(t *testing.T) {
-	cfg := site()
+func TestSubsetDoesNotDependOnHistory(t *testing.T) {
+	cfg := testConfig()
 	cfg.Index, cfg.Instances = 3, 50
 	rng := rand.New(rand.NewPCG(1, 1))
 	b, _ := New(cfg, 1)
--- a/balance/weights_test.go
+++ b/balance/weights_test.go
@@ -12,12 +12,12 @@
 // backend that is far slower must get less, and one that was away must not be flooded to catch up.
 func TestDeclaredWeights(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		weights []float64
-		slow    []float64 // slowdown factor of each backend
-		gap     time.Duration
-		within  float64 // allowed deviation from the share, of each backend
-		awayMid bool
+		name          string
+		weights       []float64
+		slow          []float64 // slowdown factor of each backend
+		gap           time.Duration
+		within        float64 // allowed deviation from the share, of each backend
+		changesMidway bool
 	}{
 		{"equal, one at a time", []float64{1, 1, 1}, nil, 30 * time.Millisecond, 0.01, false},
 		{"5:3:1, one at a time", []float64{5, 3, 1}, nil, 30 * time.Millisecond, 0.01, false},
@@ -49,7 +49,7 @@
 				ev Event
 			}
 			var open []end
-			sent, flood, row, most := make([]float64, len(c.weights)), 0, 0, 0
+			sent, flood, inRow, longestRow := make([]float64, len(c.weights)), 0, 0, 0
 			now, total := time.Second, 10_000
 			b.Handle(now, Event{Kind: MembersAll, Members: members(false)}, nil)
 			for i := range total {
@@ -61,9 +61,9 @@
 						open, k = open[:len(open)-1], k-1
 					}
 				}
-				if c.slow != nil && c.awayMid && i == 6000 {
+				if c.slow != nil && c.changesMidway && i == 6000 {
 					c.slow[0] = 1
-				} else if c.slow == nil && (c.awayMid && i == 3000 || c.awayMid && i == 6000) {
+				} else if c.slow == nil && (c.changesMidway && i == 3000 || c.changesMidway && i == 6000) {
 					b.Handle(now, Event{Kind: MembersAll, Members: members(i == 3000)}, nil)
 				}
 				id := fmt.Sprint(i)
@@ -72,11 +72,11 @@
 						continue
 					}
 					sent[a.Backend]++
-					if row++; a.Backend != 0 {
-						row = 0
+					if inRow++; a.Backend != 0 {
+						inRow = 0
 					}
-					most = max(most, row)
-					if c.awayMid && i >= 6000 && i < 6020 && a.Backend == 0 {
+					longestRow = max(longestRow, inRow)
+					if c.changesMidway && i >= 6000 && i < 6020 && a.Backend == 0 {
 						flood++
 					}
 					took := 9*time.Millisecond + time.Duration(rng.IntN(int(2*time.Millisecond)))
@@ -87,11 +87,11 @@
 						Spent: took, Status: Delivered, NoMore: true}})
 				}
 			}
-			if flood > 10+int(leadMost) {
+			if flood > 10+int(maxLeadRequests) {
 				t.Errorf("%d of the first 20 requests after its return went to it", flood)
 			}
-			if c.awayMid && most > 4*int(leadMost) {
-				t.Errorf("%d requests in a row to one backend", most)
+			if c.changesMidway && longestRow > 4*int(maxLeadRequests) {
+				t.Errorf("%d requests in a row to one backend", longestRow)
 			}
 			sum := 0.0
 			for _, w := range c.weights {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -22,10 +22,10 @@
 
 // run processes batches until the input ends. On an error it discards the
 // reply to the current batch, so that it writes whole replies only.
-func run(stdin io.Reader, stdout, notes io.Writer) error {
+func run(stdin io.Reader, stdout, diagnostics io.Writer) error {
 	in, out := wire.NewReader(stdin), bufio.NewWriterSize(stdout, 1<<16)
 	nodes := map[string]*balance.Balancer{}
-	var sheets [wire.MaxSheet + 1][]balance.Member
+	var lists [wire.MaxSheet + 1][]balance.Member
 	var now time.Duration
 	var reply []byte
 	var actions []balance.Action
@@ -65,22 +65,22 @@
 		case wire.Teardown:
 			delete(nodes, m.Node)
 		case wire.List:
-			sheets[m.Sheet] = m.Members
+			lists[m.Sheet] = m.Members
 		case wire.Happened:
 			b := nodes[m.Node]
 			if b == nil {
-				fmt.Fprintf(notes, "line %d: %s for %s, which is not running\n", m.Line, m.Name, m.Node)
+				fmt.Fprintf(diagnostics, "line %d: %s for %s, which is not running\n", m.Line, m.Name, m.Node)
 				continue
 			}
 			if m.UsesSheet {
-				m.Event.Members = sheets[m.Sheet]
+				m.Event.Members = lists[m.Sheet]
 			}
 			actions = b.Handle(now, m.Event, actions[:0])
 			for i := range actions {
 				reply = wire.AppendAction(reply, m.Node, &actions[i])
 			}
 		default:
-			fmt.Fprintf(notes, "line %d: unknown message %s\n", m.Line, m.Name)
+			fmt.Fprintf(diagnostics, "line %d: unknown message %s\n", m.Line, m.Name)
 		}
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -11,15 +11,15 @@
 	`"points":5}],"limits":{"maxAttempts":3,"probing":true},"obligations":{"overloadFor":1500000000},` +
 	`"loadReport":{"source":"on_probe"},"prices":{"probe":0.01}}`
 
-func runInput(t *testing.T, input string) (out, notes string, err error) {
+func runInput(t *testing.T, input string) (out, diagnostics string, err error) {
 	t.Helper()
 	var o, n bytes.Buffer
 	err = run(strings.NewReader(input), &o, &n)
 	return o.String(), n.String(), err
 }
 
-// spawned returns the input that starts nodes, each with a list of one backend. All lists use the same number.
-func spawned(nodes ...int) string {
+// startNodes returns the input that starts nodes, each with a list of one backend. All lists use the same number.
+func startNodes(nodes ...int) string {
 	var b strings.Builder
 	b.WriteString("clock atTime=1000000000\n")
 	for _, n := range nodes {
@@ -45,7 +45,7 @@
 
 // A list number may be used twice in one batch. Each node must get the list that was last sent before its event.
 func TestListNumbersAreResolvedInOrder(t *testing.T) {
-	out, _, err := runInput(t, spawned(1, 2)+"clock atTime=2000000000\n"+arrival(1, "a")+arrival(2, "b")+"your_turn\n")
+	out, _, err := runInput(t, startNodes(1, 2)+"clock atTime=2000000000\n"+arrival(1, "a")+arrival(2, "b")+"your_turn\n")
 	if err != nil || !strings.Contains(out, "call_out node=node_1 requestId=a backend=101") ||
 		!strings.Contains(out, "call_out node=node_2 requestId=b backend=102") {
 		t.Fatalf("%s %v", out, err)
@@ -62,10 +62,10 @@
 }
 
 // Nodes in one process share nothing: a node's actions don't depend on other nodes.
-func TestNodesActAsTheyWouldAlone(t *testing.T) {
+func TestNodesShareNothing(t *testing.T) {
 	var both, alone strings.Builder
-	both.WriteString(spawned(1, 2))
-	alone.WriteString(spawned(2))
+	both.WriteString(startNodes(1, 2))
+	alone.WriteString(startNodes(2))
 	for i := range 50 {
 		clock := fmt.Sprintf("clock atTime=%d\n", 2000000000+i*3000000)
 		mine := arrival(2, fmt.Sprint("b", i))
@@ -83,9 +83,9 @@
 }
 
 // A restarted node must not process a timer of its earlier run.
-func TestRestartForgets(t *testing.T) {
-	out, _, err := runInput(t, spawned(1)+"clock atTime=2000000000\n"+arrival(1, "a")+"teardown node=node_1\n"+
-		strings.TrimPrefix(spawned(1), "clock atTime=1000000000\n")+
+func TestRestartDropsTimers(t *testing.T) {
+	out, _, err := runInput(t, startNodes(1)+"clock atTime=2000000000\n"+arrival(1, "a")+"teardown node=node_1\n"+
+		strings.TrimPrefix(startNodes(1), "clock atTime=1000000000\n")+
 		"clock atTime=4000000000\nbell node=node_1 mark=1\nyour_turn\n")
 	if err != nil || !strings.HasSuffix(out, "ack\nack\n") {
 		t.Fatalf("a timer of the earlier run was processed: %s %v", out, err)
@@ -93,15 +93,15 @@
 }
 
 // Events for a node that isn't running, and unknown messages, are noted and otherwise ignored.
-func TestEventsForTheDeadAreNoted(t *testing.T) {
-	out, notes, err := runInput(t, "clock atTime=1\nbell node=node_9 mark=1\nweather sky=blue\nyour_turn\n")
-	if err != nil || out != "ack\n" || !strings.Contains(notes, "node_9") || !strings.Contains(notes, "weather") {
-		t.Fatalf("%q %q %v", out, notes, err)
+func TestEventsForStoppedNodesAreNoted(t *testing.T) {
+	out, diagnostics, err := runInput(t, "clock atTime=1\nbell node=node_9 mark=1\nweather sky=blue\nyour_turn\n")
+	if err != nil || out != "ack\n" || !strings.Contains(diagnostics, "node_9") || !strings.Contains(diagnostics, "weather") {
+		t.Fatalf("%q %q %v", out, diagnostics, err)
 	}
 }
 
 // Only whole replies are written: a batch that ends in an error leaves no part of a reply.
-func TestBadInputEndsWithoutAPartOfAReply(t *testing.T) {
+func TestInvalidInputLeavesNoPartialReply(t *testing.T) {
 	for _, bad := range []string{
 		"clock atTime=2000000000\n" + arrival(1, "a") + "bell node=node_1\nyour_turn\n",
 		"clock atTime=2000000000\n" + arrival(1, "a"),
@@ -109,8 +109,8 @@
 		arrival(1, "a"),
 		"clock atTime=2000000000\nspawn node=node_1 salt=1 conf={\"nInstances\":-1}\nyour_turn\n",
 	} {
-		want, _, _ := runInput(t, spawned(1))
-		out, _, err := runInput(t, spawned(1)+bad)
+		want, _, _ := runInput(t, startNodes(1))
+		out, _, err := runInput(t, startNodes(1)+bad)
 		if err == nil || out != want {
 			t.Errorf("%q: %v, output %q", bad, err, strings.TrimPrefix(out, want))
 		}
