--- a/balance/weights.go
+++ b/balance/weights.go
@@ -1,47 +1,48 @@
-// This file holds declared weights: shares that an operator asks for, beside the estimates of queues.
+// This file holds declared weights: the shares of requests that an operator sets. They apply beside the queue estimates.
 
 package balance
 
 import "math"
 
 const (
-	// leadMost is how many places more in a queue a declared share is worth: beyond it the queues decide. A place
-	// is worth leadAims of an aim at least: where answers take next to nothing, one that took a little more would
-	// end a share. minWeight stands for a weight that is no share.
-	leadMost, leadAims, minWeight = 8.0, 0.01, 1e-3
+	// maxLeadRequests is the difference in queued requests up to which shares decide. Beyond it the queues decide. A
+	// request counts at least minLeadAims of an aim: with response times close to zero, a slightly longer one would
+	// override a share. minWeight replaces weights that are too small for a share.
+	maxLeadRequests, minLeadAims, minWeight = 8.0, 0.01, 1e-3
 )
 
-// declared returns the mean weight of the ready servers and the spent of the one that is furthest behind its
-// share; zeros where no shares are declared.
-func (b *Balancer) declared() (weight, behind float64) {
+// declaredShares returns the mean weight of the ready backends and the smallest weightedSends, which is that of the backend
+// furthest behind its share. Both are 0 if no weights are declared.
+func (b *Balancer) declaredShares() (meanWeight, minSends float64) {
 	if b.cfg.Weights != DeclaredWeights || len(b.ready) == 0 {
 		return 0, 0
 	}
-	behind = math.Inf(1)
+	minSends = math.Inf(1)
 	for _, s := range b.ready {
-		weight += max(s.Weight, minWeight) / float64(len(b.ready))
-		behind = min(behind, s.spent)
+		meanWeight += max(s.Weight, minWeight) / float64(len(b.ready))
+		minSends = min(minSends, s.weightedSends)
 	}
-	return weight, behind
+	return meanWeight, minSends
 }
 
-// lead is the time that a server's being ahead of its share is worth.
-func (b *Balancer) lead(s *server, weight, behind float64) float64 {
-	if weight == 0 {
+// leadCost returns the cost, in seconds, of a backend's lead over its share.
+func (b *Balancer) leadCost(s *backend, meanWeight, minSends float64) float64 {
+	if meanWeight == 0 {
 		return 0
 	}
-	return (s.spent - behind) * weight * max(b.peerPace, leadAims*b.meanAim)
+	return (s.weightedSends - minSends) * meanWeight * max(b.meanServiceTime, minLeadAims*b.meanAim)
 }
 
-// spend counts a request against a declared share. None stays further behind than leadMost places: it is owed no flood.
-func (b *Balancer) spend(s *server) {
-	weight, _ := b.declared()
-	if weight == 0 {
+// countSend counts a request against a declared share. No backend stays further behind than maxLeadRequests, so that none
+// is flooded to catch up.
+func (b *Balancer) countSend(s *backend) {
+	meanWeight, _ := b.declaredShares()
+	if meanWeight == 0 {
 		return
 	}
-	own := 1 / max(s.Weight, minWeight)
-	s.spent += own
-	for _, o := range b.ready {
-		o.spent = max(o.spent, s.spent-own-leadMost/weight)
+	increment := 1 / max(s.Weight, minWeight)
+	s.weightedSends += increment
+	for _, other := range b.ready {
+		other.weightedSends = max(other.weightedSends, s.weightedSends-increment-maxLeadRequests/meanWeight)
 	}
 }
