--- a/shed/shed.go
+++ b/shed/shed.go
@@ -162,7 +162,7 @@
 	return l, old.Pool != l.Pool || old.Alone != l.Alone || old.Priority != l.Priority
 }
 
-// view returns the sums that count now, ordered by member name. If the view is only this instance's own, why gives the reason.
+// view returns the sums that count now, ordered by member name. If the view is only this instance's own, reason says why.
 func (s *Shed) view(now time.Duration) (view []weightedSum, reason string) {
 	own := weightedSum{&s.sum, 1}
 	if s.cutOff {
--- a/shed/view.go
+++ b/shed/view.go
@@ -33,7 +33,7 @@
 	delay                        time.Duration // delay of the last sum
 }
 
-// store stores a newer sum.
+// store replaces the stored sum by a newer one, and updates the clock offsets and the delay.
 func (h *peerSum) store(now time.Duration, sum Sum, every time.Duration) {
 	offset := now - sum.At
 	switch {
--- a/shed/wire.go
+++ b/shed/wire.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// maxCellBytes is the maximum length of an encoded cell that the estimate assumes, in bytes.
+// maxCellBytes is the maximum length of an encoded cell: one byte for the priority and four varints of up to 3 bytes.
 const maxCellBytes = 1 + 4*3
 
 func toTenths(x float64) uint64 { return uint64(math.Round(sanitizeRate(x) * tenths)) }
@@ -162,7 +162,7 @@
 	return p, err
 }
 
-// parseFields calls do for each field of a message. A field of another wire type is passed without a value.
+// parseFields calls do for each field of a message. A field whose wire type a Sum does not use is passed without a value.
 func parseFields(b []byte, do func(field protowire.Number, x uint64, text []byte) error) error {
 	for len(b) > 0 {
 		field, kind, n := protowire.ConsumeTag(b)
