--- a/detect/asks.go
+++ b/detect/asks.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// This file has the questions: one member a round, others that ask for this process, and what comes in.
+// This file has the probes: one member a round, indirect probes for other members, and the processing of received messages.
 
-// round is the question that this process waits for. It is empty without an id.
+// round is the pending probe of this process. It is empty without an id.
 type round struct {
 	target   *member
 	id       ID
 	seq      uint32
 	begun    time.Duration
-	by       time.Duration // when others are asked
-	helped   bool          // they were
+	by       time.Duration // when indirect probes are requested
+	helped   bool          // indirect probes were requested
 	answered bool
-	asked    int // others
-	here     int // of them, those that said that they could not reach it either
+	asked    int // members that were requested to probe
+	here     int // of them, those that reported that they can't reach it either
 }
 
-// relay is a question for another process.
+// relay is an indirect probe for another process.
 type relay struct {
-	to    string // the address of who wants to know
+	to    string // the address of the requester
 	name  ID
-	its   uint32 // number
+	its   uint32 // the requester's sequence number
 	about ID
 	seq   uint32
 	by    time.Duration
 }
 
-// relaysMost bounds what is asked for others at once. Who is not served here has asked others too.
+// maxRelays bounds the indirect probes at once. A requester that is refused here has also requested them of others.
 const relaysMost = 256
 
 func (d *Detect) seqNext() uint32 {
@@ -40,7 +40,7 @@
 	return d.seq
 }
 
-// beginRound asks the next member.
+// beginRound probes the next member.
 func (d *Detect) beginRound() {
 	d.roundAt = d.now + d.cfg.Every*time.Duration(d.patience())
 	if d.self.State == Left {
@@ -57,8 +57,8 @@
 	d.send(m.Addr, Message{Kind: Ask, Seq: d.round.seq, About: m.ID}, m)
 }
 
-// nextInTurn is the next member in a list that is shuffled anew each time that it has been gone through (SWIM, 4.3): nobody waits for
-// its turn for longer than two turns.
+// nextProbeTarget returns the next member of a list that is shuffled after each pass (SWIM, 4.3). No member waits longer than
+// two passes.
 func (d *Detect) nextInTurn() *member {
 	for range len(d.ring) {
 		if d.pos >= len(d.ring) {
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// some draws up to n members that are there, but not this one.
+// randomMembers returns up to n random members that are present, without not.
 func (d *Detect) some(n int, not *member) []*member {
 	if n <= 0 || len(d.ring) == 0 {
 		return nil
 	}
 	var got []*member
-	// A first try takes those whose links are sound, a second one all.
+	// The first pass takes alive members with sound links, the second one also suspects and members with failed links.
 	for _, any := range [...]bool{false, true} {
 		from := d.rng.IntN(len(d.ring))
 		step := 1
@@ -90,7 +90,7 @@
 				continue
 			}
 			got = append(got, m)
-			if len(d.ring) > 4*n { // they do not always go together
+			if len(d.ring) > 4*n { // so that the same members don't always go together
 				from = d.rng.IntN(len(d.ring))
 			}
 		}
@@ -107,7 +107,7 @@
 	return false
 }
 
-// askOthers has others ask the target, and asks it once more: one of two messages may have been lost.
+// probeIndirectly requests indirect probes of the target, and probes it once more: one of two messages may have been lost.
 func (d *Detect) askOthers() {
 	r := &d.round
 	r.helped = true
@@ -125,14 +125,15 @@
 	}
 }
 
-// endRound accuses who has not answered, unless this process is to accuse nobody.
+// endRound suspects a target that has not answered, unless this process may not accuse.
 func (d *Detect) endRound() {
 	r := d.round
 	d.round = round{}
 	if r.id.Name == "" || r.answered {
 		return
 	}
-	// Others that are here and could not reach it either speak for this process; those that say nothing do not (Lifeguard, 4.1).
+	// Members that report that they can't reach the target either show that this process is healthy; missing replies don't
+	// (Lifeguard, 4.1).
 	if r.here == 0 || r.here < r.asked/2 {
 		d.worse(1)
 	}
@@ -140,10 +141,10 @@
 	if d.now < d.calm || d.self.State != Alive || m.ID != r.id || d.members[m.Name] != m || !(m.State == Alive || m.State == Suspect) {
 		return
 	}
-	d.suspect(m, fmt.Sprintf("no answer to this process, nor to %d others", r.asked))
+	d.suspect(m, fmt.Sprintf("no answer to this process or to %d indirect probes", r.asked))
 }
 
-// answered notes an answer to the question of the round.
+// roundAnswered records an answer to the probe of the round.
 func (d *Detect) answered(direct bool) {
 	r := &d.round
 	if !r.answered {
@@ -155,9 +156,9 @@
 	}
 }
 
-// got works a message.
+// receive processes a message.
 func (d *Detect) got(from string, m *Message) {
-	if s := m.From.State; !m.From.sound() || m.From.Start == 0 || s == Suspect || s == Dead { // nobody says that of itself
+	if s := m.From.State; !m.From.sound() || m.From.Start == 0 || s == Suspect || s == Dead { // no process sends that about itself
 		return
 	}
 	if m.From.Name == d.self.Name {
@@ -172,7 +173,7 @@
 			return
 		}
 	}
-	s := d.members[m.From.Name] // the sender; nil: there are too many
+	s := d.members[m.From.Name] // the sender; nil: the limit of members is reached
 	if s != nil && s.ID == m.From.ID {
 		d.heard(s)
 	}
@@ -180,7 +181,7 @@
 	switch m.Kind {
 	case Ask:
 		yes := Message{Kind: Answer, Seq: m.Seq, About: m.From.ID}
-		if s != nil && s.ID != m.From.ID { // a later process has its name, which it has to know
+		if s != nil && s.ID != m.From.ID { // a later process has its name, which it must learn
 			yes.News = []Word{s.told(d.now)}
 		}
 		d.send(from, yes, s)
@@ -207,13 +208,15 @@
 		d.afterExchange(d.taught - taught)
 		d.sure(m.From.Name)
 	}
-	// It has just learned that others hold it for suspect or dead: whoever told it knows first that it lives.
+	// This process has just learned that it is suspected or reported dead. The member that reported it receives the refutation
+	// first.
 	if own != d.self.Inc && m.Kind != Ask && m.Kind != Push && s != nil {
 		d.send(s.Addr, Message{Kind: Answer, About: s.ID}, s)
 	}
 }
 
-// gotOwn works a message whose sender has this process's name: a seed may be itself, or another process has the name.
+// receiveOwnName processes a message whose sender has this process's name: a seed may be this process, or another process has
+// the name.
 func (d *Detect) gotOwn(from string, m *Message) {
 	if m.From.ID == d.self.ID {
 		for i := range d.seeds {
@@ -253,7 +256,7 @@
 	}
 }
 
-// askFor asks a process for another.
+// probeFor probes a process for another one.
 func (d *Detect) askFor(from string, m *Message, s *member) {
 	t := d.members[m.About.Name]
 	if t == nil || t.ID != m.About || len(d.relays) >= relaysMost || t.State == Left {
@@ -274,7 +277,7 @@
 	d.relays = d.relays[:len(d.relays)-1]
 }
 
-// dueRelays tells who waits that this process is here, but has no answer either.
+// expireRelays informs the requester that this process is present but has no answer either.
 func (d *Detect) dueRelays() {
 	for i := 0; i < len(d.relays); {
 		if r := d.relays[i]; r.by <= d.now {
@@ -286,7 +289,7 @@
 	}
 }
 
-// sure notes that another one hears this process.
+// confirmReachable records that another member receives from this process.
 func (d *Detect) sure(name string) {
 	d.sureAt, d.tries = d.now, 0
 	if d.cut {
@@ -301,11 +304,12 @@
 	}
 }
 
-// cutTries is how many questions have to be without answer for this process to be cut off: with 30 % of the messages lost, so many are
-// less than once in a year.
+// minUnanswered is how many probes must be without an answer before this process counts as cut off. With 30 % message loss,
+// this happens less than once a year.
 const cutTries = 6
 
-// watchCut finds out that this process is not heard, or hears nobody: its questions have no answer, whomever it asks.
+// checkCutOff detects that no member receives from this process, or it receives from none: its probes have no answer, whichever
+// member it probes.
 func (d *Detect) watchCut() {
 	if d.cut || d.now-d.sureAt < d.cfg.CutAfter || d.tries < cutTries || d.self.State == Left {
 		return
@@ -318,7 +322,8 @@
 	d.act(Action{Kind: CutOff, Is: true, Cause: cause})
 }
 
-// heldDead works the word of this process's own death: who hears it, and has no answer to some questions, says in vain that it lives.
+// receiveOwnDeath processes a report of this process's own death. If some of its probes also have no answer, its refutations
+// don't arrive.
 func (d *Detect) heldDead() {
 	if d.cut || d.now-d.sureAt < 3*d.cfg.Every || d.tries < 3 {
 		return
--- a/detect/detect.go
+++ b/detect/detect.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// This file has the view itself, its settings, and the order in which an event is worked.
+// This file has Detect itself, its defaults, and the order in which an event is processed.
 
 const (
-	// never is further away than anything that is due.
+	// never is later than any time that is due.
 	never = time.Duration(math.MaxInt64)
-	// joinSpread is within what time a process that begins asks its first seed and, once answered, the whole news of one: a few hundred
-	// that begin together do not come in one instant.
+	// joinSpread is the time over which a starting process spreads its first probes of seeds and, once acknowledged, its first
+	// exchange. Without it a few hundred processes that start together would all send at once.
 	joinSpread = 300 * time.Millisecond
-	// retry is the first wait after a question to a seed, to a dead one or for the whole news was not answered; it doubles.
+	// initialRetryWait is the first wait after an unanswered probe of a seed or a dead member, or between exchanges. It doubles.
 	retry = time.Second
 )
 
-// Detect is one process's view of the fleet. New returns one. It is not safe for use by several goroutines.
+// Detect is one process's view of the fleet. New returns one. It is not safe for concurrent use.
 type Detect struct {
 	cfg  Config
 	rng  *rand.Rand
@@ -30,42 +30,42 @@
 	out  []Action
 
 	self    Word
-	back    time.Duration // of self, while Away: when it is back by itself
+	back    time.Duration // of self, while Away: when the absence ends by itself
 	begun   bool
-	over    bool // superseded
-	met     bool // another one has answered
-	pulled  bool // and told all that it knows
+	over    bool // a later process has this name
+	met     bool // another member has acknowledged a probe
+	pulled  bool // and has sent its full state
 	calm    time.Duration
-	deaf    time.Duration // until then what comes stood in a socket during a pause that was longer than words last
+	deaf    time.Duration // until then, messages are dropped: they waited in a socket during a pause longer than updates are valid
 	health  int
 	cut     bool
-	heardAt time.Duration // the last message of anybody
-	sureAt  time.Duration // the last message that shows that this process is heard
-	tries   int           // questions since then
+	heardAt time.Duration // when the last message arrived
+	sureAt  time.Duration // when a message last showed that others receive from this process
+	tries   int           // probes sent since then
 
 	members map[string]*member
-	ring    []*member // all of them, in the order in which they are asked
+	ring    []*member // all members, in probe order
 	pos     int
-	timed   timers // those that are not alive
-	there   int    // of the members
-	recent  int    // dead ones that count for Sized
+	timed   timers // members that are not alive
+	there   int    // members that are present
+	recent  int    // dead members that count for Sized
 	sized   int
 
 	seq     uint32
 	round   round
 	roundAt time.Duration
 	relays  []relay
-	deadAt  time.Duration // no dead one is asked before
+	deadAt  time.Duration // no dead member is probed before
 	doubts  []*member
 	doubtAt time.Duration
 	probes  []*member
 
 	seeds      []seed
 	exchangeAt time.Duration
-	exchanged  time.Duration // the last one
-	with       string        // whom to exchange with; "": anybody
-	wait       time.Duration // until the next but one
-	taught     int           // words that were news to this process
+	exchanged  time.Duration // when the last one began
+	with       string        // name of the next partner; "": any member
+	wait       time.Duration // before the exchange after the next
+	taught     int           // updates that changed this process's view
 
 	news  queue
 	links links
@@ -79,7 +79,7 @@
 	return v
 }
 
-// New returns a view that knows nobody. It does nothing before Begin.
+// New returns a Detect that knows no other member. It does nothing before Begin.
 func New(cfg Config) *Detect {
 	cfg.Every = orElse(cfg.Every, time.Second)
 	cfg.AnswerWithin = orElse(cfg.AnswerWithin, 300*time.Millisecond)
@@ -113,14 +113,14 @@
 	return d
 }
 
-// Handle takes one event and appends the actions that answer it to out. Times are on any clock that does not go back. What is in an
-// action is the caller's to keep; of an event nothing but strings is kept.
+// Handle processes one event and appends the resulting actions to out. Times are on any clock that doesn't go back. The caller
+// owns what is in an action; of an event only strings are kept.
 func (d *Detect) Handle(now time.Duration, ev Event, out []Action) []Action {
 	if d.over || !d.begun && ev.Kind != Begin {
 		return out
 	}
 	d.now, d.out = max(now, d.now), out
-	if d.begun && d.cfg.LateTick > 0 && d.now-d.cfg.LateTick >= d.next { // next may be never
+	if d.begun && d.cfg.LateTick > 0 && d.now-d.cfg.LateTick >= d.next { // written as a difference because next may be never
 		d.wasStopped(d.now - d.next)
 	}
 	switch ev.Kind {
@@ -149,16 +149,17 @@
 
 func (d *Detect) act(a Action) { d.out = append(d.out, a) }
 
-// Next is when Tick is due at the latest. A call of Handle that comes LateTick later than that shows that this process was stopped.
+// Next returns the latest time for the next Tick. A call of Handle that comes PauseThreshold later shows that this process was
+// stopped.
 func (d *Detect) Next() time.Duration { return d.next }
 
-// Self is this process's own word.
+// Self returns this process's update about itself.
 func (d *Detect) Self() Word { return d.selfWord() }
 
-// Health is the score of this process's own health: 0 is well, Config.HealthMost is the worst.
+// Health returns the local health score: 0 is healthy, Config.MaxHealthScore is the worst.
 func (d *Detect) Health() int { return d.health }
 
-// Members calls f for each process that is not forgotten, this one included, by name, until f returns false.
+// Members calls f for each process that is not forgotten, including this one, sorted by name, until f returns false.
 func (d *Detect) Members(f func(Word, LinkState) bool) {
 	all := make([]*member, 0, len(d.ring)+1)
 	all = append(all, &member{Word: d.selfWord(), back: d.back})
@@ -171,7 +172,7 @@
 	}
 }
 
-// begin looks for others, or comes back from being away.
+// begin starts discovery, or ends a planned absence.
 func (d *Detect) begin() {
 	if d.begun {
 		if d.self.State == Away {
@@ -189,7 +190,7 @@
 	d.exchangeAt = never
 }
 
-// say has this process say something new of itself, and tells some others at once.
+// announce raises this process's incarnation, sets its state, and sends it to some members at once.
 func (d *Detect) say(s State, until time.Duration) {
 	if d.self.State == Left || d.self.Inc == math.MaxUint32 {
 		return
@@ -200,7 +201,8 @@
 	d.notices(noticeMost)
 }
 
-// noticeMost is how many are told at once of what this process says of itself: a loss of half of them leaves enough to pass it on.
+// maxNotices is how many members receive an announcement directly. If half of the messages are lost, enough remain to spread
+// it.
 const noticeMost = 8
 
 func (d *Detect) notices(most int) {
@@ -217,7 +219,7 @@
 	return w
 }
 
-// due works all whose time has come.
+// runDue runs everything that is due.
 func (d *Detect) due() {
 	if d.self.State == Away && d.now >= d.back {
 		d.say(Alive, 0)
@@ -269,7 +271,8 @@
 	return at
 }
 
-// wasStopped works a pause: what others did in it is not known, and that they did not answer is this process's own doing.
+// handlePause processes a pause of this process. What others did meanwhile is unknown, and missing acknowledgements are the
+// fault of this process.
 func (d *Detect) wasStopped(late time.Duration) {
 	if late >= d.cfg.ForgetAfter/2 {
 		d.beginAnew()
@@ -279,7 +282,7 @@
 	d.freshStart(late)
 }
 
-// freshStart drops what is waited for, accuses nobody for a while, and asks for the news first.
+// resume drops pending probes, suspects no one for a while, and schedules an exchange first.
 func (d *Detect) freshStart(late time.Duration) {
 	d.calm = d.now + d.cfg.Calm
 	d.round = round{}
@@ -302,7 +305,8 @@
 	}
 }
 
-// beginAnew forgets all that was known: it is so old that telling it would bring back who is long forgotten. Their addresses are asked.
+// resetMembership forgets all members after a long pause. The state is so old that sending it would bring back processes that
+// others have forgotten. Their addresses are probed as seeds.
 func (d *Detect) beginAnew() {
 	for _, i := range d.rng.Perm(len(d.ring)) {
 		m := d.ring[i]
@@ -312,7 +316,7 @@
 	}
 	for len(d.ring) > 0 {
 		m := d.ring[len(d.ring)-1]
-		d.forget(m, "it was known before a pause that was longer than words last")
+		d.forget(m, "it was known only from before a pause that outlasted the validity of updates")
 	}
 	for i := range d.seeds {
 		d.seeds[i].at, d.seeds[i].wait = d.now+deafFor+d.chance(joinSpread), retry
@@ -323,13 +327,14 @@
 	d.deaf = d.now + deafFor
 }
 
-// deafFor is how long the caller may need to read what stands in its sockets.
+// staleInputWindow is the time that the caller may need to read the messages waiting in its sockets.
 const deafFor = time.Second
 
-// seedsKept is how many addresses are asked after a pause that was too long for words, beside the seeds.
+// maxFormerMembers is how many addresses of former members are probed beside the seeds after a pause longer than updates are
+// valid.
 const seedsKept = 16
 
-// chance draws from [0, most).
+// randomDuration returns a random duration in [0, most).
 func (d *Detect) chance(most time.Duration) time.Duration {
 	if most <= 0 {
 		return 0
@@ -337,12 +342,12 @@
 	return time.Duration(d.rng.Int64N(int64(most)))
 }
 
-// about spreads a wait by a quarter to both sides.
+// jitter spreads a wait by a quarter to both sides.
 func (d *Detect) about(wait time.Duration) time.Duration { return wait*3/4 + d.chance(wait/2) }
 
 func (d *Detect) worse(by int)  { d.health = min(d.cfg.HealthMost, d.health+by) }
 func (d *Detect) better()       { d.health = max(0, d.health-1) }
 func (d *Detect) patience() int { return 1 + d.health }
 
-// logs is the decimal logarithm of the number of members, which waits and repeats grow with, and 1 at the least.
+// logMembers returns the decimal logarithm of the number of members, at least 1. Timeouts and retransmissions grow with it.
 func (d *Detect) logs() float64 { return max(1, math.Log10(float64(d.there+2))) }
--- a/detect/example_test.go
+++ b/detect/example_test.go
@@ -7,7 +7,7 @@
 	"glencart/detect"
 )
 
-// Two processes, and a network that loses nothing: one knows the other's address.
+// Two processes on a network without loss: one has the other's address as a seed.
 func Example() {
 	start := detect.FirstStart(time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), 1)
 	byAddr := map[string]*detect.Detect{
@@ -32,7 +32,7 @@
 	}
 	handle(time.Second, "b:7946", detect.Event{Kind: detect.Leave})
 	// Output:
-	// a:7946: b is alive: it said so
-	// b:7946: a is alive: it said so
-	// a:7946: b is left: it said so
+	// a:7946: b is alive: the process announced it
+	// b:7946: a is alive: the process announced it
+	// a:7946: b is left: the process announced it
 }
--- a/detect/faults_test.go
+++ b/detect/faults_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// watch checks what has to hold at each change, whatever befalls the fleet: a start never goes back, and no death is called of a process
-// that excused does not excuse.
+// watch checks invariants at each change: the start number of a member never goes back, and no process reports a living one
+// dead unless excused allows it.
 func (s *sim) watch(t *testing.T, excused func(at *simNode, of *simNode) bool) {
 	starts := map[*simNode]map[string]uint64{}
 	lives := map[*simNode]int{}
 	s.acted = func(at *simNode, a Action) {
 		if a.Kind == Send && a.Message.Kind != Pull && a.Message.bytes() > 1200 {
-			t.Errorf("seed %d, %s: a datagram of %d bytes", s.seed, s.now, a.Message.bytes())
+			t.Errorf("seed %d, %s: a datagram has %d bytes", s.seed, s.now, a.Message.bytes())
 		}
 		if a.Kind != Changed {
 			return
@@ -29,27 +29,27 @@
 			return
 		}
 		if a.Word.Start < starts[at][a.Word.Name] {
-			t.Errorf("seed %d, %s: %s: an old start of %s takes the place of a later one", s.seed, s.now, at.name, a.Word.Name)
+			t.Errorf("seed %d, %s: %s: an old start of %s replaced a later one", s.seed, s.now, at.name, a.Word.Name)
 		}
 		starts[at][a.Word.Name] = a.Word.Start
 		of := s.byAddr[a.Word.Addr]
 		if a.Word.State == Dead && of.up && of.d().Self().ID == a.Word.ID && !excused(at, of) {
-			t.Errorf("seed %d, %s: %s calls %s dead, which lives: %s", s.seed, s.now, at.name, of.name, a.Cause)
+			t.Errorf("seed %d, %s: %s reports %s dead, which is alive: %s", s.seed, s.now, at.name, of.name, a.Cause)
 		}
 	}
 }
 
 func nobody(*simNode, *simNode) bool { return false }
 
-// seeds runs f with seeds one after another, each in a subtest of its own.
+// seeds runs f with consecutive seeds, each in its own subtest.
 func seeds(t *testing.T, n uint64, f func(t *testing.T, seed uint64)) {
 	for seed := range n {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { t.Parallel(); f(t, seed) })
 	}
 }
 
-// Messages are lost, late, doubled and out of order, processes stand still for less than the suspicion lasts, links between two fail in
-// one direction, some are killed: those are found dead everywhere, and nobody else is.
+// Guards against false deaths. Messages are lost, late, duplicated and reordered, processes pause for less than the suspicion
+// timeout, and links fail in one direction. All members must find the killed process dead, and no other.
 func TestNobodyThatLivesAndIsReachableIsCalledDead(t *testing.T) {
 	seeds(t, 24, func(t *testing.T, seed uint64) {
 		s := newSim(seed)
@@ -57,7 +57,7 @@
 		n := 5 + int(seed)%16
 		s.fleet(n, detects(nil))
 		if s.until(30*time.Second, time.Second, s.whole) < 0 {
-			t.Fatal("they do not find together")
+			t.Fatal("the members do not reach one view")
 		}
 		s.loss, s.doubled, s.delay = float64(seed%4)*0.08, 0.02, time.Duration(1+seed%3*40)*time.Millisecond
 		s.run(s.now + 5*time.Second)
@@ -75,13 +75,14 @@
 		s.run(s.now + 40*time.Second)
 		for _, at := range s.nodes {
 			if at.up && at.d().members[killed.name].State != Dead {
-				t.Errorf("%s was killed 40 s ago, and %s holds it for %s", killed.name, at.name, at.d().members[killed.name].State)
+				t.Errorf("%s was killed 40 s ago, and its state at %s is %s", killed.name, at.name, at.d().members[killed.name].State)
 			}
 		}
 	})
 }
 
-// Sides of a cut, with restarts and deaths on each, find to one view with no help once it is mended, and no old start comes back.
+// Guards against views that stay different after a partition with restarts and crashes on each side. Once the partition ends,
+// the sides must reach one view by themselves, and no old start number may return.
 func TestPartitionHealsToOneView(t *testing.T) {
 	seeds(t, 24, func(t *testing.T, seed uint64) {
 		s := newSim(seed)
@@ -89,7 +90,7 @@
 		n := 3 + int(seed)
 		s.fleet(n, detects(nil))
 		if s.until(30*time.Second, time.Second, s.whole) < 0 {
-			t.Fatal("they do not find together")
+			t.Fatal("the members do not reach one view")
 		}
 		side := map[*simNode]int{}
 		for _, at := range s.nodes {
@@ -112,18 +113,19 @@
 			for _, at := range s.nodes {
 				t.Log(at.name, at.up, at.view())
 			}
-			t.Fatalf("seed %d: two minutes after, they do not hold the same", seed)
+			t.Fatalf("seed %d: the views differ two minutes after the partition", seed)
 		}
 		t.Logf("%d members: one view after %s", n, took)
 		s.loss = 0
 		s.run(s.now + 3*time.Minute)
 		if !s.whole() {
-			t.Error("it does not last")
+			t.Error("the views differ again later")
 		}
 	})
 }
 
-// Three hundred at once, with three seeds: all know all within seconds, nobody is suspected, and no seed gets more than it can work.
+// Guards against overloaded seeds and false suspicions when three hundred processes start at once with three seeds. All must
+// know all within seconds.
 func TestThreeHundredJoinAtOnce(t *testing.T) {
 	s := newSim(1)
 	s.watch(t, nobody)
@@ -144,7 +146,7 @@
 	s.fleet(300, detects(nil))
 	took := s.until(30*time.Second, 100*time.Millisecond, s.whole)
 	if took < 0 || took > 10*time.Second {
-		t.Errorf("all know all after %s", took)
+		t.Errorf("all members know all after %s", took)
 	}
 	most, mostStreams := 0, 0
 	for _, a := range sortedKeys(got) {
@@ -153,19 +155,20 @@
 	for _, a := range sortedKeys(streams) {
 		mostStreams = max(mostStreams, streams[a])
 	}
-	t.Logf("all know all after %s; in the first second one gets at most %d messages and %d exchanges; %d bytes for each member", took, most, mostStreams,
+	t.Logf("all members know all after %s; at most %d messages and %d exchanges to one member in the first second; %d bytes for each member", took, most, mostStreams,
 		s.bytes/300)
 	if most > 1500 || mostStreams > 60 {
-		t.Errorf("one gets %d messages and %d exchanges in the first second", most, mostStreams)
+		t.Errorf("one member receives %d messages and %d exchanges in the first second", most, mostStreams)
 	}
 	for _, n := range s.nodes {
 		if n.sized != 300 {
-			t.Errorf("%s counts %d", n.name, n.sized)
+			t.Errorf("%s reports a size of %d", n.name, n.sized)
 		}
 	}
 }
 
-// Messages of the last minutes come again, from earlier processes too, in any order: nothing comes of them.
+// Guards against effects of old messages. Messages of the last minutes, some from earlier processes, arrive again in any order,
+// and the view must not change.
 func TestOldAndRepeatedMessagesAreHarmless(t *testing.T) {
 	seeds(t, 6, func(t *testing.T, seed uint64) {
 		s := newSim(seed)
@@ -198,15 +201,15 @@
 		}
 		s.run(s.now + 15*time.Second)
 		if !s.whole() {
-			t.Error("they do not hold the same")
+			t.Error("the views differ")
 		}
 		if w := s.nodes[0].d().members["f"]; w.State != Dead {
-			t.Errorf("old words have the dead one %s", w.State)
+			t.Errorf("old updates changed the dead member to %s", w.State)
 		}
 	})
 }
 
-// The same events and seed give the same actions.
+// The same events and seed must give the same actions, or a failed run can't be repeated.
 func TestSameSeedSameActions(t *testing.T) {
 	sum := func() uint64 {
 		h := fnv.New64a()
@@ -227,7 +230,7 @@
 	}
 }
 
-// What a peer says without end leaves nothing that grows without end, and no panic.
+// Guards against memory growth and panics when a peer sends arbitrary updates without end.
 func TestMemoryIsBounded(t *testing.T) {
 	d := New(Config{Name: "self", Start: 1 << 40, Addr: "self:1", MembersMost: 200, LinksMost: 50})
 	now := time.Duration(0)
@@ -248,19 +251,19 @@
 		out = d.Handle(now, Event{Kind: Got, From: "m:1", Message: m}, out[:0])
 		if len(d.members) > 200 || len(d.ring) != len(d.members) || len(d.links.held) > 50 || len(d.links.news) > 50 || len(d.relays) > relaysMost ||
 			len(d.doubts) > 400 || len(d.probes) > probesMost || len(d.news.all) > 200 || len(d.timed) > 200 {
-			t.Fatalf("it grows: %d members, %d link words, %d doubts, %d news", len(d.members), len(d.links.held), len(d.doubts), len(d.news.all))
+			t.Fatalf("state is not bounded: %d members, %d link updates, %d unverified deaths, %d queued updates", len(d.members), len(d.links.held), len(d.doubts), len(d.news.all))
 		}
 		there := 0
 		for i, m := range d.ring {
 			if m.place != i || d.members[m.Name] != m {
-				t.Fatal("the list and the table differ")
+				t.Fatal("the probe list and the member map differ")
 			}
 			if m.State.there() {
 				there++
 			}
 		}
 		if there != d.there {
-			t.Fatalf("%d are there, and %d are counted", there, d.there)
+			t.Fatalf("%d members are present, and %d are counted", there, d.there)
 		}
 	}
 }
--- a/detect/join.go
+++ b/detect/join.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// This file has the seeds, and the exchange of all that is known.
+// This file has the seeds and the exchange of full state.
 
-// seed is an address that is asked until one who is there has answered from it.
+// seed is an address that is probed until a present member has answered from it.
 type seed struct {
 	addr string
 	at   time.Duration
 	wait time.Duration
 	seq  uint32
-	name string // who answered last
-	self bool   // it is this process
+	name string // name of the process that answered last
+	self bool   // the address is this process's own
 }
 
-// seedMost is the longest wait between two questions to a seed that nobody who is known has answered from. They never end: a seed may be
-// all that two sides of a cut have in common.
+// maxSeedWait is the longest wait between two probes of a seed from which no known member has answered. The probes never end: a
+// seed may be the only thing that two sides of a partition share.
 const seedMost = 30 * time.Second
 
-// dueSeeds asks seeds whose time has come.
+// probeSeeds probes the seeds that are due.
 func (d *Detect) dueSeeds() {
 	for i := range d.seeds {
 		s := &d.seeds[i]
@@ -38,10 +38,10 @@
 	}
 }
 
-// exchangeSoonest is the least time between two exchanges that one side begins.
+// minExchangeInterval is the least time between two exchanges that one side begins.
 const exchangeSoonest = 2 * time.Second
 
-// exchange pushes all that is known to one, who answers with all that it knows.
+// exchange sends the full state to one member, which replies with its own.
 func (d *Detect) exchange() {
 	d.exchangeAt = d.now + d.about(d.wait)
 	d.wait = min(2*d.wait, d.cfg.ExchangeEvery*time.Duration(max(1, d.there/100)))
@@ -62,8 +62,8 @@
 	d.act(Action{Kind: Exchange, Addr: m.Addr, Message: d.all(Push)})
 }
 
-// afterExchange has one that taught a lot followed by another soon, and those after it ever more rarely: what does not fit into some
-// datagrams goes faster by stream.
+// scheduleFollowUp schedules another exchange soon after one that brought many updates; the ones after it come ever more
+// rarely. A stream is faster for what doesn't fit into a few datagrams.
 func (d *Detect) afterExchange(taught int) {
 	if taught >= taughtMuch && d.met {
 		d.wait = retry
@@ -71,10 +71,10 @@
 	}
 }
 
-// taughtMuch is a third of what one datagram holds.
+// minLearned is a third of the updates that fit into one datagram.
 const taughtMuch = 5
 
-// exchangeSoon brings the next exchange forward, with a member that is back.
+// exchangeSoon brings the next exchange forward, with a member that has returned.
 func (d *Detect) exchangeSoon(m *member) {
 	if !d.met {
 		return
--- a/detect/links.go
+++ b/detect/links.go
@@ -7,19 +7,22 @@
 	"time"
 )
 
-// This file has the links: that this process does not hear one whom others hear is said of the link, and not of the member.
+// This file has the links. When this process receives no messages of a member that others can reach, it reports the link as
+// failed and not the member.
 
 const (
-	// probesMost bounds the links that are looked into at once, and probesAtOnce how many of them in one round.
+	// maxLinkChecks bounds the links that are checked at once, and maxLinkChecksPerRound how many of them are probed in a round.
 	probesMost, probesAtOnce = 16, 2
-	// missesMost is how many answers in a row have to be missing, of one whom others hear, for its link to have failed: with 30 % of the
-	// messages lost, half of the answers miss, and one link in 250 that are looked into is held for failed, until its next message.
+	// maxMisses is how many consecutive answers must be missing, from a member that others can reach, before its link counts as
+	// failed. With 30 % message loss, half of the answers are missing, and one in 250 checked links counts as failed until its
+	// next message.
 	missesMost = 8
-	// missEvery is the least time between two misses that count, and unheardEvery the time between two questions on a failed link.
+	// missInterval is the least time between two misses that count, and unheardProbeInterval the time between two probes on a
+	// failed link.
 	missEvery, unheardEvery = time.Second, 10 * time.Second
-	// linkFor is how long a word of a link holds that is not said again; it is said again each linkAgain.
+	// linkWindow is how long a link update holds unless repeated; linkRepeatInterval is how often it is repeated.
 	linkFor, linkAgain = 3 * time.Minute, time.Minute
-	// linkRepeats is how often each passes one on, and linksAtOnce how many ride on one message.
+	// maxLinkRepeats is how often each member passes an update on, and maxLinksPerMessage how many fit into one message.
 	linkRepeats, linksAtOnce = 4, 4
 )
 
@@ -31,7 +34,7 @@
 	until time.Duration
 }
 
-// links is what is known of links that fail in one direction.
+// links stores updates about links that fail in one direction.
 type links struct {
 	held map[link]heldLink
 	news []linkNews
@@ -42,7 +45,7 @@
 	sent int
 }
 
-// link is the state of the link to a member.
+// link returns the state of the link to a member.
 func (m *member) link() LinkState {
 	switch {
 	case m.unheard && m.deaf:
@@ -55,7 +58,7 @@
 	return Sound
 }
 
-// missed notes that a member answered others and not this process: its link is looked into.
+// startLinkCheck records that a member answered others and not this process, and starts a check of its link.
 func (d *Detect) missed(m *member) {
 	if m.probed || len(d.probes) >= probesMost || m.State != Alive && m.State != Suspect {
 		return
@@ -64,7 +67,7 @@
 	d.probes = append(d.probes, m)
 }
 
-// probe asks on links that are looked into. A question that has no answer by the next one is a miss.
+// probeLinks probes the links that are checked. A probe without an answer by the next one is a miss.
 func (d *Detect) probe() {
 	asked := 0
 	for i := 0; i < len(d.probes); {
@@ -82,7 +85,7 @@
 			i++
 			continue
 		}
-		if m.State == Alive && d.now-d.sureAt < d.cfg.CutAfter { // else it is not shown that others hear it, or they this process
+		if m.State == Alive && d.now-d.sureAt < d.cfg.CutAfter { // otherwise nothing shows that others receive from it, or from this process
 			m.misses++
 		}
 		if m.misses >= missesMost && !m.deaf && (!m.unheard || m.misses%int(linkAgain/unheardEvery) == 0) {
@@ -96,7 +99,7 @@
 	}
 }
 
-// sayLink tells of the link from a member to this process.
+// announceLink publishes the state of the link from a member to this process.
 func (d *Detect) sayLink(m *member, deaf bool) {
 	if m.num == math.MaxUint32 {
 		return
@@ -105,7 +108,7 @@
 	d.passLink(LinkWord{From: m.Name, To: d.self.Name, Num: m.num, Deaf: deaf})
 }
 
-// heard notes a message that came from a member itself.
+// receivedFrom records a message that came from a member itself.
 func (d *Detect) heard(m *member) {
 	if m.probed {
 		m.probed, m.misses = false, 0
@@ -122,7 +125,7 @@
 	}
 }
 
-// unlink forgets the links of a process that is another now.
+// clearLinks removes the link state of a member that a new process has replaced.
 func (d *Detect) unlink(m *member) {
 	m.unheard, m.deaf, m.num, m.misses, m.probed = false, false, 0, 0, false
 	if i := slices.Index(d.probes, m); i >= 0 {
@@ -135,7 +138,7 @@
 	}
 }
 
-// takeLinks takes in words of links.
+// receiveLinks merges link updates.
 func (d *Detect) takeLinks(words []LinkWord) {
 	for _, w := range words {
 		from, to := d.members[w.From], d.members[w.To]
@@ -156,14 +159,14 @@
 			continue
 		}
 		to.deaf, to.deafUntil = w.Deaf, d.now+linkFor
-		if w.Deaf { // a message that does come shows that it is the way of its questions that has failed, and not of these
+		if w.Deaf { // an acknowledgement shows that only the path of this member's probes failed
 			d.send(to.Addr, Message{Kind: Ask, Seq: d.seqNext(), About: to.ID}, to)
 			d.missed(to)
 		}
 	}
 }
 
-// dropLinks drops words of links that are too old. It is false where there are none.
+// dropLinks removes expired link updates. It returns false if there are none.
 func (d *Detect) dropLinks() bool {
 	n := len(d.links.held)
 	for l, h := range d.links.held {
@@ -174,7 +177,7 @@
 	return len(d.links.held) < n
 }
 
-// passLink has a word of a link ride on the next messages, in the place of an older one.
+// queueLink queues a link update for the next messages, in place of an older one.
 func (d *Detect) passLink(w LinkWord) {
 	d.links.news = slices.DeleteFunc(d.links.news, func(o linkNews) bool { return o.From == w.From && o.To == w.To })
 	if len(d.links.news) >= d.cfg.LinksMost {
@@ -183,7 +186,7 @@
 	d.links.news = append(d.links.news, linkNews{LinkWord: w})
 }
 
-// linkNews takes what rides on one message, and tells the room that is left.
+// takeQueuedLinks returns the link updates for one message, and the room that is left.
 func (d *Detect) linkNews(room int) ([]LinkWord, int) {
 	var got []LinkWord
 	for i := len(d.links.news) - 1; i >= 0 && len(got) < linksAtOnce; i-- {
@@ -202,8 +205,9 @@
 	return got, room
 }
 
-// Via names a member that hears this process and is heard by the one of that name, to pass on what the link between the two does not
-// carry. It is false where none is known. Of several it is always the same, and not the same for all.
+// Via returns a member that can relay to the named one: this process and that member reach each other, and no update reports
+// the link from it to the named one as failed. It returns false if none is known. Of several it always returns the same one,
+// but not the same for all processes.
 func (d *Detect) Via(name string) (Word, bool) {
 	var best *member
 	var least uint32
--- a/detect/links_test.go
+++ b/detect/links_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// known is a view that knows some, all of whom have answered, in the middle of its round.
+// known returns a Detect in the middle of a round, with members that have all sent their full state.
 func known(t *testing.T, names ...string) *Detect {
 	t.Helper()
 	d := New(Config{Name: "self", Start: 1, Addr: "self:1"})
@@ -20,7 +20,7 @@
 	return d.Handle(now, Event{Kind: Got, From: m.From.Addr, Message: m}, nil)
 }
 
-// An older word of a link that comes late does not hold, and a word holds for linkFor at the most.
+// Guards against an old link update that arrives late and replaces a newer one, and against relays over failed links.
 func TestLinkWordsInOrder(t *testing.T) {
 	d := known(t, "a", "b", "c")
 	tell := func(now time.Duration, from, to string, num uint32, deaf bool) {
@@ -28,24 +28,25 @@
 	}
 	tell(0, "self", "a", 1, true)
 	if d.members["a"].link() != Deaf {
-		t.Fatal("a does not hear this process, and that is not known")
+		t.Fatal("the link to a is not deaf after its update")
 	}
 	tell(0, "self", "a", 3, false)
 	tell(0, "self", "a", 2, true)
 	if d.members["a"].link() != Sound {
-		t.Error("an older word holds over a later one")
+		t.Error("an older link update replaced a later one")
 	}
 	tell(0, "c", "b", 1, true)
 	if via, ok := d.Via("b"); !ok || via.Name != "a" {
-		t.Errorf("to b by %q, though b does not hear c", via.Name)
+		t.Errorf("relay to b is %q, not a", via.Name)
 	}
 	tell(0, "a", "b", 1, true)
 	if via, ok := d.Via("b"); ok {
-		t.Errorf("to b by %q, which b does not hear", via.Name)
+		t.Errorf("relay to b is %q, whose link to b has failed", via.Name)
 	}
 }
 
-// A pause that was longer than what was left of a suspicion does not end it, nor does anything within Calm after it; the news are asked for at once.
+// Guards against deaths that a pause of this process causes. A pause longer than the rest of a suspicion must not end it, nor
+// may it end within PauseGrace after the pause. An exchange follows at once.
 func TestPauseEndsNoSuspicion(t *testing.T) {
 	d := known(t, "a", "b", "c")
 	run := func(until time.Duration) {
@@ -70,19 +71,20 @@
 		asked = asked || a.Kind == Exchange
 	}
 	if !asked {
-		t.Error("it does not ask for the news")
+		t.Error("no exchange after the pause")
 	}
 	run(on + d.cfg.Calm - time.Millisecond)
 	if s := d.members["a"].State; s != Suspect {
-		t.Errorf("a is %s within Calm after a pause", s)
+		t.Errorf("a is %s within PauseGrace after a pause", s)
 	}
 	run(on + 40*time.Second)
 	if s := d.members["a"].State; s != Dead {
-		t.Errorf("a, which does not answer, is %s 40 s after", s)
+		t.Errorf("a, which does not answer, is %s 40 s after the pause", s)
 	}
 }
 
-// An answer with the right number of another process at the address is no answer of the one that was asked. One that has left is not asked.
+// Guards against an acknowledgement from another process at the probed address, which has the right sequence number. It must
+// not count. A member that has left is not probed.
 func TestWhoAnswersAndWhoIsAsked(t *testing.T) {
 	d := known(t, "a")
 	d.hear(0, Message{Kind: Answer, From: Word{ID: ID{"b", 1}, State: Left, Addr: "b:1"}})
@@ -90,7 +92,7 @@
 		now := d.Next()
 		for _, a := range d.Handle(now, Event{Kind: Tick}, nil) {
 			if a.Addr == "b:1" {
-				t.Fatalf("%s: one that has left is sent %s", now, a.Message.Kind)
+				t.Fatalf("%s: a member that has left receives %s", now, a.Message.Kind)
 			}
 			if a.Kind == Send && a.Message.Kind == Ask && a.Addr == "a:1" {
 				d.hear(now, Message{Kind: Answer, Seq: a.Message.Seq, About: d.Self().ID, From: Word{ID: ID{"other", 1}, State: Left, Addr: "a:1"}})
@@ -98,6 +100,6 @@
 		}
 	}
 	if s := d.members["a"].State; s == Alive {
-		t.Error("a is alive by the answers of another process")
+		t.Error("a is alive because of the answers of another process")
 	}
 }
--- a/detect/measure_test.go
+++ b/detect/measure_test.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// This file has the measurements that the design note's table is from: go test ./detect -run Measure -v -measure
+// This file has the measurements behind the table of the design note: go test ./detect -run Measure -v -measure
 
 var (
 	measure   = flag.Bool("measure", false, "run the measurements of the design note")
 	hours     = flag.Float64("measure.hours", 10, "hours of virtual time for each count of deaths")
-	sizeLimit = flag.Int("measure.most", 350, "the largest fleet whose deaths are counted")
+	sizeLimit = flag.Int("measure.most", 350, "the largest fleet whose false deaths are counted")
 )
 
-// heartbeat is the plainest that there is, to compare with: each tells all each second, and who is silent for 5 s is dead.
+// heartbeat is the simplest detector, for comparison: each member sends to all each second, and one that is silent for 5 s is
+// dead.
 type heartbeat struct {
 	self  Word
 	all   []Word
@@ -57,7 +58,7 @@
 	return out
 }
 
-// way is one way of detection that is measured.
+// method is one way of detection that is measured.
 type way struct {
 	name string
 	make func(n int) func(*Config) node
@@ -81,7 +82,7 @@
 	}},
 }
 
-// joined is a fleet that has found together.
+// joined returns a fleet that has joined.
 func joined(seed uint64, n int, w way) *sim {
 	s := newSim(seed)
 	s.fleet(n, w.make(n))
@@ -103,7 +104,7 @@
 	}
 }
 
-// How long until the first, and until all, see a crash; what a calm fleet sends.
+// Measures the time until the first member, and until all, detect a crash, and the traffic of a fleet without faults.
 func TestMeasureCrash(t *testing.T) {
 	skipUnlessMeasured(t)
 	for _, c := range []struct{ n, runs int }{{3, 100}, {30, 100}, {350, 24}, {1000, 4}} {
@@ -123,7 +124,7 @@
 					t.Run("", func(t *testing.T) {
 						t.Parallel()
 						s := joined(seed, c.n, w)
-						s.run(4 * time.Minute) // what there was to tell has been told
+						s.run(4 * time.Minute) // until all updates have spread
 						b, from := s.bytes, s.now
 						s.run(s.now + time.Minute)
 						each := float64(s.bytes-b) / float64(c.n) / (s.now - from).Seconds()
@@ -160,14 +161,14 @@
 	}
 }
 
-// faults is what befalls a fleet while its false deaths are counted.
+// faults are the faults of a fleet while its false deaths are counted.
 type faults struct {
 	name        string
 	loss        float64
 	pause, cuts bool
 }
 
-// Living members that are called dead.
+// Counts living members that are reported dead.
 func TestMeasureFalseDeaths(t *testing.T) {
 	skipUnlessMeasured(t)
 	for _, f := range []faults{{name: "calm"}, {name: "10 % lost", loss: .1}, {name: "30 % lost", loss: .3}, {name: "a tenth stands still for 5 s a minute", pause: true},
@@ -212,7 +213,7 @@
 func falseDeaths(seed uint64, n int, w way, f faults, each time.Duration) (deaths, suspects, observed, cutOffs int, back []time.Duration) {
 	s := joined(seed, n, w)
 	s.loss = f.loss
-	began := map[string]time.Duration{} // the deaths that are not taken back everywhere
+	began := map[string]time.Duration{} // deaths that are not yet taken back everywhere
 	holders := map[string]map[string]bool{}
 	s.changed = func(at *simNode, a Action) {
 		name := a.Word.Name
@@ -259,7 +260,7 @@
 	return
 }
 
-// How long two sides need to hold one view again, and what they send meanwhile.
+// Measures the time and traffic until two sides of a partition have one view again.
 func TestMeasureHeal(t *testing.T) {
 	skipUnlessMeasured(t)
 	for _, c := range []struct{ n, runs int }{{3, 100}, {30, 40}, {350, 4}, {1000, 2}} {
@@ -287,7 +288,7 @@
 						mu.Lock()
 						defer mu.Unlock()
 						if d < 0 {
-							t.Error("they do not find together")
+							t.Error("the two sides do not reach one view")
 							return
 						}
 						took = append(took, d)
@@ -300,7 +301,7 @@
 	}
 }
 
-// How long a fleet that begins at once needs to hold one view, and what that costs.
+// Measures the time and traffic until a fleet that starts at once has one view.
 func TestMeasureJoin(t *testing.T) {
 	skipUnlessMeasured(t)
 	for _, n := range []int{3, 30, 350, 1000} {
--- a/detect/members.go
+++ b/detect/members.go
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// This file has the members: how a word is taken in, and what becomes due of those who are not alive.
+// This file has the members: how an update is merged, and the timers of members that are not alive.
 
-// member is what is known of one other process.
+// member is the state of one other process.
 type member struct {
 	Word
-	place int // in ring
-	timer int // in timed; -1: in none
+	place int // index in ring
+	timer int // index in timers; -1: no timer
 	due   time.Duration
 
-	since    time.Duration // Suspect, Dead, Left: since when
-	last     int           // Suspect: last questions that it was asked
+	since    time.Duration // Suspect, Dead, Left: when the state began
+	last     int           // Suspect: number of final probes sent
 	accusers []string      // Suspect
-	back     time.Duration // Away: until when
-	wait     time.Duration // Dead: between two questions
+	back     time.Duration // Away: when the absence ends
+	wait     time.Duration // Dead: between two probes
 	recent   bool          // Dead: it counts for Sized
-	silent   bool          // it was never known to be there: its end is not passed on
-	flaps    int           // times that it came back from the dead lately
+	silent   bool          // it was never present in this view; its end is not passed on
+	flaps    int           // recent returns from the dead
 	flapAt   time.Duration
 
-	doubt   Word // a death of it that was told
-	checks  int  // how often it was asked for that
-	doubted bool // in doubts
+	doubt   Word // a reported death that is not verified
+	checks  int  // probes sent to verify it
+	doubted bool // it is in unverified
 
 	news          entry
-	probed        bool // in probes
-	misses        int  // of its own answers, while others heard it
+	probed        bool // it is in linkChecks
+	misses        int  // consecutive missing answers, while others receive its messages
 	missAt        time.Duration
 	num           uint32
 	unheard, deaf bool
 	deafUntil     time.Duration
 }
 
-// flapFor is how long a return from the dead is remembered, and flapsMost the most that count: suspicion lasts 1 + flaps times as long.
+// flapWindow is how long a return from the dead counts, and maxFlaps the most that count: suspicion lasts 1 + flaps times as
+// long.
 const flapFor, flapsMost = 10 * time.Minute, 2
 
-// told is the word as it is passed on now.
+// currentWord returns the update about the member as it is sent now.
 func (m *member) told(now time.Duration) Word {
 	w := m.Word
 	if w.State == Away {
@@ -52,7 +53,7 @@
 	return w
 }
 
-// take takes in one word. first: it is of its sender.
+// receiveWord merges one update. first: it is the sender's update about itself.
 func (d *Detect) take(w Word, first bool) {
 	if !w.sound() {
 		return
@@ -77,7 +78,7 @@
 	}
 }
 
-// add takes in one that is not known.
+// add adds a member that is not known.
 func (d *Detect) add(w Word, first bool) {
 	if len(d.members) >= d.cfg.MembersMost {
 		return
@@ -85,10 +86,10 @@
 	m := &member{Word: Word{ID: w.ID, State: Forgotten}, place: len(d.ring), timer: -1}
 	d.members[w.Name] = m
 	d.ring = append(d.ring, m)
-	if n := len(d.ring) - d.pos; n > 1 { // at a random place of what is still to be asked in this turn
+	if n := len(d.ring) - d.pos; n > 1 { // at a random position among those not yet probed in this turn
 		d.swap(m.place, d.pos+d.rng.IntN(n))
 	}
-	if !w.State.there() { // it is the end of one that is forgotten, or was never met
+	if !w.State.there() { // the end of a forgotten or never seen process
 		m.silent = true
 		m.Word, m.since = w, d.now
 		m.By, m.Until = "", 0
@@ -104,7 +105,7 @@
 	d.ring[i].place, d.ring[j].place = i, j
 }
 
-// replace takes in a later process of the name.
+// replace merges an update of a later process with the member's name.
 func (d *Detect) replace(m *member, w Word) {
 	d.unlink(m)
 	m.accusers = nil
@@ -120,19 +121,19 @@
 	}
 }
 
-// set takes in a word that holds over what is known.
+// applyWord applies an update that holds over the stored one.
 func (d *Detect) set(m *member, w Word, first bool) {
-	cause := "it was told of"
+	cause := "another member reported it"
 	switch {
 	case first:
-		cause = "it said so"
+		cause = "the process announced it"
 	case w.State == Suspect:
 		cause = "suspected by " + w.By
 	case m.State == Suspect || m.State == Dead:
-		cause = "it says that it lives"
+		cause = "the process refuted the suspicion or death"
 	}
 	if m.State == Suspect && w.State <= Away && slices.Contains(m.accusers, d.self.Name) {
-		d.worse(1) // the accuser was wrong
+		d.worse(1) // this process's accusation was wrong
 	}
 	accusers := []string{}
 	if w.State == Suspect {
@@ -147,7 +148,7 @@
 	d.become(m, w, cause)
 }
 
-// become gives a member a word, with all that follows from its state.
+// transition stores an update, with all that follows from its state.
 func (d *Detect) become(m *member, w Word, cause string) {
 	old := m.State
 	if old == Dead && w.State <= Away {
@@ -194,7 +195,7 @@
 	d.act(Action{Kind: Changed, Word: m.told(d.now), Old: old, Cause: cause})
 }
 
-// arm sets the timer of a member by its state.
+// setTimer sets the timer of a member by its state.
 func (d *Detect) arm(m *member) {
 	if m.State == Alive {
 		if m.timer >= 0 {
@@ -223,7 +224,7 @@
 	}
 }
 
-// timeUp works the timer of a member.
+// timerExpired handles the expired timer of a member.
 func (d *Detect) timeUp(m *member) {
 	switch m.State {
 	case Suspect:
@@ -240,14 +241,14 @@
 		}
 		w := m.Word
 		w.State, w.By = Dead, ""
-		d.become(m, w, fmt.Sprintf("suspected by %d for %s, and it did not say that it lives", len(m.accusers),
+		d.become(m, w, fmt.Sprintf("suspected by %d for %s without a refutation", len(m.accusers),
 			(d.now-m.since).Round(100*time.Millisecond)))
 	case Away:
-		d.suspect(m, "it is not back within the time that it said")
+		d.suspect(m, "it did not return within the announced time")
 	default:
 		switch {
 		case d.now >= m.since+d.cfg.ForgetAfter:
-			d.forget(m, "its end is long ago")
+			d.forget(m, "the retention time after its end has passed")
 			return
 		case m.recent && d.now >= m.since+d.cfg.SizedFor:
 			m.recent = false
@@ -269,7 +270,7 @@
 	}
 }
 
-// forget drops all that is known of a process.
+// forget removes a process and all state about it.
 func (d *Detect) forget(m *member, cause string) {
 	if m.State.there() {
 		d.there--
@@ -294,15 +295,15 @@
 	m.doubt = Word{}
 }
 
-// ofSelf works a word of this process's own name.
+// receiveSelfWord processes an update about this process's own name.
 func (d *Detect) ofSelf(w Word) {
 	switch {
 	case w.Start > d.self.Start:
 		ended := w.State == Dead || w.State == Left
 		switch {
-		case w.Start == math.MaxUint64 || w.State == Suspect && d.pulled: // whether that one lives is not known yet
+		case w.Start == math.MaxUint64 || w.State == Suspect && d.pulled: // not known yet whether that process is alive
 		case !d.pulled || ended:
-			// A process that was there before this one began, or has ended: its clock was ahead.
+			// A process from before this one began, or one that has ended: its clock was ahead.
 			d.self.Start, d.self.Inc = w.Start+1, 0
 			d.act(Action{Kind: Renamed, By: d.self.ID})
 		default:
@@ -310,7 +311,7 @@
 			d.act(Action{Kind: Superseded, By: w.ID})
 		}
 	case w.Start < d.self.Start || Compare(w, d.self) <= 0 || w.Inc == math.MaxUint32 || d.self.State == Left:
-	default: // it is suspected, or dead: it lives
+	default: // it is suspected or reported dead: a higher incarnation refutes that
 		d.self.Inc = w.Inc + 1
 		d.worse(1)
 	}
@@ -319,7 +320,7 @@
 	}
 }
 
-// timers is a heap by due.
+// timerHeap is a heap of members by due time.
 type timers []*member
 
 func (t timers) Len() int           { return len(t) }
--- a/detect/news.go
+++ b/detect/news.go
@@ -6,16 +6,16 @@
 	"sort"
 )
 
-// This file has the news: what is passed on, how often, in which order, and how much of it goes into one datagram.
+// This file has gossip: which updates are passed on, how often, in which order, and how many go into one datagram.
 
-// entry is what a member's word is in the queue by.
+// entry is the position of a member's update in the queue.
 type entry struct {
 	in   bool
 	sent int
-	age  uint64 // the higher, the younger
+	age  uint64 // the higher, the newer
 }
 
-// queue has the words that are passed on, the least sent first and of those the youngest (SWIM, 4.1).
+// queue holds the updates to pass on, the least sent first, and among those the newest (SWIM, 4.1).
 type queue struct {
 	all  []*member
 	last uint64
@@ -46,23 +46,23 @@
 	q.all = slices.Insert(q.all, q.find(m), m)
 }
 
-// pass has a member's word ride on the next messages.
+// broadcast queues a member's update for the next messages.
 func (d *Detect) pass(m *member) {
 	d.taught++
 	d.news.put(m, 0)
 }
 
-// repeats times the logarithm of the number of members is how often a word is passed on by each: SWIM's lambda.
+// retransmitFactor times the logarithm of the number of members is how often each member passes an update on: SWIM's lambda.
 const repeats = 3
 
 func (d *Detect) repeatsMost() int {
 	return repeats * int(math.Ceil(math.Log10(float64(d.there+2))))
 }
 
-// Sizes of what is sent, from above: tags, lengths and numbers at their longest in protobuf.
+// Upper bounds of sizes on the wire: tags, lengths and numbers at their longest in protobuf.
 const (
-	wordSize    = 2 + 2 + 9 + 6 + 2 + 2 + 11 + 2 + 4 // without its texts
-	messageSize = 2 + 4 + 2 + 6 + 2 + 12             // without its words, and the text in About
+	wordSize    = 2 + 2 + 9 + 6 + 2 + 2 + 11 + 2 + 4 // without its strings
+	messageSize = 2 + 4 + 2 + 6 + 2 + 12             // without its updates and the string in About
 	linkSize    = 2 + 2 + 2 + 6 + 2 + 2
 )
 
@@ -70,12 +70,13 @@
 
 func (l *LinkWord) size() int { return linkSize + len(l.From) + len(l.To) }
 
-// send sends a datagram to a member (nil: it is not known), with what it has to know first, and all the news that have room.
+// send sends a datagram to a member (nil: unknown), with the update that it must receive first, and as many queued updates as
+// fit.
 func (d *Detect) send(addr string, msg Message, to *member) {
 	msg.From = d.selfWord()
 	room := d.cfg.DatagramMost - d.cfg.Envelope - messageSize - len(msg.About.Name) - msg.From.size()
 	var news []Word
-	// Who is held for suspect, away or dead hears it first: it is the one that can say that it lives (Lifeguard, 4.3).
+	// A member that counts as suspect, away or dead receives that update first, because it can refute it (Lifeguard, 4.3).
 	if to != nil && to.State != Alive && to.doubt.Name == "" && !d.cfg.plain {
 		news = append(news, to.told(d.now))
 		room -= news[0].size()
@@ -91,13 +92,13 @@
 	d.act(Action{Kind: Send, Addr: addr, Message: msg})
 }
 
-// newsFor appends what the queue has and room takes, and counts it as sent.
+// takeBroadcasts appends queued updates that fit into room, and counts them as sent.
 func (d *Detect) newsFor(news []Word, room int, to *member) []Word {
 	most := d.repeatsMost()
 	var again []*member
 	for i := 0; i < len(d.news.all) && room > wordSize; i++ {
 		m := d.news.all[i]
-		if m == to && !d.cfg.plain { // it knows of itself, or has been told
+		if m == to && !d.cfg.plain { // it knows its own state, or send has added the update about it
 			continue
 		}
 		w := m.told(d.now)
@@ -118,7 +119,7 @@
 	return news
 }
 
-// again keeps a word's age, so that of those that were sent as often the youngest goes first.
+// requeue keeps the age of an update, so that among those sent equally often the newest goes first.
 func (q *queue) again(m *member, sent int) {
 	age := m.news.age
 	q.drop(m)
@@ -126,7 +127,8 @@
 	q.all = slices.Insert(q.all, q.find(m), m)
 }
 
-// all is a message with all that is known, but for those that were never known to be there: else their ends would go round for ever.
+// fullState returns a message with all members except those that were never present here: otherwise their ends would circulate
+// forever.
 func (d *Detect) all(k Kind) Message {
 	msg := Message{Kind: k, From: d.selfWord(), News: make([]Word, 0, len(d.ring))}
 	for _, m := range d.ring {
@@ -137,7 +139,8 @@
 	return msg
 }
 
-// sampleTo sends one who knows but an address a few members more: where it asks for the whole news, if the one it has asked cannot give it.
+// sendSample sends a few members to a process that knows only an address. It can request the full state from them if this one
+// can't provide it.
 func (d *Detect) sampleTo(m *Message, s *member) {
 	if m.About != (ID{}) || s == nil {
 		return
@@ -154,5 +157,5 @@
 	d.send(s.Addr, msg, s)
 }
 
-// sampleMost is how many members one that joins is told of before it has the whole news.
+// maxSample is how many members a joining process receives before it has the full state.
 const sampleMost = 8
--- a/detect/script_test.go
+++ b/detect/script_test.go
@@ -11,15 +11,19 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Scripts in testdata: a fleet in virtual time, what befalls it, and what its members held for true. The commands, one a line:
+// script runs a script of testdata: a fleet in virtual time, its faults, and the views of its members. The commands, one a line:
 //
-//	fleet n=5 seed=1 loss=0.1 every=.. — processes a, b, ... that know a, b and c as seeds
-//	start x seeds=a,b clock=-5s        — one more, or one that has ended again, with its clock off
-//	crash a | leave a | away a 20s | back a | pause a 10s (lost: and what comes meanwhile is lost)
-//	cut a>b c>*  | mend                — directions between processes; mend: all
-//	part a,b                           — these from all others
-//	run 10s | whole 60s                — whole: until all hold the same, which it tells, at most so long
-//	changes                            — what members came to hold since the last time, put together
+//	fleet n=5 seed=1 loss=0.1 forget=.. — starts processes a, b, ... with a, b and c as seeds
+//	start x seeds=a,b clock=-5s         — starts one more, or restarts an ended one, with a clock offset
+//	twin a                              — starts a second process of a name
+//	crash a | leave a | away a 20s | back a
+//	pause a 10s [lost]                  — lost: messages that arrive meanwhile are lost
+//	cut a>b c>*                         — cuts directions between processes
+//	part a,b                            — separates these from all others
+//	turning a b                         — the same in one direction, which reverses each second
+//	mend                                — ends all cuts
+//	run 10s | whole 60s                 — whole: runs until all views agree, prints the time taken, up to a limit
+//	changes                             — prints the changes in all views since the last time, grouped
 //	view a | via a b | sizes
 type script struct {
 	t    *testing.T
@@ -35,7 +39,7 @@
 		c := &script{t: t}
 		datadriven.RunTest(t, path, func(t *testing.T, td *datadriven.TestData) string {
 			if td.Cmd != "do" {
-				t.Fatalf("%s: %s: unknown; write do", td.Pos, td.Cmd)
+				t.Fatalf("%s: %s: unknown command, the only one is do", td.Pos, td.Cmd)
 			}
 			var b strings.Builder
 			for line := range strings.Lines(td.Input) {
@@ -51,7 +55,7 @@
 	})
 }
 
-// note keeps a change for the next time that changes are told.
+// note stores a change for the next command "changes".
 func (c *script) note(n *simNode, a Action) {
 	var what string
 	switch a.Kind {
@@ -171,7 +175,7 @@
 	case "part":
 		side := strings.Split(plain[0], ",")
 		c.s.cutFunc = func(a, b *simNode) bool { return slices.Contains(side, a.name) != slices.Contains(side, b.name) }
-	case "turning": // the cut between these and all others turns round each second
+	case "turning": // the direction of the cut between these and all others reverses each second
 		c.s.cutFunc = func(a, b *simNode) bool {
 			odd := c.s.now/time.Second%2 == 1
 			return odd && slices.Contains(plain, a.name) || !odd && slices.Contains(plain, b.name)
@@ -219,7 +223,7 @@
 		}
 		return b.String()
 	default:
-		c.t.Fatalf("%s: %s: unknown", pos, f[0])
+		c.t.Fatalf("%s: %s: unknown command", pos, f[0])
 	}
 	return ""
 }
--- a/detect/sim_test.go
+++ b/detect/sim_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// This file has a network in memory and in virtual time: messages are lost, late, out of order and doubled, links and processes fail.
+// This file has a network in memory and virtual time. It loses, delays, reorders and duplicates messages, and its links and
+// processes fail.
 
-// node is what runs in the network: a Detect, or what it is compared with.
+// node is what runs on the network: a Detect, or a detector that it is compared with.
 type node interface {
 	Handle(time.Duration, Event, []Action) []Action
 	Next() time.Duration
@@ -23,9 +24,9 @@
 	up, stood  bool // stood: stopped by a signal
 	offset     time.Duration
 	inbox      []Event
-	overflows  bool // nothing is kept in the socket while it stands
+	overflows  bool // the socket keeps nothing while the process is stopped
 	wake       time.Duration
-	life       int // of the process: what was for an earlier one is lost
+	life       int // number of the process: messages to an earlier one are lost
 	cutOff     bool
 	over       bool
 	sized      int
@@ -53,7 +54,7 @@
 	seed     uint64
 	loss     float64
 	doubled  float64
-	delay    time.Duration // messages take between a tenth of it and all
+	delay    time.Duration // each message takes between a tenth of it and all of it
 	cut      map[link]bool // by name, one direction
 	cutFunc  func(from, to *simNode) bool
 	bytes    int
@@ -67,7 +68,7 @@
 	return &sim{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, byAddr: map[string]*simNode{}, delay: 2 * time.Millisecond, cut: map[link]bool{}}
 }
 
-// start adds a process, or one more of a name that has ended.
+// start adds a process, or a new process of an instance whose process has ended.
 func (s *sim) start(name string, make func(*Config) node, seeds ...string) *simNode {
 	addr := name + ":7946"
 	n := s.byAddr[addr]
@@ -105,7 +106,7 @@
 	return fmt.Sprintf("n%04d", i)
 }
 
-// fleet starts n processes that know the first three as seeds.
+// fleet starts n processes with the first three as seeds.
 func (s *sim) fleet(n int, make func(*Config) node) {
 	for i := range n {
 		s.start(nameOf(i), make, "a", "b", "c")
@@ -153,7 +154,7 @@
 	return top
 }
 
-// run goes on until a time.
+// run runs the network until a point in time.
 func (s *sim) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := s.pop()
@@ -168,7 +169,7 @@
 				s.handle(e.node, Event{Kind: Tick})
 			}
 		case e.node.stood:
-			if !e.node.overflows && len(e.node.inbox) < 200 { // of a socket
+			if !e.node.overflows && len(e.node.inbox) < 200 { // the limit of a socket
 				e.node.inbox = append(e.node.inbox, e.ev)
 			}
 		default:
@@ -206,7 +207,7 @@
 		if at != never {
 			s.push(simEvent{at: n.wake, node: n, life: n.life, tick: true})
 		}
-	} else if at > n.wake { // the tick that is under way comes too early, which is allowed
+	} else if at > n.wake { // the scheduled tick is too early, which is allowed
 		return
 	}
 }
@@ -238,7 +239,7 @@
 	}
 }
 
-// bytes is how much a message is on the wire, from above.
+// bytes returns an upper bound of the message's size on the wire.
 func (m *Message) bytes() int {
 	n := messageSize + 40 + len(m.About.Name) + m.From.size()
 	for i := range m.News {
@@ -250,10 +251,10 @@
 	return n
 }
 
-// crash ends a process, which says nothing.
+// crash ends a process, which sends nothing more.
 func (s *sim) crash(n *simNode) { n.up = false; n.life++ }
 
-// pause stops a process, and lets it go on after d: what has come meanwhile stands in its socket.
+// pause stops a process and resumes it after d. Messages that arrive meanwhile wait in its socket.
 func (s *sim) pause(n *simNode, d time.Duration) {
 	if !n.up || n.stood {
 		return
@@ -274,7 +275,7 @@
 	})
 }
 
-// view is what a process holds of the others that are there.
+// view returns the members that are present in a process's view.
 func (n *simNode) view() string {
 	var b strings.Builder
 	n.d().Members(func(w Word, l LinkState) bool {
@@ -291,7 +292,7 @@
 	return strings.TrimSuffix(b.String(), ", ")
 }
 
-// whole tells whether each process that is up holds all of those that are up, and nobody else, for there.
+// whole reports whether the view of each running process has exactly the running processes as present.
 func (s *sim) whole() bool {
 	up := map[ID]bool{}
 	for _, n := range s.nodes {
@@ -319,7 +320,8 @@
 	return true
 }
 
-// until runs on until it is so, looking each step, and tells how long that took; -1: it was not so within most.
+// until runs the network until is returns true, checked at each step, and returns the time taken; -1: it stayed false for all
+// of most.
 func (s *sim) until(most, step time.Duration, is func() bool) time.Duration {
 	from := s.now
 	for s.now < from+most {
--- a/detect/suspicion.go
+++ b/detect/suspicion.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// This file has suspicion: how long it lasts, who accuses, and the deaths that others tell of.
+// This file has suspicion: how long it lasts, who accuses, and the verification of deaths that others report.
 
 const (
-	// enough is the part of the least suspicion that one has to have been suspect here for the word of its death to be believed.
+	// minSuspicionShare is the share of the minimum suspicion that must have passed here before a reported death is accepted.
 	enough = 0.75
-	// doubtEvery and doubtsAtOnce bound how fast deaths that were told are looked into: 40 a second; checksMost is how often each.
+	// verifyInterval and maxVerifyPerRound limit the probes that verify reported deaths to 40 a second; maxVerifyProbes is the
+	// number for each member.
 	doubtEvery, doubtsAtOnce, checksMost = 100 * time.Millisecond, 4, 3
 )
 
-// least is the shortest suspicion of a member.
+// minSuspicion returns the shortest suspicion timeout of a member.
 func (d *Detect) least(m *member) time.Duration {
 	flaps := m.flaps
 	if d.now-m.flapAt > flapFor {
@@ -24,11 +25,11 @@
 	return time.Duration(float64(d.cfg.Suspicion)*d.logs()) * time.Duration(1+flaps)
 }
 
-// deadline is when a suspicion ends in death: Stretch times the least with one accuser, and each further one shortens it, the first the
-// most (Lifeguard, 4.2).
+// suspicionDeadline returns when a suspicion ends in death: MaxSuspicionFactor times the minimum with one accuser. Each further
+// accuser shortens it, the first the most (Lifeguard, 4.2).
 func (d *Detect) deadline(m *member) time.Duration {
 	least := d.least(m)
-	k := min(d.cfg.Accusers, d.there-1) // this process may be one, the accused is none
+	k := min(d.cfg.Accusers, d.there-1) // this process may be an accuser, the suspect is none
 	length := least
 	if c := max(0, len(m.accusers)-1); k > 0 && c < k {
 		most := least * time.Duration(d.cfg.Stretch)
@@ -37,11 +38,11 @@
 	return m.since + length
 }
 
-// lastMost is how many last questions a suspect is asked by each that holds it for one, before its time is up: that it lives may have been
-// told to all others. With 30 % of the messages lost, one suspicion in 200 is left of those that news did not end.
+// maxFinalProbes is how many final probes each member that suspects a process sends it before the timeout. The process may have
+// refuted the suspicion to all others. With 30 % message loss, one suspicion in 200 remains of those that gossip did not end.
 const lastMost = 8
 
-// lastFrom is when the last questions to a suspect begin.
+// finalProbesAt returns when the final probes of a suspect begin.
 func (d *Detect) lastFrom(m *member) time.Duration {
 	if m.last > 0 { // they have begun
 		return d.now
@@ -49,20 +50,20 @@
 	return max(d.deadline(m)-lastMost*d.cfg.AnswerWithin, d.calm)
 }
 
-// accuse counts one more accuser of a suspect.
+// addAccuser counts one more accuser of a suspect.
 func (d *Detect) accuse(m *member, by string) {
 	if by == "" || by == m.Name || slices.Contains(m.accusers, by) || len(m.accusers) > d.cfg.Accusers {
 		return
 	}
 	m.accusers = append(m.accusers, by)
 	m.By = by
-	if m.last == 0 { // else it is being asked for the last time
+	if m.last == 0 { // otherwise the final probes have begun
 		d.arm(m)
 	}
 	d.pass(m)
 }
 
-// suspect has this process accuse one that does not answer.
+// suspect makes this process an accuser of a member that doesn't answer.
 func (d *Detect) suspect(m *member, cause string) {
 	if m.State == Suspect {
 		d.accuse(m, d.self.Name)
@@ -74,11 +75,11 @@
 	d.become(m, w, cause)
 }
 
-// hearOfDeath works the word of the death of one who is there as far as this process knows. It is believed of one that has been suspect
-// for long enough to say that it lives. Else who tells it may have been cut off itself: the one that is told of is asked first.
+// receiveDeath processes a reported death of a member that is present in this view. It accepts the death of a member that has
+// been suspect long enough to refute it. Otherwise the reporter may have been cut off itself, so the member is probed first.
 func (d *Detect) hearOfDeath(m *member, w Word) {
 	if m.State == Suspect && m.Inc == w.Inc && float64(d.now-m.since) >= enough*float64(d.least(m)) && d.now >= d.calm {
-		d.become(m, w, "others found it dead")
+		d.become(m, w, "others reported its death")
 		return
 	}
 	if m.doubt.Name != "" && Compare(w, m.doubt) <= 0 {
@@ -93,7 +94,7 @@
 	}
 }
 
-// check asks those of whose death was told.
+// verifyDeaths probes the members whose death was reported.
 func (d *Detect) check() {
 	for range min(doubtsAtOnce, len(d.doubts)) {
 		m := d.doubts[0]
@@ -112,7 +113,7 @@
 					d.accuse(m, w.By)
 				} else {
 					m.accusers = []string{w.By}
-					d.become(m, w, "others found it dead, and it does not answer")
+					d.become(m, w, "others reported its death, and it does not answer")
 				}
 			}
 			continue
@@ -123,7 +124,7 @@
 		d.doubts = append(d.doubts, m)
 	}
 	d.doubtAt = d.now + doubtEvery
-	if n := len(d.doubts); n > 0 && n <= doubtsAtOnce { // each has time to answer
+	if n := len(d.doubts); n > 0 && n <= doubtsAtOnce { // leaves each one time to answer
 		d.doubtAt = d.now + d.cfg.AnswerWithin
 	}
 }
--- a/detect/word.go
+++ b/detect/word.go
@@ -1,22 +1,22 @@
 package detect
 
-// This file has the order of words: which of two words of one name holds.
+// This file has the precedence of updates: which of two updates of one name holds.
 
-// order is what two words of one name are compared by, the first difference decides: as data, so that the note's table and the code are
-// one. It is total, so words that are merged in any order end in the same one.
+// precedence lists the keys that two updates of one name are compared by; the first difference decides. It is data, so that it
+// matches the table of the design note. The order is total, so updates merged in any order give the same result.
 var order = []struct {
 	what string
 	key  func(Word) uint64
 }{
 	{"start", func(w Word) uint64 { return w.Start }},                   // the later process
-	{"left", func(w Word) uint64 { return rank[w.State] / rank[Left] }}, // final for its start
-	{"incarnation", func(w Word) uint64 { return uint64(w.Inc) }},       // what it said later itself
-	{"state", func(w Word) uint64 { return rank[w.State] }},             // the accusation that its next incarnation answers
+	{"left", func(w Word) uint64 { return rank[w.State] / rank[Left] }}, // final for its start number
+	{"incarnation", func(w Word) uint64 { return uint64(w.Inc) }},       // the later update of the process itself
+	{"state", func(w Word) uint64 { return rank[w.State] }},             // the accusation that its next incarnation refutes
 }
 
 var rank = [...]uint64{Alive: 0, Away: 1, Suspect: 2, Dead: 3, Left: 4}
 
-// Compare orders two words of one name: above 0, a holds over b. Of two that are equal, neither says what the other does not.
+// Compare orders two updates of one name: above 0, a holds over b. Of two equal updates neither adds anything to the other.
 func Compare(a, b Word) int {
 	for i := range order {
 		if x, y := order[i].key(a), order[i].key(b); x > y {
@@ -28,13 +28,13 @@
 	return 0
 }
 
-// textMost bounds names and addresses: a DNS name and a port. A word with a longer one is taken for nothing.
+// maxTextBytes bounds names and addresses: a DNS name and a port. An update with a longer one is ignored.
 const textMost = 262
 
-// sound tells whether a word that came in can be one at all.
+// isValid reports whether a received update is well formed.
 func (w *Word) sound() bool {
 	return w.Name != "" && len(w.Name) <= textMost && w.Addr != "" && len(w.Addr) <= textMost && len(w.By) <= textMost && w.State <= Left
 }
 
-// there tells whether the process is reckoned with.
+// isPresent reports whether the process counts as present.
 func (s State) there() bool { return s <= Suspect }
--- a/detect/word_test.go
+++ b/detect/word_test.go
@@ -19,7 +19,7 @@
 	return all
 }
 
-// wordTable is the design note's, in words: what holds of a and b. It is not written as the code is.
+// wordTable is the precedence table of the design note, written independently of the code.
 func wordTable(a, b Word) int {
 	switch {
 	case a == b:
@@ -49,19 +49,19 @@
 	for _, a := range all {
 		for _, b := range all {
 			if got, want := Compare(a, b), wordTable(a, b); got != want {
-				t.Errorf("%+v against %+v: %d, the table says %d", a, b, got, want)
+				t.Errorf("Compare(%+v, %+v) = %d, want %d", a, b, got, want)
 			}
 			for _, c := range all {
 				if Compare(a, b) > 0 && Compare(b, c) > 0 && Compare(a, c) <= 0 {
-					t.Errorf("%+v over %+v over %+v, but not over the last", a, b, c)
+					t.Errorf("%+v holds over %+v, which holds over %+v, but the first not over the last", a, b, c)
 				}
 			}
 		}
 	}
 }
 
-// Whatever the order, and however often each, the same words leave a view that agrees with all who got them: no word is taken in that an
-// earlier one holds over. A death of one who is there waits until it was asked, so it stands among the words only once it is suspect.
+// Guards against views that depend on the order or repetition of updates: no update may replace one that holds over it. A
+// reported death of a present member is verified first, so it counts here while it is unverified.
 func TestMergeOfWordsInAnyOrder(t *testing.T) {
 	all := words()
 	rapid.Check(t, func(t *rapid.T) {
@@ -80,7 +80,7 @@
 				v.Handle(0, Event{Kind: Got, From: "y:1", Message: Message{Kind: Pull, From: Word{ID: ID{"y", 1}, Addr: "y:1"}, News: []Word{w}}}, nil)
 				held := v.members["x"]
 				if Compare(held.Word, got) < 0 && got.Name != "" {
-					t.Fatalf("%+v took the place of %+v", held.Word, got)
+					t.Fatalf("%+v replaced %+v, which holds over it", held.Word, got)
 				}
 				got = held.Word
 			}
@@ -91,13 +91,14 @@
 				}
 			}
 			if Compare(got, best) != 0 {
-				t.Fatalf("%+v is left of %+v, not %+v", got, some, best)
+				t.Fatalf("the result is %+v after %+v, want %+v", got, some, best)
 			}
 		}
 	})
 }
 
-// A higher start of the own name: before joining, and of one that has ended, this process takes one above it; of one that lives, it ends its part.
+// Guards against two processes of one name that both take part. On a higher start of its own name, a process takes the next
+// start number if it has not joined or the other has ended. If the other one is alive, it stops taking part.
 func TestHigherStartOfTheOwnName(t *testing.T) {
 	for _, c := range []struct {
 		state  State
@@ -116,18 +117,18 @@
 			if a.Kind == Renamed || a.Kind == Superseded {
 				got = append(got, a.Kind)
 				if start := d.Self().Start; (a.Kind == Renamed) != (start == 10) || a.By.Start != 9 && a.By.Start != 10 {
-					t.Errorf("%s, joined %t: the start is %d, told %d", c.state, c.joined, start, a.By.Start)
+					t.Errorf("%s, joined %t: the start is %d, the action has %d", c.state, c.joined, start, a.By.Start)
 				}
 			}
 		}
 		if len(got) != 1 || got[0] != c.want {
-			t.Errorf("%s, joined %t: %v, not %v", c.state, c.joined, got, c.want)
+			t.Errorf("%s, joined %t: actions %v, want %v", c.state, c.joined, got, c.want)
 		}
 	}
 }
 
-// Suspicion by the number of members, of accusers, and of returns from the dead lately, in tenths of a second: as the formula of the note,
-// reckoned by hand.
+// The suspicion timeout by the number of members, accusers and recent returns from the dead, in milliseconds. The expected
+// values are calculated by hand from the formula of the design note.
 func TestSuspicionLength(t *testing.T) {
 	for _, c := range []struct {
 		members, accusers, flaps int
@@ -148,7 +149,7 @@
 			d.take(Word{ID: m.ID, State: Suspect, Addr: "x:1", By: nameOf(i + 1)}, false)
 		}
 		if got := d.deadline(m).Round(100 * time.Millisecond); got-c.want*time.Millisecond > 100*time.Millisecond || c.want*time.Millisecond-got > 100*time.Millisecond {
-			t.Errorf("%d members, %d accusers, %d returns: %s", c.members, c.accusers, c.flaps, got)
+			t.Errorf("%d members, %d accusers, %d returns: suspicion lasts %s", c.members, c.accusers, c.flaps, got)
 		}
 	}
 }
