--- a/detect/example_test.go
+++ b/detect/example_test.go
@@ -7,7 +7,7 @@
 	"glencart/detect"
 )
 
-// Two processes on a network without loss: one has the other's address as a seed.
+// Example runs two processes on a network without loss. One has the other's address as a seed.
 func Example() {
 	start := detect.FirstStart(time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), 1)
 	byAddr := map[string]*detect.Detect{
--- a/detect/faults_test.go
+++ b/detect/faults_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// watch checks invariants at each change: the start number of a member never goes back, and no process reports a living one
-// dead unless excused allows it.
-func (s *sim) watch(t *testing.T, excused func(at *simNode, of *simNode) bool) {
+// checkInvariants checks at each change that the start number of a member never goes back, and that no process reports a living
+// one dead unless excused allows it. It also bounds the size of datagrams.
+func (s *sim) checkInvariants(t *testing.T, excused func(at *simNode, of *simNode) bool) {
 	starts := map[*simNode]map[string]uint64{}
-	lives := map[*simNode]int{}
-	s.acted = func(at *simNode, a Action) {
+	processes := map[*simNode]int{}
+	s.onAction = func(at *simNode, a Action) {
 		if a.Kind == Send && a.Message.Kind != Pull && a.Message.bytes() > 1200 {
 			t.Errorf("seed %d, %s: a datagram has %d bytes", s.seed, s.now, a.Message.bytes())
 		}
 		if a.Kind != Changed {
 			return
 		}
-		if lives[at] != at.life || starts[at] == nil {
-			starts[at], lives[at] = map[string]uint64{}, at.life
+		if processes[at] != at.process || starts[at] == nil {
+			starts[at], processes[at] = map[string]uint64{}, at.process
 		}
 		if a.Word.State == Forgotten {
 			delete(starts[at], a.Word.Name)
@@ -39,10 +39,10 @@
 	}
 }
 
-func nobody(*simNode, *simNode) bool { return false }
+func excuseNone(*simNode, *simNode) bool { return false }
 
-// seeds runs f with consecutive seeds, each in its own subtest.
-func seeds(t *testing.T, n uint64, f func(t *testing.T, seed uint64)) {
+// runSeeds runs f with consecutive seeds, each in its own subtest.
+func runSeeds(t *testing.T, n uint64, f func(t *testing.T, seed uint64)) {
 	for seed := range n {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { t.Parallel(); f(t, seed) })
 	}
@@ -50,16 +50,16 @@
 
 // Guards against false deaths. Messages are lost, late, duplicated and reordered, processes pause for less than the suspicion
 // timeout, and links fail in one direction. All members must find the killed process dead, and no other.
-func TestNobodyThatLivesAndIsReachableIsCalledDead(t *testing.T) {
-	seeds(t, 24, func(t *testing.T, seed uint64) {
+func TestReachableMemberIsNeverReportedDead(t *testing.T) {
+	runSeeds(t, 24, func(t *testing.T, seed uint64) {
 		s := newSim(seed)
-		s.watch(t, nobody)
+		s.checkInvariants(t, excuseNone)
 		n := 5 + int(seed)%16
-		s.fleet(n, detects(nil))
-		if s.until(30*time.Second, time.Second, s.whole) < 0 {
+		s.fleet(n, newDetectFunc(nil))
+		if s.until(30*time.Second, time.Second, s.hasOneView) < 0 {
 			t.Fatal("the members do not reach one view")
 		}
-		s.loss, s.doubled, s.delay = float64(seed%4)*0.08, 0.02, time.Duration(1+seed%3*40)*time.Millisecond
+		s.loss, s.duplicated, s.delay = float64(seed%4)*0.08, 0.02, time.Duration(1+seed%3*40)*time.Millisecond
 		s.run(s.now + 5*time.Second)
 		from, to := s.rng.IntN(n), s.rng.IntN(n)
 		for range 20 {
@@ -84,12 +84,12 @@
 // Guards against views that stay different after a partition with restarts and crashes on each side. Once the partition ends,
 // the sides must reach one view by themselves, and no old start number may return.
 func TestPartitionHealsToOneView(t *testing.T) {
-	seeds(t, 24, func(t *testing.T, seed uint64) {
+	runSeeds(t, 24, func(t *testing.T, seed uint64) {
 		s := newSim(seed)
-		s.watch(t, func(*simNode, *simNode) bool { return s.cutFunc != nil })
+		s.checkInvariants(t, func(*simNode, *simNode) bool { return s.cutFunc != nil })
 		n := 3 + int(seed)
-		s.fleet(n, detects(nil))
-		if s.until(30*time.Second, time.Second, s.whole) < 0 {
+		s.fleet(n, newDetectFunc(nil))
+		if s.until(30*time.Second, time.Second, s.hasOneView) < 0 {
 			t.Fatal("the members do not reach one view")
 		}
 		side := map[*simNode]int{}
@@ -100,15 +100,15 @@
 		s.run(s.now + time.Duration(5+s.rng.IntN(300))*time.Second)
 		restarted := s.nodes[s.rng.IntN(n)]
 		s.crash(restarted)
-		s.start(restarted.name, detects(nil), "a", "b", "c")
+		s.start(restarted.name, newDetectFunc(nil), "a", "b", "c")
 		if n > 5 {
 			s.crash(s.nodes[s.rng.IntN(n)])
 		}
 		s.run(s.now + time.Duration(s.rng.IntN(60))*time.Second)
 		s.cutFunc, s.loss = nil, float64(seed%3)*0.05
-		mended := s.now
-		s.watch(t, func(at, of *simNode) bool { return s.now-mended < 2*time.Minute })
-		took := s.until(2*time.Minute, time.Second, s.whole)
+		healedAt := s.now
+		s.checkInvariants(t, func(at, of *simNode) bool { return s.now-healedAt < 2*time.Minute })
+		took := s.until(2*time.Minute, time.Second, s.hasOneView)
 		if took < 0 {
 			for _, at := range s.nodes {
 				t.Log(at.name, at.up, at.view())
@@ -118,7 +118,7 @@
 		t.Logf("%d members: one view after %s", n, took)
 		s.loss = 0
 		s.run(s.now + 3*time.Minute)
-		if !s.whole() {
+		if !s.hasOneView() {
 			t.Error("the views differ again later")
 		}
 	})
@@ -128,68 +128,69 @@
 // know all within seconds.
 func TestThreeHundredJoinAtOnce(t *testing.T) {
 	s := newSim(1)
-	s.watch(t, nobody)
-	check := s.acted
-	got := map[string]int{}
+	s.checkInvariants(t, excuseNone)
+	check := s.onAction
+	messages := map[string]int{}
 	streams := map[string]int{}
-	s.acted = func(at *simNode, a Action) {
+	s.onAction = func(at *simNode, a Action) {
 		check(at, a)
 		switch {
 		case a.Kind == Send && s.now < time.Second:
-			got[a.Addr]++
+			messages[a.Addr]++
 		case a.Kind == Exchange && s.now < time.Second:
 			streams[a.Addr]++
 		case a.Kind == Changed && a.Word.State == Suspect:
 			t.Errorf("%s: %s suspects %s: %s", s.now, at.name, a.Word.Name, a.Cause)
 		}
 	}
-	s.fleet(300, detects(nil))
-	took := s.until(30*time.Second, 100*time.Millisecond, s.whole)
+	s.fleet(300, newDetectFunc(nil))
+	took := s.until(30*time.Second, 100*time.Millisecond, s.hasOneView)
 	if took < 0 || took > 10*time.Second {
 		t.Errorf("all members know all after %s", took)
 	}
-	most, mostStreams := 0, 0
-	for _, a := range sortedKeys(got) {
-		most = max(most, got[a])
+	maxMessages, maxStreams := 0, 0
+	for _, a := range sortedKeys(messages) {
+		maxMessages = max(maxMessages, messages[a])
 	}
 	for _, a := range sortedKeys(streams) {
-		mostStreams = max(mostStreams, streams[a])
+		maxStreams = max(maxStreams, streams[a])
 	}
-	t.Logf("all members know all after %s; at most %d messages and %d exchanges to one member in the first second; %d bytes for each member", took, most, mostStreams,
+	t.Logf("all members know all after %s; at most %d messages and %d exchanges to one member in the first second; %d bytes for each member",
+		took, maxMessages, maxStreams,
 		s.bytes/300)
-	if most > 1500 || mostStreams > 60 {
-		t.Errorf("one member receives %d messages and %d exchanges in the first second", most, mostStreams)
+	if maxMessages > 1500 || maxStreams > 60 {
+		t.Errorf("one member receives %d messages and %d exchanges in the first second", maxMessages, maxStreams)
 	}
 	for _, n := range s.nodes {
-		if n.sized != 300 {
-			t.Errorf("%s reports a size of %d", n.name, n.sized)
+		if n.size != 300 {
+			t.Errorf("%s reports a size of %d", n.name, n.size)
 		}
 	}
 }
 
-// Guards against effects of old messages. Messages of the last minutes, some from earlier processes, arrive again in any order,
-// and the view must not change.
-func TestOldAndRepeatedMessagesAreHarmless(t *testing.T) {
-	seeds(t, 6, func(t *testing.T, seed uint64) {
+// Guards against effects of delayed and duplicated messages. Messages of the last minutes, some from earlier processes, arrive
+// again in any order, and the view must not change.
+func TestOldAndRepeatedMessagesChangeNothing(t *testing.T) {
+	runSeeds(t, 6, func(t *testing.T, seed uint64) {
 		s := newSim(seed)
-		s.watch(t, nobody)
-		check := s.acted
-		var kept []Action
-		s.acted = func(at *simNode, a Action) {
+		s.checkInvariants(t, excuseNone)
+		check := s.onAction
+		var recorded []Action
+		s.onAction = func(at *simNode, a Action) {
 			check(at, a)
 			if (a.Kind == Send || a.Kind == Exchange) && s.rng.IntN(4) == 0 {
-				kept = append(kept, a)
+				recorded = append(recorded, a)
 			}
 		}
-		s.fleet(7, detects(nil))
+		s.fleet(7, newDetectFunc(nil))
 		s.run(20 * time.Second)
 		s.crash(s.nodes[6])
 		s.run(s.now + 20*time.Second)
-		s.start("g", detects(nil), "a", "b")
+		s.start("g", newDetectFunc(nil), "a", "b")
 		s.run(s.now + 20*time.Second)
 		s.crash(s.nodes[5])
 		s.run(s.now + 20*time.Second)
-		old := slices.Clone(kept)
+		old := slices.Clone(recorded)
 		for _, i := range s.rng.Perm(len(old)) {
 			a := old[i]
 			if to := s.byAddr[a.Addr]; to.up {
@@ -200,7 +201,7 @@
 			}
 		}
 		s.run(s.now + 15*time.Second)
-		if !s.whole() {
+		if !s.hasOneView() {
 			t.Error("the views differ")
 		}
 		if w := s.nodes[0].d().members["f"]; w.State != Dead {
@@ -209,14 +210,14 @@
 	})
 }
 
-// The same events and seed must give the same actions, or a failed run can't be repeated.
+// Guards against hidden sources of randomness: the same events and seed must give the same actions.
 func TestSameSeedSameActions(t *testing.T) {
 	sum := func() uint64 {
 		h := fnv.New64a()
 		s := newSim(5)
-		s.acted = func(at *simNode, a Action) { fmt.Fprint(h, s.now, at.name, a) }
+		s.onAction = func(at *simNode, a Action) { fmt.Fprint(h, s.now, at.name, a) }
 		s.loss = 0.2
-		s.fleet(12, detects(nil))
+		s.fleet(12, newDetectFunc(nil))
 		s.run(20 * time.Second)
 		s.cut = map[link]bool{{"a", "b"}: true, {"c", "a"}: true}
 		s.run(60 * time.Second)
@@ -232,7 +233,7 @@
 
 // Guards against memory growth and panics when a peer sends arbitrary updates without end.
 func TestMemoryIsBounded(t *testing.T) {
-	d := New(Config{Name: "self", Start: 1 << 40, Addr: "self:1", MembersMost: 200, LinksMost: 50})
+	d := New(Config{Name: "self", Start: 1 << 40, Addr: "self:1", MaxMembers: 200, MaxLinks: 50})
 	now := time.Duration(0)
 	d.Handle(now, Event{Kind: Begin}, nil)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -249,21 +250,22 @@
 		}
 		now += time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
 		out = d.Handle(now, Event{Kind: Got, From: "m:1", Message: m}, out[:0])
-		if len(d.members) > 200 || len(d.ring) != len(d.members) || len(d.links.held) > 50 || len(d.links.news) > 50 || len(d.relays) > relaysMost ||
-			len(d.doubts) > 400 || len(d.probes) > probesMost || len(d.news.all) > 200 || len(d.timed) > 200 {
-			t.Fatalf("state is not bounded: %d members, %d link updates, %d unverified deaths, %d queued updates", len(d.members), len(d.links.held), len(d.doubts), len(d.news.all))
+		if len(d.members) > 200 || len(d.ring) != len(d.members) || len(d.links.stored) > 50 || len(d.links.queued) > 50 || len(d.relays) > maxRelays ||
+			len(d.unverified) > 400 || len(d.linkChecks) > maxLinkChecks || len(d.broadcasts.entries) > 200 || len(d.timers) > 200 {
+			t.Fatalf("state is not bounded: %d members, %d link updates, %d unverified deaths, %d queued updates",
+				len(d.members), len(d.links.stored), len(d.unverified), len(d.broadcasts.entries))
 		}
-		there := 0
+		present := 0
 		for i, m := range d.ring {
-			if m.place != i || d.members[m.Name] != m {
+			if m.ringIndex != i || d.members[m.Name] != m {
 				t.Fatal("the probe list and the member map differ")
 			}
-			if m.State.there() {
-				there++
+			if m.State.isPresent() {
+				present++
 			}
 		}
-		if there != d.there {
-			t.Fatalf("%d members are present, and %d are counted", there, d.there)
+		if present != d.presentCount {
+			t.Fatalf("%d members are present, and %d are counted", present, d.presentCount)
 		}
 	}
 }
--- a/detect/links.go
+++ b/detect/links.go
@@ -12,23 +12,23 @@
 
 const (
 	// maxLinkChecks bounds the links that are checked at once, and maxLinkChecksPerRound how many of them are probed in a round.
-	probesMost, probesAtOnce = 16, 2
+	maxLinkChecks, maxLinkChecksPerRound = 16, 2
 	// maxMisses is how many consecutive answers must be missing, from a member that others can reach, before its link counts as
 	// failed. With 30 % message loss, half of the answers are missing, and one in 250 checked links counts as failed until its
 	// next message.
-	missesMost = 8
+	maxMisses = 8
 	// missInterval is the least time between two misses that count, and unheardProbeInterval the time between two probes on a
 	// failed link.
-	missEvery, unheardEvery = time.Second, 10 * time.Second
+	missInterval, unheardProbeInterval = time.Second, 10 * time.Second
 	// linkWindow is how long a link update holds unless repeated; linkRepeatInterval is how often it is repeated.
-	linkFor, linkAgain = 3 * time.Minute, time.Minute
+	linkWindow, linkRepeatInterval = 3 * time.Minute, time.Minute
 	// maxLinkRepeats is how often each member passes an update on, and maxLinksPerMessage how many fit into one message.
-	linkRepeats, linksAtOnce = 4, 4
+	maxLinkRepeats, maxLinksPerMessage = 4, 4
 )
 
 type link struct{ from, to string }
 
-type heldLink struct {
+type storedLink struct {
 	num   uint32
 	deaf  bool
 	until time.Duration
@@ -36,11 +36,11 @@
 
 // links stores updates about links that fail in one direction.
 type links struct {
-	held map[link]heldLink
-	news []linkNews
+	stored map[link]storedLink
+	queued []queuedLink
 }
 
-type linkNews struct {
+type queuedLink struct {
 	LinkWord
 	sent int
 }
@@ -48,149 +48,151 @@
 // link returns the state of the link to a member.
 func (m *member) link() LinkState {
 	switch {
-	case m.unheard && m.deaf:
+	case m.isUnheard && m.isDeaf:
 		return Severed
-	case m.unheard:
+	case m.isUnheard:
 		return Unheard
-	case m.deaf:
+	case m.isDeaf:
 		return Deaf
 	}
 	return Sound
 }
 
 // startLinkCheck records that a member answered others and not this process, and starts a check of its link.
-func (d *Detect) missed(m *member) {
-	if m.probed || len(d.probes) >= probesMost || m.State != Alive && m.State != Suspect {
+func (d *Detect) startLinkCheck(m *member) {
+	if m.isLinkChecked || len(d.linkChecks) >= maxLinkChecks || m.State != Alive && m.State != Suspect {
 		return
 	}
-	m.probed, m.misses, m.missAt = true, 1, d.now
-	d.probes = append(d.probes, m)
+	m.isLinkChecked, m.misses, m.missedAt = true, 1, d.now
+	d.linkChecks = append(d.linkChecks, m)
 }
 
 // probeLinks probes the links that are checked. A probe without an answer by the next one is a miss.
-func (d *Detect) probe() {
-	asked := 0
-	for i := 0; i < len(d.probes); {
-		m := d.probes[i]
-		if d.members[m.Name] != m || !m.probed || !m.State.there() {
-			m.probed = false
-			d.probes = slices.Delete(d.probes, i, i+1)
+func (d *Detect) probeLinks() {
+	probed := 0
+	for i := 0; i < len(d.linkChecks); {
+		m := d.linkChecks[i]
+		if d.members[m.Name] != m || !m.isLinkChecked || !m.State.isPresent() {
+			m.isLinkChecked = false
+			d.linkChecks = slices.Delete(d.linkChecks, i, i+1)
 			continue
 		}
-		wait := missEvery
-		if m.unheard {
-			wait = unheardEvery
+		wait := missInterval
+		if m.isUnheard {
+			wait = unheardProbeInterval
 		}
-		if d.now-m.missAt < wait || asked >= probesAtOnce || d.now < d.calm {
+		if d.now-m.missedAt < wait || probed >= maxLinkChecksPerRound || d.now < d.noSuspicionUntil {
 			i++
 			continue
 		}
-		if m.State == Alive && d.now-d.sureAt < d.cfg.CutAfter { // otherwise nothing shows that others receive from it, or from this process
+		// Otherwise nothing shows that others receive from it, or from this process.
+		if m.State == Alive && d.now-d.confirmedAt < d.cfg.CutOffTimeout {
 			m.misses++
 		}
-		if m.misses >= missesMost && !m.deaf && (!m.unheard || m.misses%int(linkAgain/unheardEvery) == 0) {
-			m.unheard = true
-			d.sayLink(m, true)
+		if m.misses >= maxMisses && !m.isDeaf && (!m.isUnheard || m.misses%int(linkRepeatInterval/unheardProbeInterval) == 0) {
+			m.isUnheard = true
+			d.announceLink(m, true)
 		}
-		m.missAt = d.now
-		asked++
-		d.send(m.Addr, Message{Kind: Ask, Seq: d.seqNext(), About: m.ID}, m)
-		d.probes = append(slices.Delete(d.probes, i, i+1), m)
+		m.missedAt = d.now
+		probed++
+		d.send(m.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: m.ID}, m)
+		d.linkChecks = append(slices.Delete(d.linkChecks, i, i+1), m)
 	}
 }
 
 // announceLink publishes the state of the link from a member to this process.
-func (d *Detect) sayLink(m *member, deaf bool) {
-	if m.num == math.MaxUint32 {
+func (d *Detect) announceLink(m *member, deaf bool) {
+	if m.linkNum == math.MaxUint32 {
 		return
 	}
-	m.num++
-	d.passLink(LinkWord{From: m.Name, To: d.self.Name, Num: m.num, Deaf: deaf})
+	m.linkNum++
+	d.queueLink(LinkWord{From: m.Name, To: d.self.Name, Num: m.linkNum, Deaf: deaf})
 }
 
 // receivedFrom records a message that came from a member itself.
-func (d *Detect) heard(m *member) {
-	if m.probed {
-		m.probed, m.misses = false, 0
-		if i := slices.Index(d.probes, m); i >= 0 {
-			d.probes = slices.Delete(d.probes, i, i+1)
+func (d *Detect) receivedFrom(m *member) {
+	if m.isLinkChecked {
+		m.isLinkChecked, m.misses = false, 0
+		if i := slices.Index(d.linkChecks, m); i >= 0 {
+			d.linkChecks = slices.Delete(d.linkChecks, i, i+1)
 		}
 	}
-	if m.unheard {
-		m.unheard = false
-		d.sayLink(m, false)
+	if m.isUnheard {
+		m.isUnheard = false
+		d.announceLink(m, false)
 	}
-	if m.deaf && d.now >= m.deafUntil {
-		m.deaf = false
+	if m.isDeaf && d.now >= m.deafUntil {
+		m.isDeaf = false
 	}
 }
 
 // clearLinks removes the link state of a member that a new process has replaced.
-func (d *Detect) unlink(m *member) {
-	m.unheard, m.deaf, m.num, m.misses, m.probed = false, false, 0, 0, false
-	if i := slices.Index(d.probes, m); i >= 0 {
-		d.probes = slices.Delete(d.probes, i, i+1)
+func (d *Detect) clearLinks(m *member) {
+	m.isUnheard, m.isDeaf, m.linkNum, m.misses, m.isLinkChecked = false, false, 0, 0, false
+	if i := slices.Index(d.linkChecks, m); i >= 0 {
+		d.linkChecks = slices.Delete(d.linkChecks, i, i+1)
 	}
-	for l := range d.links.held {
+	for l := range d.links.stored {
 		if l.to == m.Name || l.from == m.Name {
-			delete(d.links.held, l)
+			delete(d.links.stored, l)
 		}
 	}
 }
 
 // receiveLinks merges link updates.
-func (d *Detect) takeLinks(words []LinkWord) {
+func (d *Detect) receiveLinks(words []LinkWord) {
 	for _, w := range words {
 		from, to := d.members[w.From], d.members[w.To]
-		if w.To == d.self.Name || to == nil || !to.State.there() || from == nil && w.From != d.self.Name || w.From == w.To {
+		if w.To == d.self.Name || to == nil || !to.State.isPresent() || from == nil && w.From != d.self.Name || w.From == w.To {
 			continue
 		}
 		k := link{w.From, w.To}
-		h, ok := d.links.held[k]
+		h, ok := d.links.stored[k]
 		if ok && h.until > d.now && w.Num <= h.num {
 			continue
 		}
-		if !ok && len(d.links.held) >= d.cfg.LinksMost && !d.dropLinks() {
+		if !ok && len(d.links.stored) >= d.cfg.MaxLinks && !d.dropExpiredLinks() {
 			continue
 		}
-		d.links.held[k] = heldLink{num: w.Num, deaf: w.Deaf, until: d.now + linkFor}
+		d.links.stored[k] = storedLink{num: w.Num, deaf: w.Deaf, until: d.now + linkWindow}
 		if w.From != d.self.Name {
-			d.passLink(w)
+			d.queueLink(w)
 			continue
 		}
-		to.deaf, to.deafUntil = w.Deaf, d.now+linkFor
-		if w.Deaf { // an acknowledgement shows that only the path of this member's probes failed
-			d.send(to.Addr, Message{Kind: Ask, Seq: d.seqNext(), About: to.ID}, to)
-			d.missed(to)
+		to.isDeaf, to.deafUntil = w.Deaf, d.now+linkWindow
+		if w.Deaf {
+			// If this probe arrives, the member learns that the path of its own probes failed, and not the path from this process.
+			d.send(to.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: to.ID}, to)
+			d.startLinkCheck(to)
 		}
 	}
 }
 
-// dropLinks removes expired link updates. It returns false if there are none.
-func (d *Detect) dropLinks() bool {
-	n := len(d.links.held)
-	for l, h := range d.links.held {
+// dropExpiredLinks removes expired link updates. It returns false if there are none.
+func (d *Detect) dropExpiredLinks() bool {
+	before := len(d.links.stored)
+	for l, h := range d.links.stored {
 		if h.until <= d.now {
-			delete(d.links.held, l)
+			delete(d.links.stored, l)
 		}
 	}
-	return len(d.links.held) < n
+	return len(d.links.stored) < before
 }
 
 // queueLink queues a link update for the next messages, in place of an older one.
-func (d *Detect) passLink(w LinkWord) {
-	d.links.news = slices.DeleteFunc(d.links.news, func(o linkNews) bool { return o.From == w.From && o.To == w.To })
-	if len(d.links.news) >= d.cfg.LinksMost {
-		d.links.news = d.links.news[1:]
+func (d *Detect) queueLink(w LinkWord) {
+	d.links.queued = slices.DeleteFunc(d.links.queued, func(o queuedLink) bool { return o.From == w.From && o.To == w.To })
+	if len(d.links.queued) >= d.cfg.MaxLinks {
+		d.links.queued = d.links.queued[1:]
 	}
-	d.links.news = append(d.links.news, linkNews{LinkWord: w})
+	d.links.queued = append(d.links.queued, queuedLink{LinkWord: w})
 }
 
 // takeQueuedLinks returns the link updates for one message, and the room that is left.
-func (d *Detect) linkNews(room int) ([]LinkWord, int) {
+func (d *Detect) takeQueuedLinks(room int) ([]LinkWord, int) {
 	var got []LinkWord
-	for i := len(d.links.news) - 1; i >= 0 && len(got) < linksAtOnce; i-- {
-		n := &d.links.news[i]
+	for i := len(d.links.queued) - 1; i >= 0 && len(got) < maxLinksPerMessage; i-- {
+		n := &d.links.queued[i]
 		if n.size() > room {
 			break
 		}
@@ -199,8 +201,8 @@
 		n.sent++
 	}
 	if len(got) > 0 {
-		most := linkRepeats * int(math.Ceil(d.logs()))
-		d.links.news = slices.DeleteFunc(d.links.news, func(n linkNews) bool { return n.sent >= most })
+		maxSent := maxLinkRepeats * int(math.Ceil(d.logMembers()))
+		d.links.queued = slices.DeleteFunc(d.links.queued, func(n queuedLink) bool { return n.sent >= maxSent })
 	}
 	return got, room
 }
@@ -215,7 +217,7 @@
 		if m.Name == name || m.State != Alive || m.link() != Sound {
 			continue
 		}
-		if h, ok := d.links.held[link{m.Name, name}]; ok && h.deaf && h.until > d.now {
+		if h, ok := d.links.stored[link{m.Name, name}]; ok && h.deaf && h.until > d.now {
 			continue
 		}
 		f := fnv.New32a()
--- a/detect/measure_test.go
+++ b/detect/measure_test.go
@@ -59,16 +59,16 @@
 }
 
 // method is one way of detection that is measured.
-type way struct {
-	name string
-	make func(n int) func(*Config) node
+type method struct {
+	name    string
+	newNode func(n int) func(*Config) node
 }
 
-var ways = []way{
-	{"detect", func(int) func(*Config) node { return detects(nil) }},
+var methods = []method{
+	{"detect", func(int) func(*Config) node { return newDetectFunc(nil) }},
 	{"SWIM alone", func(int) func(*Config) node {
-		return detects(func(c *Config) {
-			c.plain, c.HealthMost, c.Accusers, c.Stretch, c.LateTick = true, -1, -1, 1, -1
+		return newDetectFunc(func(c *Config) {
+			c.isPlainSWIM, c.MaxHealthScore, c.SuspicionAccusers, c.MaxSuspicionFactor, c.PauseThreshold = true, -1, -1, 1, -1
 		})
 	}},
 	{"heartbeats", func(n int) func(*Config) node {
@@ -82,15 +82,15 @@
 	}},
 }
 
-// joined returns a fleet that has joined.
-func joined(seed uint64, n int, w way) *sim {
+// newJoinedFleet returns a fleet after its processes have joined.
+func newJoinedFleet(seed uint64, n int, w method) *sim {
 	s := newSim(seed)
-	s.fleet(n, w.make(n))
+	s.fleet(n, w.newNode(n))
 	s.run(30 * time.Second)
 	return s
 }
 
-func centile(of []time.Duration, p float64) time.Duration {
+func percentile(of []time.Duration, p float64) time.Duration {
 	if len(of) == 0 {
 		return -1
 	}
@@ -108,7 +108,7 @@
 func TestMeasureCrash(t *testing.T) {
 	skipUnlessMeasured(t)
 	for _, c := range []struct{ n, runs int }{{3, 100}, {30, 100}, {350, 24}, {1000, 4}} {
-		for _, w := range ways {
+		for _, w := range methods {
 			if w.name == "heartbeats" && c.n > 30 { // n times as many messages
 				continue
 			}
@@ -123,7 +123,7 @@
 				for seed := range uint64(runs) {
 					t.Run("", func(t *testing.T) {
 						t.Parallel()
-						s := joined(seed, c.n, w)
+						s := newJoinedFleet(seed, c.n, w)
 						s.run(4 * time.Minute) // until all updates have spread
 						b, from := s.bytes, s.now
 						s.run(s.now + time.Minute)
@@ -132,7 +132,7 @@
 						dead := s.nodes[s.rng.IntN(c.n)]
 						at := s.now
 						seen := map[string]time.Duration{}
-						s.changed = func(n *simNode, a Action) {
+						s.onChange = func(n *simNode, a Action) {
 							if a.Word.Name == dead.name && a.Word.State == Dead {
 								seen[n.name] = s.now - at
 							}
@@ -156,7 +156,7 @@
 				}
 			})
 			t.Logf("MEASURE crash | %d | %s | runs %d | a member sees it: median %s, 99th %s | first %s | all: median %s, worst %s | not seen %d | %.0f bytes/s and member", c.n, w.name, runs,
-				centile(every, .5), centile(every, .99), centile(first, .5), centile(all, .5), centile(all, 1), missed, bytes)
+				percentile(every, .5), percentile(every, .99), percentile(first, .5), percentile(all, .5), percentile(all, 1), missed, bytes)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 			if n > *sizeLimit {
 				continue
 			}
-			for _, w := range ways {
+			for _, w := range methods {
 				if w.name == "heartbeats" && n > 30 {
 					continue
 				}
@@ -204,18 +204,18 @@
 					}
 				})
 				t.Logf("MEASURE deaths | %s | %d | %s | %s | called dead %d (by %d in all), suspected %d | taken back after: median %s, worst %s | cut off %d", f.name, n, w.name,
-					runs*each, deaths, observed, suspects, centile(back, .5), centile(back, 1), cutOffs)
+					runs*each, deaths, observed, suspects, percentile(back, .5), percentile(back, 1), cutOffs)
 			}
 		}
 	}
 }
 
-func falseDeaths(seed uint64, n int, w way, f faults, each time.Duration) (deaths, suspects, observed, cutOffs int, back []time.Duration) {
-	s := joined(seed, n, w)
+func falseDeaths(seed uint64, n int, w method, f faults, each time.Duration) (deaths, suspects, observed, cutOffs int, back []time.Duration) {
+	s := newJoinedFleet(seed, n, w)
 	s.loss = f.loss
 	began := map[string]time.Duration{} // deaths that are not yet taken back everywhere
 	holders := map[string]map[string]bool{}
-	s.changed = func(at *simNode, a Action) {
+	s.onChange = func(at *simNode, a Action) {
 		name := a.Word.Name
 		switch {
 		case a.Word.State == Dead:
@@ -238,7 +238,7 @@
 			}
 		}
 	}
-	s.acted = func(_ *simNode, a Action) {
+	s.onAction = func(_ *simNode, a Action) {
 		if a.Kind == CutOff && a.Is {
 			cutOffs++
 		}
@@ -270,12 +270,12 @@
 			}
 			var mu sync.Mutex
 			var took []time.Duration
-			most := 0.0
+			maxRate := 0.0
 			t.Run(fmt.Sprintf("%d/%s", c.n, apart), func(t *testing.T) {
 				for seed := range uint64(c.runs) {
 					t.Run("", func(t *testing.T) {
 						t.Parallel()
-						s := joined(seed, c.n, ways[0])
+						s := newJoinedFleet(seed, c.n, methods[0])
 						half := map[*simNode]bool{}
 						for i, n := range s.nodes {
 							half[n] = i < c.n/2
@@ -284,7 +284,7 @@
 						s.run(s.now + apart)
 						s.cutFunc = nil
 						b, from := s.bytes, s.now
-						d := s.until(5*time.Minute, time.Second, s.whole)
+						d := s.until(5*time.Minute, time.Second, s.hasOneView)
 						mu.Lock()
 						defer mu.Unlock()
 						if d < 0 {
@@ -292,11 +292,11 @@
 							return
 						}
 						took = append(took, d)
-						most = max(most, float64(s.bytes-b)/float64(c.n)/(s.now-from+1).Seconds())
+						maxRate = max(maxRate, float64(s.bytes-b)/float64(c.n)/(s.now-from+1).Seconds())
 					})
 				}
 			})
-			t.Logf("MEASURE heal | %d | halves apart for %s | runs %d | one view after: median %s, worst %s | at most %.0f bytes/s and member meanwhile", c.n, apart, c.runs, centile(took, .5), centile(took, 1), most)
+			t.Logf("MEASURE heal | %d | halves apart for %s | runs %d | one view after: median %s, worst %s | at most %.0f bytes/s and member meanwhile", c.n, apart, c.runs, percentile(took, .5), percentile(took, 1), maxRate)
 		}
 	}
 }
@@ -306,8 +306,8 @@
 	skipUnlessMeasured(t)
 	for _, n := range []int{3, 30, 350, 1000} {
 		s := newSim(1)
-		s.fleet(n, detects(nil))
-		took := s.until(2*time.Minute, 100*time.Millisecond, s.whole)
+		s.fleet(n, newDetectFunc(nil))
+		took := s.until(2*time.Minute, 100*time.Millisecond, s.hasOneView)
 		t.Logf("MEASURE join | %d at once | all know all after %s | %d bytes for each member", n, took, s.bytes/n)
 	}
 }
--- a/detect/members.go
+++ b/detect/members.go
@@ -13,119 +13,119 @@
 // member is the state of one other process.
 type member struct {
 	Word
-	place int // index in ring
-	timer int // index in timers; -1: no timer
-	due   time.Duration
+	ringIndex  int // index in ring
+	timerIndex int // index in timers; -1: no timer
+	dueAt      time.Duration
 
-	since    time.Duration // Suspect, Dead, Left: when the state began
-	last     int           // Suspect: number of final probes sent
-	accusers []string      // Suspect
-	back     time.Duration // Away: when the absence ends
-	wait     time.Duration // Dead: between two probes
-	recent   bool          // Dead: it counts for Sized
-	silent   bool          // it was never present in this view; its end is not passed on
-	flaps    int           // recent returns from the dead
-	flapAt   time.Duration
+	stateSince    time.Duration // Suspect, Dead, Left: when the state began
+	finalProbes   int           // Suspect: number of final probes sent
+	accusers      []string      // Suspect
+	awayUntil     time.Duration // Away: when the absence ends
+	probeWait     time.Duration // Dead: between two probes
+	countsForSize bool          // Dead: it counts for Sized
+	neverPresent  bool          // it was never present in this view; its end is not passed on
+	flaps         int           // recent returns from the dead
+	flappedAt     time.Duration
 
-	doubt   Word // a reported death that is not verified
-	checks  int  // probes sent to verify it
-	doubted bool // it is in unverified
+	reportedDeath Word // a reported death that is not verified
+	verifyProbes  int  // probes sent to verify it
+	isUnverified  bool // it is in unverified
 
-	news          entry
-	probed        bool // it is in linkChecks
-	misses        int  // consecutive missing answers, while others receive its messages
-	missAt        time.Duration
-	num           uint32
-	unheard, deaf bool
-	deafUntil     time.Duration
+	broadcast         queueEntry
+	isLinkChecked     bool // it is in linkChecks
+	misses            int  // consecutive missing answers, while others receive its messages
+	missedAt          time.Duration
+	linkNum           uint32
+	isUnheard, isDeaf bool
+	deafUntil         time.Duration
 }
 
 // flapWindow is how long a return from the dead counts, and maxFlaps the most that count: suspicion lasts 1 + flaps times as
 // long.
-const flapFor, flapsMost = 10 * time.Minute, 2
+const flapWindow, maxFlaps = 10 * time.Minute, 2
 
 // currentWord returns the update about the member as it is sent now.
-func (m *member) told(now time.Duration) Word {
+func (m *member) currentWord(now time.Duration) Word {
 	w := m.Word
 	if w.State == Away {
-		w.Until = max(0, m.back-now)
+		w.Until = max(0, m.awayUntil-now)
 	}
 	return w
 }
 
-// receiveWord merges one update. first: it is the sender's update about itself.
-func (d *Detect) take(w Word, first bool) {
-	if !w.sound() {
+// receiveWord merges one update. isFromSender: it is the sender's update about itself.
+func (d *Detect) receiveWord(w Word, isFromSender bool) {
+	if !w.isValid() {
 		return
 	}
 	if w.Name == d.self.Name {
-		d.ofSelf(w)
+		d.receiveSelfWord(w)
 		return
 	}
 	m := d.members[w.Name]
 	switch {
 	case m == nil:
-		d.add(w, first)
+		d.add(w, isFromSender)
 	case w.Start > m.Start:
 		d.replace(m, w)
 	case w.State == Suspect && Compare(w, m.Word) == 0:
-		d.accuse(m, w.By)
+		d.addAccuser(m, w.By)
 	case Compare(w, m.Word) <= 0:
-	case w.State == Dead && m.State.there() && !d.cfg.plain:
-		d.hearOfDeath(m, w)
+	case w.State == Dead && m.State.isPresent() && !d.cfg.isPlainSWIM:
+		d.receiveDeath(m, w)
 	default:
-		d.set(m, w, first)
+		d.applyWord(m, w, isFromSender)
 	}
 }
 
 // add adds a member that is not known.
-func (d *Detect) add(w Word, first bool) {
-	if len(d.members) >= d.cfg.MembersMost {
+func (d *Detect) add(w Word, isFromSender bool) {
+	if len(d.members) >= d.cfg.MaxMembers {
 		return
 	}
-	m := &member{Word: Word{ID: w.ID, State: Forgotten}, place: len(d.ring), timer: -1}
+	m := &member{Word: Word{ID: w.ID, State: Forgotten}, ringIndex: len(d.ring), timerIndex: -1}
 	d.members[w.Name] = m
 	d.ring = append(d.ring, m)
-	if n := len(d.ring) - d.pos; n > 1 { // at a random position among those not yet probed in this turn
-		d.swap(m.place, d.pos+d.rng.IntN(n))
+	if n := len(d.ring) - d.ringPos; n > 1 { // at a random position among those not yet probed in this turn
+		d.swap(m.ringIndex, d.ringPos+d.rng.IntN(n))
 	}
-	if !w.State.there() { // the end of a forgotten or never seen process
-		m.silent = true
-		m.Word, m.since = w, d.now
+	if !w.State.isPresent() { // the end of a forgotten or never seen process
+		m.neverPresent = true
+		m.Word, m.stateSince = w, d.now
 		m.By, m.Until = "", 0
-		m.wait = retry
-		d.arm(m)
+		m.probeWait = initialRetryWait
+		d.setTimer(m)
 		return
 	}
-	d.set(m, w, first)
+	d.applyWord(m, w, isFromSender)
 }
 
 func (d *Detect) swap(i, j int) {
 	d.ring[i], d.ring[j] = d.ring[j], d.ring[i]
-	d.ring[i].place, d.ring[j].place = i, j
+	d.ring[i].ringIndex, d.ring[j].ringIndex = i, j
 }
 
 // replace merges an update of a later process with the member's name.
 func (d *Detect) replace(m *member, w Word) {
-	d.unlink(m)
+	d.clearLinks(m)
 	m.accusers = nil
-	if m.silent && !w.State.there() {
-		m.Word, m.since = w, d.now
-		d.arm(m)
+	if m.neverPresent && !w.State.isPresent() {
+		m.Word, m.stateSince = w, d.now
+		d.setTimer(m)
 		return
 	}
 	old := m.State
-	d.become(m, w, "a later process has its name")
+	d.transition(m, w, "a later process has its name")
 	if old == m.State {
-		d.changed(m, old, "a later process has its name")
+		d.reportChange(m, old, "a later process has its name")
 	}
 }
 
 // applyWord applies an update that holds over the stored one.
-func (d *Detect) set(m *member, w Word, first bool) {
+func (d *Detect) applyWord(m *member, w Word, isFromSender bool) {
 	cause := "another member reported it"
 	switch {
-	case first:
+	case isFromSender:
 		cause = "the process announced it"
 	case w.State == Suspect:
 		cause = "suspected by " + w.By
@@ -133,7 +133,7 @@
 		cause = "the process refuted the suspicion or death"
 	}
 	if m.State == Suspect && w.State <= Away && slices.Contains(m.accusers, d.self.Name) {
-		d.worse(1) // this process's accusation was wrong
+		d.worsenHealth(1) // this process's accusation was wrong
 	}
 	accusers := []string{}
 	if w.State == Suspect {
@@ -145,200 +145,200 @@
 		}
 	}
 	m.accusers = accusers
-	d.become(m, w, cause)
+	d.transition(m, w, cause)
 }
 
 // transition stores an update, with all that follows from its state.
-func (d *Detect) become(m *member, w Word, cause string) {
+func (d *Detect) transition(m *member, w Word, cause string) {
 	old := m.State
 	if old == Dead && w.State <= Away {
-		if m.silent {
+		if m.neverPresent {
 			old = Forgotten
 		} else {
-			if d.now-m.flapAt > flapFor {
+			if d.now-m.flappedAt > flapWindow {
 				m.flaps = 0
 			}
-			m.flaps, m.flapAt = min(flapsMost, m.flaps+1), d.now
+			m.flaps, m.flappedAt = min(maxFlaps, m.flaps+1), d.now
 		}
 		d.exchangeSoon(m)
 	}
-	if old.there() {
-		d.there--
+	if old.isPresent() {
+		d.presentCount--
 	}
-	if m.recent {
-		d.recent--
-		m.recent = false
+	if m.countsForSize {
+		d.recentDeadCount--
+		m.countsForSize = false
 	}
 	m.Word = w
-	m.silent = false
-	if w.State.there() {
-		d.there++
+	m.neverPresent = false
+	if w.State.isPresent() {
+		d.presentCount++
 	}
 	if w.State == Dead {
-		d.recent++
-		m.recent = true
+		d.recentDeadCount++
+		m.countsForSize = true
 	}
 	if w.State != old || w.State == Suspect {
-		m.since, m.last = d.now, 0
+		m.stateSince, m.finalProbes = d.now, 0
 	}
-	m.back = d.now + min(max(0, w.Until), d.cfg.AwayMost)
-	m.wait = retry
-	m.doubt = Word{}
-	d.arm(m)
-	d.pass(m)
+	m.awayUntil = d.now + min(max(0, w.Until), d.cfg.MaxAway)
+	m.probeWait = initialRetryWait
+	m.reportedDeath = Word{}
+	d.setTimer(m)
+	d.broadcast(m)
 	if w.State != old {
-		d.changed(m, old, cause)
+		d.reportChange(m, old, cause)
 	}
 }
 
-func (d *Detect) changed(m *member, old State, cause string) {
-	d.act(Action{Kind: Changed, Word: m.told(d.now), Old: old, Cause: cause})
+func (d *Detect) reportChange(m *member, old State, cause string) {
+	d.act(Action{Kind: Changed, Word: m.currentWord(d.now), Old: old, Cause: cause})
 }
 
 // setTimer sets the timer of a member by its state.
-func (d *Detect) arm(m *member) {
+func (d *Detect) setTimer(m *member) {
 	if m.State == Alive {
-		if m.timer >= 0 {
-			heap.Remove(&d.timed, m.timer)
+		if m.timerIndex >= 0 {
+			heap.Remove(&d.timers, m.timerIndex)
 		}
 		return
 	}
 	switch m.State {
 	case Suspect:
-		m.due = d.lastFrom(m)
+		m.dueAt = d.finalProbesAt(m)
 	case Away:
-		m.due = m.back
+		m.dueAt = m.awayUntil
 	case Dead, Left:
-		m.due = m.since + d.cfg.ForgetAfter
-		if m.recent {
-			m.due = min(m.due, m.since+d.cfg.SizedFor)
+		m.dueAt = m.stateSince + d.cfg.ForgetAfter
+		if m.countsForSize {
+			m.dueAt = min(m.dueAt, m.stateSince+d.cfg.SizeGrace)
 		}
 		if m.State == Dead {
-			m.due = min(m.due, d.now+d.about(m.wait))
+			m.dueAt = min(m.dueAt, d.now+d.jitter(m.probeWait))
 		}
 	}
-	if m.timer >= 0 {
-		heap.Fix(&d.timed, m.timer)
+	if m.timerIndex >= 0 {
+		heap.Fix(&d.timers, m.timerIndex)
 	} else {
-		heap.Push(&d.timed, m)
+		heap.Push(&d.timers, m)
 	}
 }
 
 // timerExpired handles the expired timer of a member.
-func (d *Detect) timeUp(m *member) {
+func (d *Detect) timerExpired(m *member) {
 	switch m.State {
 	case Suspect:
-		if m.due = d.lastFrom(m); m.due <= d.now && m.last < lastMost && !d.cfg.plain {
-			m.last++
-			m.due = d.now + d.cfg.AnswerWithin
-			d.send(m.Addr, Message{Kind: Ask, Seq: d.seqNext(), About: m.ID}, m)
-		} else if m.due <= d.now {
-			m.due = d.deadline(m)
+		if m.dueAt = d.finalProbesAt(m); m.dueAt <= d.now && m.finalProbes < maxFinalProbes && !d.cfg.isPlainSWIM {
+			m.finalProbes++
+			m.dueAt = d.now + d.cfg.AnswerWithin
+			d.send(m.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: m.ID}, m)
+		} else if m.dueAt <= d.now {
+			m.dueAt = d.suspicionDeadline(m)
 		}
-		if m.due > d.now {
-			heap.Fix(&d.timed, m.timer)
+		if m.dueAt > d.now {
+			heap.Fix(&d.timers, m.timerIndex)
 			return
 		}
 		w := m.Word
 		w.State, w.By = Dead, ""
-		d.become(m, w, fmt.Sprintf("suspected by %d for %s without a refutation", len(m.accusers),
-			(d.now-m.since).Round(100*time.Millisecond)))
+		d.transition(m, w, fmt.Sprintf("suspected by %d for %s without a refutation", len(m.accusers),
+			(d.now-m.stateSince).Round(100*time.Millisecond)))
 	case Away:
 		d.suspect(m, "it did not return within the announced time")
 	default:
 		switch {
-		case d.now >= m.since+d.cfg.ForgetAfter:
+		case d.now >= m.stateSince+d.cfg.ForgetAfter:
 			d.forget(m, "the retention time after its end has passed")
 			return
-		case m.recent && d.now >= m.since+d.cfg.SizedFor:
-			m.recent = false
-			d.recent--
+		case m.countsForSize && d.now >= m.stateSince+d.cfg.SizeGrace:
+			m.countsForSize = false
+			d.recentDeadCount--
 		case m.State == Dead:
-			if d.deadAt > d.now {
-				m.due = d.deadAt + d.chance(d.cfg.Every)
-				heap.Fix(&d.timed, m.timer)
+			if d.nextDeadProbeAt > d.now {
+				m.dueAt = d.nextDeadProbeAt + d.randomDuration(d.cfg.Every)
+				heap.Fix(&d.timers, m.timerIndex)
 				return
 			}
-			if d.self.State != Left && !d.cfg.plain {
-				d.deadAt = d.now + d.cfg.Every/2
-				d.tries++
-				d.send(m.Addr, Message{Kind: Ask, Seq: d.seqNext(), About: m.ID}, m)
+			if d.self.State != Left && !d.cfg.isPlainSWIM {
+				d.nextDeadProbeAt = d.now + d.cfg.Every/2
+				d.unanswered++
+				d.send(m.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: m.ID}, m)
 			}
-			m.wait = min(2*m.wait, d.cfg.DeadMost)
+			m.probeWait = min(2*m.probeWait, d.cfg.MaxDeadProbeInterval)
 		}
-		d.arm(m)
+		d.setTimer(m)
 	}
 }
 
 // forget removes a process and all state about it.
 func (d *Detect) forget(m *member, cause string) {
-	if m.State.there() {
-		d.there--
+	if m.State.isPresent() {
+		d.presentCount--
 	}
-	if m.recent {
-		d.recent--
+	if m.countsForSize {
+		d.recentDeadCount--
 	}
-	if m.timer >= 0 {
-		heap.Remove(&d.timed, m.timer)
+	if m.timerIndex >= 0 {
+		heap.Remove(&d.timers, m.timerIndex)
 	}
-	d.news.drop(m)
-	d.unlink(m)
+	d.broadcasts.drop(m)
+	d.clearLinks(m)
 	last := len(d.ring) - 1
-	d.swap(m.place, last)
+	d.swap(m.ringIndex, last)
 	d.ring = d.ring[:last]
-	d.pos = min(d.pos, last)
+	d.ringPos = min(d.ringPos, last)
 	delete(d.members, m.Name)
-	if old := m.State; !m.silent {
+	if old := m.State; !m.neverPresent {
 		m.State = Forgotten
-		d.changed(m, old, cause)
+		d.reportChange(m, old, cause)
 	}
-	m.doubt = Word{}
+	m.reportedDeath = Word{}
 }
 
 // receiveSelfWord processes an update about this process's own name.
-func (d *Detect) ofSelf(w Word) {
+func (d *Detect) receiveSelfWord(w Word) {
 	switch {
 	case w.Start > d.self.Start:
-		ended := w.State == Dead || w.State == Left
+		hasEnded := w.State == Dead || w.State == Left
 		switch {
-		case w.Start == math.MaxUint64 || w.State == Suspect && d.pulled: // not known yet whether that process is alive
-		case !d.pulled || ended:
+		case w.Start == math.MaxUint64 || w.State == Suspect && d.hasFullState: // not known yet whether that process is alive
+		case !d.hasFullState || hasEnded:
 			// A process from before this one began, or one that has ended: its clock was ahead.
 			d.self.Start, d.self.Inc = w.Start+1, 0
 			d.act(Action{Kind: Renamed, By: d.self.ID})
 		default:
-			d.over = true
+			d.isSuperseded = true
 			d.act(Action{Kind: Superseded, By: w.ID})
 		}
 	case w.Start < d.self.Start || Compare(w, d.self) <= 0 || w.Inc == math.MaxUint32 || d.self.State == Left:
 	default: // it is suspected or reported dead: a higher incarnation refutes that
 		d.self.Inc = w.Inc + 1
-		d.worse(1)
+		d.worsenHealth(1)
 	}
 	if w.Start == d.self.Start && w.State == Dead {
-		d.heldDead()
+		d.receiveOwnDeath()
 	}
 }
 
 // timerHeap is a heap of members by due time.
-type timers []*member
+type timerHeap []*member
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timers) Swap(i, j int) {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].dueAt < t[j].dueAt }
+func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].timer, t[j].timer = i, j
+	t[i].timerIndex, t[j].timerIndex = i, j
 }
-func (t *timers) Push(x any) {
+func (t *timerHeap) Push(x any) {
 	m := x.(*member)
-	m.timer = len(*t)
+	m.timerIndex = len(*t)
 	*t = append(*t, m)
 }
-func (t *timers) Pop() any {
+func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	m := (*t)[last]
 	(*t)[last] = nil
 	*t = (*t)[:last]
-	m.timer = -1
+	m.timerIndex = -1
 	return m
 }
--- a/detect/news.go
+++ b/detect/news.go
@@ -8,55 +8,55 @@
 
 // This file has gossip: which updates are passed on, how often, in which order, and how many go into one datagram.
 
-// entry is the position of a member's update in the queue.
-type entry struct {
-	in   bool
-	sent int
-	age  uint64 // the higher, the newer
+// queueEntry is the position of a member's update in the queue.
+type queueEntry struct {
+	isQueued bool
+	sent     int
+	age      uint64 // the higher, the newer
 }
 
-// queue holds the updates to pass on, the least sent first, and among those the newest (SWIM, 4.1).
-type queue struct {
-	all  []*member
-	last uint64
+// broadcastQueue holds the updates to pass on, the least sent first, and among those the newest (SWIM, 4.1).
+type broadcastQueue struct {
+	entries []*member
+	lastAge uint64
 }
 
-func (q *queue) find(m *member) int {
-	return sort.Search(len(q.all), func(i int) bool {
-		o := q.all[i]
-		if o.news.sent != m.news.sent {
-			return o.news.sent > m.news.sent
+func (q *broadcastQueue) find(m *member) int {
+	return sort.Search(len(q.entries), func(i int) bool {
+		o := q.entries[i]
+		if o.broadcast.sent != m.broadcast.sent {
+			return o.broadcast.sent > m.broadcast.sent
 		}
-		return o.news.age <= m.news.age
+		return o.broadcast.age <= m.broadcast.age
 	})
 }
 
-func (q *queue) drop(m *member) {
-	if m.news.in {
+func (q *broadcastQueue) drop(m *member) {
+	if m.broadcast.isQueued {
 		i := q.find(m)
-		q.all = slices.Delete(q.all, i, i+1)
-		m.news = entry{}
+		q.entries = slices.Delete(q.entries, i, i+1)
+		m.broadcast = queueEntry{}
 	}
 }
 
-func (q *queue) put(m *member, sent int) {
+func (q *broadcastQueue) put(m *member, sent int) {
 	q.drop(m)
-	q.last++
-	m.news = entry{in: true, sent: sent, age: q.last}
-	q.all = slices.Insert(q.all, q.find(m), m)
+	q.lastAge++
+	m.broadcast = queueEntry{isQueued: true, sent: sent, age: q.lastAge}
+	q.entries = slices.Insert(q.entries, q.find(m), m)
 }
 
 // broadcast queues a member's update for the next messages.
-func (d *Detect) pass(m *member) {
-	d.taught++
-	d.news.put(m, 0)
+func (d *Detect) broadcast(m *member) {
+	d.learned++
+	d.broadcasts.put(m, 0)
 }
 
 // retransmitFactor times the logarithm of the number of members is how often each member passes an update on: SWIM's lambda.
-const repeats = 3
+const retransmitFactor = 3
 
-func (d *Detect) repeatsMost() int {
-	return repeats * int(math.Ceil(math.Log10(float64(d.there+2))))
+func (d *Detect) maxRetransmits() int {
+	return retransmitFactor * int(math.Ceil(math.Log10(float64(d.presentCount+2))))
 }
 
 // Upper bounds of sizes on the wire: tags, lengths and numbers at their longest in protobuf.
@@ -73,12 +73,12 @@
 // send sends a datagram to a member (nil: unknown), with the update that it must receive first, and as many queued updates as
 // fit.
 func (d *Detect) send(addr string, msg Message, to *member) {
-	msg.From = d.selfWord()
-	room := d.cfg.DatagramMost - d.cfg.Envelope - messageSize - len(msg.About.Name) - msg.From.size()
+	msg.From = d.currentSelfWord()
+	room := d.cfg.DatagramMost - d.cfg.EnvelopeBytes - messageSize - len(msg.About.Name) - msg.From.size()
 	var news []Word
 	// A member that counts as suspect, away or dead receives that update first, because it can refute it (Lifeguard, 4.3).
-	if to != nil && to.State != Alive && to.doubt.Name == "" && !d.cfg.plain {
-		news = append(news, to.told(d.now))
+	if to != nil && to.State != Alive && to.reportedDeath.Name == "" && !d.cfg.isPlainSWIM {
+		news = append(news, to.currentWord(d.now))
 		room -= news[0].size()
 	}
 	for _, w := range msg.News {
@@ -87,53 +87,53 @@
 		}
 		news = append(news, w)
 	}
-	msg.Links, room = d.linkNews(room)
-	msg.News = d.newsFor(news, room, to)
+	msg.Links, room = d.takeQueuedLinks(room)
+	msg.News = d.takeBroadcasts(news, room, to)
 	d.act(Action{Kind: Send, Addr: addr, Message: msg})
 }
 
 // takeBroadcasts appends queued updates that fit into room, and counts them as sent.
-func (d *Detect) newsFor(news []Word, room int, to *member) []Word {
-	most := d.repeatsMost()
-	var again []*member
-	for i := 0; i < len(d.news.all) && room > wordSize; i++ {
-		m := d.news.all[i]
-		if m == to && !d.cfg.plain { // it knows its own state, or send has added the update about it
+func (d *Detect) takeBroadcasts(news []Word, room int, to *member) []Word {
+	maxSent := d.maxRetransmits()
+	var taken []*member
+	for i := 0; i < len(d.broadcasts.entries) && room > wordSize; i++ {
+		m := d.broadcasts.entries[i]
+		if m == to && !d.cfg.isPlainSWIM { // it knows its own state, or send has added the update about it
 			continue
 		}
-		w := m.told(d.now)
+		w := m.currentWord(d.now)
 		if w.size() > room {
 			break
 		}
 		room -= w.size()
 		news = append(news, w)
-		again = append(again, m)
+		taken = append(taken, m)
 	}
-	for _, m := range again {
-		if sent := m.news.sent + 1; sent >= most {
-			d.news.drop(m)
+	for _, m := range taken {
+		if sent := m.broadcast.sent + 1; sent >= maxSent {
+			d.broadcasts.drop(m)
 		} else {
-			d.news.again(m, sent)
+			d.broadcasts.requeue(m, sent)
 		}
 	}
 	return news
 }
 
 // requeue keeps the age of an update, so that among those sent equally often the newest goes first.
-func (q *queue) again(m *member, sent int) {
-	age := m.news.age
+func (q *broadcastQueue) requeue(m *member, sent int) {
+	age := m.broadcast.age
 	q.drop(m)
-	m.news = entry{in: true, sent: sent, age: age}
-	q.all = slices.Insert(q.all, q.find(m), m)
+	m.broadcast = queueEntry{isQueued: true, sent: sent, age: age}
+	q.entries = slices.Insert(q.entries, q.find(m), m)
 }
 
 // fullState returns a message with all members except those that were never present here: otherwise their ends would circulate
 // forever.
-func (d *Detect) all(k Kind) Message {
-	msg := Message{Kind: k, From: d.selfWord(), News: make([]Word, 0, len(d.ring))}
+func (d *Detect) fullState(k Kind) Message {
+	msg := Message{Kind: k, From: d.currentSelfWord(), News: make([]Word, 0, len(d.ring))}
 	for _, m := range d.ring {
-		if !m.silent {
-			msg.News = append(msg.News, m.told(d.now))
+		if !m.neverPresent {
+			msg.News = append(msg.News, m.currentWord(d.now))
 		}
 	}
 	return msg
@@ -141,14 +141,14 @@
 
 // sendSample sends a few members to a process that knows only an address. It can request the full state from them if this one
 // can't provide it.
-func (d *Detect) sampleTo(m *Message, s *member) {
+func (d *Detect) sendSample(m *Message, s *member) {
 	if m.About != (ID{}) || s == nil {
 		return
 	}
 	msg := Message{Kind: Answer, About: s.ID}
 	room := d.cfg.DatagramMost / 2
-	for _, o := range d.some(sampleMost, s) {
-		w := o.told(d.now)
+	for _, o := range d.randomMembers(maxSample, s) {
+		w := o.currentWord(d.now)
 		if room -= w.size(); room < 0 {
 			break
 		}
@@ -158,4 +158,4 @@
 }
 
 // maxSample is how many members a joining process receives before it has the full state.
-const sampleMost = 8
+const maxSample = 8
--- a/detect/script_test.go
+++ b/detect/script_test.go
@@ -26,12 +26,12 @@
 //	changes                             — prints the changes in all views since the last time, grouped
 //	view a | via a b | sizes
 type script struct {
-	t    *testing.T
-	s    *sim
-	seen []string
-	at   map[string][]string
-	span map[string][2]time.Duration
-	make func(*Config) node
+	t       *testing.T
+	s       *sim
+	seen    []string
+	at      map[string][]string
+	span    map[string][2]time.Duration
+	newNode func(*Config) node
 }
 
 func TestScripts(t *testing.T) {
@@ -55,34 +55,34 @@
 	})
 }
 
-// note stores a change for the next command "changes".
-func (c *script) note(n *simNode, a Action) {
-	var what string
+// record stores a change for the next command "changes".
+func (c *script) record(n *simNode, a Action) {
+	var change string
 	switch a.Kind {
 	case Changed:
-		what = fmt.Sprintf("%s: %s -> %s", a.Word.Name, a.Old, a.Word.State)
+		change = fmt.Sprintf("%s: %s -> %s", a.Word.Name, a.Old, a.Word.State)
 		if a.Old == a.Word.State {
-			what = a.Word.Name + ": " + a.Cause
+			change = a.Word.Name + ": " + a.Cause
 		}
 	case CutOff:
-		if what = "cut off, " + a.Cause; !a.Is {
-			what = "cut off no more"
+		if change = "cut off, " + a.Cause; !a.Is {
+			change = "cut off no more"
 		}
 	case Superseded:
-		what = "superseded"
+		change = "superseded"
 	case Renamed:
-		what = "has a later start"
+		change = "has a later start"
 	default:
 		return
 	}
-	if _, ok := c.at[what]; !ok {
-		c.seen = append(c.seen, what)
-		c.span[what] = [2]time.Duration{c.s.now, c.s.now}
+	if _, ok := c.at[change]; !ok {
+		c.seen = append(c.seen, change)
+		c.span[change] = [2]time.Duration{c.s.now, c.s.now}
 	}
-	if !slices.Contains(c.at[what], n.name) {
-		c.at[what] = append(c.at[what], n.name)
+	if !slices.Contains(c.at[change], n.name) {
+		c.at[change] = append(c.at[change], n.name)
 	}
-	c.span[what] = [2]time.Duration{c.span[what][0], c.s.now}
+	c.span[change] = [2]time.Duration{c.span[change][0], c.s.now}
 }
 
 func (c *script) reset() {
@@ -113,42 +113,42 @@
 		c.s = newSim(seed)
 		c.s.loss, _ = strconv.ParseFloat(args["loss"], 64)
 		c.reset()
-		c.s.acted = c.note
-		c.make = detects(func(cfg *Config) {
+		c.s.onAction = c.record
+		c.newNode = newDetectFunc(func(cfg *Config) {
 			if v := args["forget"]; v != "" {
 				cfg.ForgetAfter = dur(v)
 			}
 		})
-		c.s.fleet(n, c.make)
+		c.s.fleet(n, c.newNode)
 	case "start":
 		if off := args["clock"]; off != "" {
-			n := c.s.named(plain[0])
+			n := c.s.nodeNamed(plain[0])
 			if n == nil {
 				n = &simNode{name: plain[0], addr: plain[0] + ":7946"}
 				c.s.nodes, c.s.byAddr[n.addr] = append(c.s.nodes, n), n
 			}
 			n.offset = dur(off)
 		}
-		c.s.start(plain[0], c.make, strings.Split(args["seeds"], ",")...)
+		c.s.start(plain[0], c.newNode, strings.Split(args["seeds"], ",")...)
 	case "twin": // a second process of a name, at another address
 		n := &simNode{name: plain[0], addr: plain[0] + "2:7946"}
 		c.s.nodes, c.s.byAddr[n.addr] = append(c.s.nodes, n), n
-		n.life++
+		n.process++
 		n.up, n.wake = true, never
 		n.node = New(Config{Name: plain[0], Addr: n.addr, Start: FirstStart(time.Unix(1_800_000_000, 0).Add(c.s.now), 1), Seed: 99, Seeds: []string{"a:7946", "b:7946"}})
 		n.name = plain[0] + "2"
 		c.s.handle(n, Event{Kind: Begin})
 	case "crash":
 		for _, name := range plain {
-			c.s.crash(c.s.named(name))
+			c.s.crash(c.s.nodeNamed(name))
 		}
 	case "leave":
-		c.s.handle(c.s.named(plain[0]), Event{Kind: Leave})
-		c.s.crash(c.s.named(plain[0]))
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: Leave})
+		c.s.crash(c.s.nodeNamed(plain[0]))
 	case "away":
-		c.s.handle(c.s.named(plain[0]), Event{Kind: GoAway, Until: dur(plain[1])})
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: GoAway, Until: dur(plain[1])})
 	case "back":
-		c.s.handle(c.s.named(plain[0]), Event{Kind: Begin})
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: Begin})
 	case "pause":
 		lost := plain[len(plain)-1] == "lost"
 		if lost {
@@ -156,8 +156,8 @@
 		}
 		last := len(plain) - 1
 		for _, name := range plain[:last] {
-			c.s.pause(c.s.named(name), dur(plain[last]))
-			c.s.named(name).overflows = lost
+			c.s.pause(c.s.nodeNamed(name), dur(plain[last]))
+			c.s.nodeNamed(name).losesInbox = lost
 		}
 	case "cut":
 		for _, a := range plain {
@@ -185,7 +185,7 @@
 	case "run":
 		c.s.run(c.s.now + dur(plain[0]))
 	case "whole":
-		took := c.s.until(dur(plain[0]), 500*time.Millisecond, c.s.whole)
+		took := c.s.until(dur(plain[0]), 500*time.Millisecond, c.s.hasOneView)
 		if took < 0 {
 			return "not whole\n"
 		}
@@ -193,11 +193,11 @@
 	case "view":
 		var b strings.Builder
 		for _, name := range plain {
-			fmt.Fprintf(&b, "%s holds: %s\n", name, c.s.named(name).view())
+			fmt.Fprintf(&b, "%s holds: %s\n", name, c.s.nodeNamed(name).view())
 		}
 		return b.String()
 	case "via":
-		w, ok := c.s.named(plain[0]).d().Via(plain[1])
+		w, ok := c.s.nodeNamed(plain[0]).d().Via(plain[1])
 		if !ok {
 			return "no way\n"
 		}
@@ -206,7 +206,7 @@
 		var b strings.Builder
 		for _, n := range c.s.nodes {
 			if n.up {
-				fmt.Fprintf(&b, "%s %d ", n.name, n.sized)
+				fmt.Fprintf(&b, "%s %d ", n.name, n.size)
 			}
 		}
 		return strings.TrimSpace(b.String()) + "\n"
--- a/detect/sim_test.go
+++ b/detect/sim_test.go
@@ -19,49 +19,49 @@
 }
 
 type simNode struct {
-	name, addr string
-	node       node
-	up, stood  bool // stood: stopped by a signal
-	offset     time.Duration
-	inbox      []Event
-	overflows  bool // the socket keeps nothing while the process is stopped
-	wake       time.Duration
-	life       int // number of the process: messages to an earlier one are lost
-	cutOff     bool
-	over       bool
-	sized      int
+	name, addr   string
+	node         node
+	up, isPaused bool // isPaused: stopped by a signal
+	offset       time.Duration
+	inbox        []Event
+	losesInbox   bool // the socket keeps nothing while the process is stopped
+	wake         time.Duration
+	process      int // number of the process: messages to an earlier one are lost
+	isCutOff     bool
+	isSuperseded bool
+	size         int
 }
 
 func (n *simNode) d() *Detect { return n.node.(*Detect) }
 
 type simEvent struct {
-	at   time.Duration
-	seq  int
-	node *simNode
-	life int
-	ev   Event
-	tick bool
-	fn   func()
+	at      time.Duration
+	seq     int
+	node    *simNode
+	process int
+	ev      Event
+	tick    bool
+	fn      func()
 }
 
 type sim struct {
-	now      time.Duration
-	seq      int
-	queue    []simEvent
-	nodes    []*simNode
-	byAddr   map[string]*simNode
-	rng      *rand.Rand
-	seed     uint64
-	loss     float64
-	doubled  float64
-	delay    time.Duration // each message takes between a tenth of it and all of it
-	cut      map[link]bool // by name, one direction
-	cutFunc  func(from, to *simNode) bool
-	bytes    int
-	messages int
-	changed  func(at *simNode, a Action)
-	acted    func(at *simNode, a Action)
-	out      []Action
+	now        time.Duration
+	seq        int
+	queue      []simEvent
+	nodes      []*simNode
+	byAddr     map[string]*simNode
+	rng        *rand.Rand
+	seed       uint64
+	loss       float64
+	duplicated float64
+	delay      time.Duration // each message takes between a tenth of it and all of it
+	cut        map[link]bool // by name, one direction
+	cutFunc    func(from, to *simNode) bool
+	bytes      int
+	messages   int
+	onChange   func(at *simNode, a Action)
+	onAction   func(at *simNode, a Action)
+	out        []Action
 }
 
 func newSim(seed uint64) *sim {
@@ -69,7 +69,7 @@
 }
 
 // start adds a process, or a new process of an instance whose process has ended.
-func (s *sim) start(name string, make func(*Config) node, seeds ...string) *simNode {
+func (s *sim) start(name string, newNode func(*Config) node, seeds ...string) *simNode {
 	addr := name + ":7946"
 	n := s.byAddr[addr]
 	if n == nil {
@@ -77,23 +77,23 @@
 		s.nodes = append(s.nodes, n)
 		s.byAddr[addr] = n
 	}
-	n.life++
-	n.up, n.stood, n.inbox, n.cutOff, n.over = true, false, nil, false, false
+	n.process++
+	n.up, n.isPaused, n.inbox, n.isCutOff, n.isSuperseded = true, false, nil, false, false
 	wall := time.Unix(1_800_000_000, 0).Add(s.now + n.offset)
 	cfg := Config{Name: name, Addr: addr, Start: FirstStart(wall, s.rng.Uint32()), Seed: s.rng.Uint64()}
 	for _, a := range seeds {
 		cfg.Seeds = append(cfg.Seeds, a+":7946")
 	}
 	n.wake = never
-	n.node = make(&cfg)
+	n.node = newNode(&cfg)
 	s.handle(n, Event{Kind: Begin})
 	return n
 }
 
-func detects(tweak func(*Config)) func(*Config) node {
+func newDetectFunc(change func(*Config)) func(*Config) node {
 	return func(c *Config) node {
-		if tweak != nil {
-			tweak(c)
+		if change != nil {
+			change(c)
 		}
 		return New(*c)
 	}
@@ -107,9 +107,9 @@
 }
 
 // fleet starts n processes with the first three as seeds.
-func (s *sim) fleet(n int, make func(*Config) node) {
+func (s *sim) fleet(n int, newNode func(*Config) node) {
 	for i := range n {
-		s.start(nameOf(i), make, "a", "b", "c")
+		s.start(nameOf(i), newNode, "a", "b", "c")
 	}
 }
 
@@ -162,14 +162,14 @@
 		switch {
 		case e.fn != nil:
 			e.fn()
-		case !e.node.up || e.life != e.node.life:
+		case !e.node.up || e.process != e.node.process:
 		case e.tick:
-			if e.at == e.node.wake && !e.node.stood {
+			if e.at == e.node.wake && !e.node.isPaused {
 				e.node.wake = never
 				s.handle(e.node, Event{Kind: Tick})
 			}
-		case e.node.stood:
-			if !e.node.overflows && len(e.node.inbox) < 200 { // the limit of a socket
+		case e.node.isPaused:
+			if !e.node.losesInbox && len(e.node.inbox) < 200 { // the limit of a socket
 				e.node.inbox = append(e.node.inbox, e.ev)
 			}
 		default:
@@ -188,35 +188,35 @@
 		case Send, Exchange:
 			s.transmit(n, a)
 		case Changed:
-			if s.changed != nil {
-				s.changed(n, a)
+			if s.onChange != nil {
+				s.onChange(n, a)
 			}
 		case CutOff:
-			n.cutOff = a.Is
+			n.isCutOff = a.Is
 		case Superseded:
-			n.over = true
+			n.isSuperseded = true
 		case Sized:
-			n.sized = a.N
+			n.size = a.N
 		}
-		if s.acted != nil {
-			s.acted(n, a)
+		if s.onAction != nil {
+			s.onAction(n, a)
 		}
 	}
 	if at := n.node.Next(); at < n.wake || n.wake < s.now {
 		n.wake = max(at, s.now)
 		if at != never {
-			s.push(simEvent{at: n.wake, node: n, life: n.life, tick: true})
+			s.push(simEvent{at: n.wake, node: n, process: n.process, tick: true})
 		}
 	} else if at > n.wake { // the scheduled tick is too early, which is allowed
 		return
 	}
 }
 
-func (s *sim) open(from, to *simNode) bool {
+func (s *sim) canReach(from, to *simNode) bool {
 	return !s.cut[link{from.name, to.name}] && (s.cutFunc == nil || !s.cutFunc(from, to))
 }
 
-func (s *sim) took() time.Duration {
+func (s *sim) latency() time.Duration {
 	return s.delay/10 + time.Duration(s.rng.Int64N(int64(s.delay-s.delay/10)))
 }
 
@@ -228,13 +228,13 @@
 		return
 	}
 	stream := a.Kind == Exchange || a.Message.Kind == Pull
-	if !s.open(n, to) || stream && !s.open(to, n) || !stream && s.rng.Float64() < s.loss {
+	if !s.canReach(n, to) || stream && !s.canReach(to, n) || !stream && s.rng.Float64() < s.loss {
 		return
 	}
-	e := simEvent{at: s.now + s.took(), node: to, life: to.life, ev: Event{Kind: Got, From: n.addr, Message: a.Message}}
+	e := simEvent{at: s.now + s.latency(), node: to, process: to.process, ev: Event{Kind: Got, From: n.addr, Message: a.Message}}
 	s.push(e)
-	if s.doubled > 0 && !stream && s.rng.Float64() < s.doubled {
-		e.at += s.took() * 10
+	if s.duplicated > 0 && !stream && s.rng.Float64() < s.duplicated {
+		e.at += s.latency() * 10
 		s.push(e)
 	}
 }
@@ -252,20 +252,20 @@
 }
 
 // crash ends a process, which sends nothing more.
-func (s *sim) crash(n *simNode) { n.up = false; n.life++ }
+func (s *sim) crash(n *simNode) { n.up = false; n.process++ }
 
 // pause stops a process and resumes it after d. Messages that arrive meanwhile wait in its socket.
 func (s *sim) pause(n *simNode, d time.Duration) {
-	if !n.up || n.stood {
+	if !n.up || n.isPaused {
 		return
 	}
-	n.stood, n.overflows = true, false
-	life := n.life
+	n.isPaused, n.losesInbox = true, false
+	life := n.process
 	s.after(d, func() {
-		if n.life != life {
+		if n.process != life {
 			return
 		}
-		n.stood = false
+		n.isPaused = false
 		inbox := n.inbox
 		n.inbox = nil
 		for _, ev := range inbox {
@@ -292,55 +292,55 @@
 	return strings.TrimSuffix(b.String(), ", ")
 }
 
-// whole reports whether the view of each running process has exactly the running processes as present.
-func (s *sim) whole() bool {
+// hasOneView reports whether the view of each running process has exactly the running processes as present.
+func (s *sim) hasOneView() bool {
 	up := map[ID]bool{}
 	for _, n := range s.nodes {
-		if n.up && !n.over && n.d().Self().State != Left {
+		if n.up && !n.isSuperseded && n.d().Self().State != Left {
 			up[n.d().Self().ID] = true
 		}
 	}
 	for _, n := range s.nodes {
-		if !n.up || n.over || !up[n.d().Self().ID] {
+		if !n.up || n.isSuperseded || !up[n.d().Self().ID] {
 			continue
 		}
-		there := 0
+		present := 0
 		for _, m := range n.d().ring {
 			if m.State == Suspect || m.State == Alive && !up[m.ID] {
 				return false
 			}
 			if m.State == Alive {
-				there++
+				present++
 			}
 		}
-		if there != len(up)-1 {
+		if present != len(up)-1 {
 			return false
 		}
 	}
 	return true
 }
 
-// until runs the network until is returns true, checked at each step, and returns the time taken; -1: it stayed false for all
-// of most.
-func (s *sim) until(most, step time.Duration, is func() bool) time.Duration {
+// until runs the network until condition is true, checked at each step, and returns the time taken; -1: it is still false after
+// limit.
+func (s *sim) until(limit, step time.Duration, condition func() bool) time.Duration {
 	from := s.now
-	for s.now < from+most {
-		if is() {
+	for s.now < from+limit {
+		if condition() {
 			return s.now - from
 		}
 		s.run(s.now + step)
 	}
-	if is() {
+	if condition() {
 		return s.now - from
 	}
 	return -1
 }
 
-func (s *sim) named(name string) *simNode { return s.byAddr[name+":7946"] }
+func (s *sim) nodeNamed(name string) *simNode { return s.byAddr[name+":7946"] }
 
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for k := range m {
+func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
+	keys := make([]K, 0, len(values))
+	for k := range values {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
--- a/detect/types.go
+++ b/detect/types.go
@@ -143,7 +143,7 @@
 // LinkState is the state of the two directions between this process and another. It is a state of the link, not of the member.
 type LinkState uint8
 
-// States of a link. Others hear the member in each of them.
+// States of a link. In each of them other members receive messages of the member.
 const (
 	Sound   LinkState = iota
 	Unheard           // this process receives none of its messages
@@ -163,31 +163,33 @@
 	Seeds []string
 	Seed  uint64 // of the random numbers
 
-	Every        time.Duration // between two probes; 0: 1s
-	AnswerWithin time.Duration // before indirect probes; 0: 300ms
-	Others       int           // indirect probes in a round; 0: 3. Less than 0: none
+	Every          time.Duration // between two probes; 0: 1s
+	AnswerWithin   time.Duration // before indirect probes; 0: 300ms
+	IndirectProbes int           // indirect probes in a round; 0: 3. Less than 0: none
 	// Suspicion is the shortest time from suspicion to death, with ten members. It grows with the logarithm of the number of
 	// members.
-	Suspicion  time.Duration // 0: 5s
-	Stretch    int           // how many times longer suspicion lasts with one accuser; 0: 6
-	Accusers   int           // accusers beyond the first that shorten it to the minimum; 0: 3
-	HealthMost int           // worst score of local health: timeouts are 1 + score times as long; 0: 4. Less than 0: no score is kept
+	Suspicion          time.Duration // 0: 5s
+	MaxSuspicionFactor int           // how many times longer suspicion lasts with one accuser; 0: 6
+	SuspicionAccusers  int           // accusers beyond the first that shorten it to the minimum; 0: 3
+	MaxHealthScore     int           // worst local health score: timeouts are 1 + score times as long; 0: 4. Less than 0: no score
 	// PauseThreshold is how late after Next a call of Handle shows that this process was stopped; 0: 700ms. Less than 0: pauses
 	// are not detected.
-	LateTick      time.Duration
-	Calm          time.Duration // after a pause this process suspects no one for this time; 0: 3s
-	CutAfter      time.Duration // without any acknowledgement: this process is cut off; 0: 10s
-	ExchangeEvery time.Duration // between exchanges by stream with up to a hundred members, in proportion beyond; 0: 30s
-	DeadMost      time.Duration // longest time between two probes of a dead member; 0: 30s
-	ForgetAfter   time.Duration // a process is forgotten this long after its end; 0: 30m
-	SizedFor      time.Duration // a dead member counts for Sized this long; 0: 2m
-	AwayMost      time.Duration // the longest planned absence; 0: 10m
-	MembersMost   int           // further members are not added; 0: 4096
-	LinksMost     int           // stored link updates; 0: 1024
-	DatagramMost  int           // bytes; 0: 1200
-	Envelope      int           // bytes of a datagram that the caller needs itself; 0: 40
-
-	plain bool // SWIM as published, for comparison: reported deaths are not verified, the suspect is not informed first, dead members are not probed
+	PauseThreshold       time.Duration
+	PauseGrace           time.Duration // after a pause this process suspects no one for this time; 0: 3s
+	CutOffTimeout        time.Duration // without any acknowledgement: this process is cut off; 0: 10s
+	ExchangeInterval     time.Duration // between exchanges by stream with up to a hundred members, in proportion beyond; 0: 30s
+	MaxDeadProbeInterval time.Duration // longest time between two probes of a dead member; 0: 30s
+	ForgetAfter          time.Duration // a process is forgotten this long after its end; 0: 30m
+	SizeGrace            time.Duration // a dead member counts for Sized this long; 0: 2m
+	MaxAway              time.Duration // the longest planned absence; 0: 10m
+	MaxMembers           int           // further members are not added; 0: 4096
+	MaxLinks             int           // stored link updates; 0: 1024
+	DatagramMost         int           // bytes; 0: 1200
+	EnvelopeBytes        int           // bytes of a datagram that the caller needs itself; 0: 40
+
+	// isPlainSWIM selects SWIM as published, for comparison: reported deaths are not verified, the suspect is not informed first,
+	// and dead members are not probed.
+	isPlainSWIM bool
 }
 
 // FirstStart returns the start number of a process that begins at this wall-clock time and draws these random bits. Nothing
--- a/detect/word_test.go
+++ b/detect/word_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func words() []Word {
+func allWords() []Word {
 	var all []Word
 	for start := uint64(1); start <= 2; start++ {
 		for inc := uint32(0); inc <= 2; inc++ {
@@ -19,8 +19,8 @@
 	return all
 }
 
-// wordTable is the precedence table of the design note, written independently of the code.
-func wordTable(a, b Word) int {
+// compareByTable is the precedence table of the design note, written independently of the code.
+func compareByTable(a, b Word) int {
 	switch {
 	case a == b:
 		return 0
@@ -44,11 +44,11 @@
 	return -1
 }
 
-func TestOrderOfWordsOverAllPairs(t *testing.T) {
-	all := words()
+func TestUpdatePrecedenceOverAllPairs(t *testing.T) {
+	all := allWords()
 	for _, a := range all {
 		for _, b := range all {
-			if got, want := Compare(a, b), wordTable(a, b); got != want {
+			if got, want := Compare(a, b), compareByTable(a, b); got != want {
 				t.Errorf("Compare(%+v, %+v) = %d, want %d", a, b, got, want)
 			}
 			for _, c := range all {
@@ -62,8 +62,8 @@
 
 // Guards against views that depend on the order or repetition of updates: no update may replace one that holds over it. A
 // reported death of a present member is verified first, so it counts here while it is unverified.
-func TestMergeOfWordsInAnyOrder(t *testing.T) {
-	all := words()
+func TestUpdatesMergeInAnyOrder(t *testing.T) {
+	all := allWords()
 	rapid.Check(t, func(t *rapid.T) {
 		some := rapid.SliceOfN(rapid.SampledFrom(all), 1, 12).Draw(t, "words")
 		best := some[0]
@@ -78,16 +78,16 @@
 			got := Word{}
 			for _, w := range append(rapid.Permutation(some).Draw(t, "order"), some...) {
 				v.Handle(0, Event{Kind: Got, From: "y:1", Message: Message{Kind: Pull, From: Word{ID: ID{"y", 1}, Addr: "y:1"}, News: []Word{w}}}, nil)
-				held := v.members["x"]
-				if Compare(held.Word, got) < 0 && got.Name != "" {
-					t.Fatalf("%+v replaced %+v, which holds over it", held.Word, got)
+				stored := v.members["x"]
+				if Compare(stored.Word, got) < 0 && got.Name != "" {
+					t.Fatalf("%+v replaced %+v, which holds over it", stored.Word, got)
 				}
-				got = held.Word
+				got = stored.Word
 			}
 			m := v.members["x"]
-			if m.doubt.Name != "" {
-				if Compare(m.doubt, m.Word) > 0 {
-					got = m.doubt
+			if m.reportedDeath.Name != "" {
+				if Compare(m.reportedDeath, m.Word) > 0 {
+					got = m.reportedDeath
 				}
 			}
 			if Compare(got, best) != 0 {
@@ -99,7 +99,7 @@
 
 // Guards against two processes of one name that both take part. On a higher start of its own name, a process takes the next
 // start number if it has not joined or the other has ended. If the other one is alive, it stops taking part.
-func TestHigherStartOfTheOwnName(t *testing.T) {
+func TestHigherStartOfOwnName(t *testing.T) {
 	for _, c := range []struct {
 		state  State
 		joined bool
@@ -127,9 +127,9 @@
 	}
 }
 
-// The suspicion timeout by the number of members, accusers and recent returns from the dead, in milliseconds. The expected
-// values are calculated by hand from the formula of the design note.
-func TestSuspicionLength(t *testing.T) {
+// Guards against a wrong suspicion timeout for a number of members, accusers and recent returns from the dead. The expected
+// values are in milliseconds, exact to a tenth of a second, and calculated by hand from the formula of the design note.
+func TestSuspicionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		members, accusers, flaps int
 		want                     time.Duration
@@ -138,17 +138,17 @@
 		d := New(Config{Name: "self", Start: 1, Addr: "self:1"})
 		d.Handle(0, Event{Kind: Begin}, nil)
 		for i := range c.members - 1 {
-			d.take(Word{ID: ID{nameOf(i), 1}, Addr: "x:1"}, false)
+			d.receiveWord(Word{ID: ID{nameOf(i), 1}, Addr: "x:1"}, false)
 		}
 		m := d.members["a"]
 		for range c.flaps {
-			d.become(m, Word{ID: m.ID, State: Dead, Addr: m.Addr}, "")
-			d.become(m, Word{ID: m.ID, State: Alive, Addr: m.Addr}, "")
+			d.transition(m, Word{ID: m.ID, State: Dead, Addr: m.Addr}, "")
+			d.transition(m, Word{ID: m.ID, State: Alive, Addr: m.Addr}, "")
 		}
 		for i := range c.accusers {
-			d.take(Word{ID: m.ID, State: Suspect, Addr: "x:1", By: nameOf(i + 1)}, false)
+			d.receiveWord(Word{ID: m.ID, State: Suspect, Addr: "x:1", By: nameOf(i + 1)}, false)
 		}
-		if got := d.deadline(m).Round(100 * time.Millisecond); got-c.want*time.Millisecond > 100*time.Millisecond || c.want*time.Millisecond-got > 100*time.Millisecond {
+		if got := d.suspicionDeadline(m).Round(100 * time.Millisecond); got-c.want*time.Millisecond > 100*time.Millisecond || c.want*time.Millisecond-got > 100*time.Millisecond {
 			t.Errorf("%d members, %d accusers, %d returns: suspicion lasts %s", c.members, c.accusers, c.flaps, got)
 		}
 	}
