--- a/detect/join.go
+++ b/detect/join.go
@@ -2,86 +2,86 @@
 
 import "time"
 
-// This file has the seeds, and the exchange of all that is known.
+// This file has the seeds and the exchange of full state.
 
-// seed is an address that is asked until one who is there has answered from it.
+// seed is an address that is probed until a present member has answered from it.
 type seed struct {
-	addr string
-	at   time.Duration
-	wait time.Duration
-	seq  uint32
-	name string // who answered last
-	self bool   // it is this process
+	addr   string
+	at     time.Duration
+	wait   time.Duration
+	seq    uint32
+	name   string // name of the process that answered last
+	isSelf bool   // the address is this process's own
 }
 
-// seedMost is the longest wait between two questions to a seed that nobody who is known has answered from. They never end: a seed may be
-// all that two sides of a cut have in common.
-const seedMost = 30 * time.Second
+// maxSeedWait is the longest wait between two probes of a seed from which no known member has answered. The probes never end: a
+// seed may be the only thing that two sides of a partition share.
+const maxSeedWait = 30 * time.Second
 
-// dueSeeds asks seeds whose time has come.
-func (d *Detect) dueSeeds() {
+// probeSeeds probes the seeds that are due.
+func (d *Detect) probeSeeds() {
 	for i := range d.seeds {
 		s := &d.seeds[i]
 		if s.at > d.now {
 			continue
 		}
 		m := d.members[s.name]
-		if s.self || d.self.State == Left || m != nil && m.State.there() {
-			s.at = d.now + d.about(seedMost)
+		if s.isSelf || d.self.State == Left || m != nil && m.State.isPresent() {
+			s.at = d.now + d.jitter(maxSeedWait)
 			continue
 		}
-		s.seq = d.seqNext()
-		d.tries++
+		s.seq = d.nextSeq()
+		d.unanswered++
 		d.send(s.addr, Message{Kind: Ask, Seq: s.seq}, nil)
-		s.at = d.now + d.about(s.wait)
-		s.wait = min(2*s.wait, seedMost)
+		s.at = d.now + d.jitter(s.wait)
+		s.wait = min(2*s.wait, maxSeedWait)
 	}
 }
 
-// exchangeSoonest is the least time between two exchanges that one side begins.
-const exchangeSoonest = 2 * time.Second
+// minExchangeInterval is the least time between two exchanges that one side begins.
+const minExchangeInterval = 2 * time.Second
 
-// exchange pushes all that is known to one, who answers with all that it knows.
+// exchange sends the full state to one member, which replies with its own.
 func (d *Detect) exchange() {
-	d.exchangeAt = d.now + d.about(d.wait)
-	d.wait = min(2*d.wait, d.cfg.ExchangeEvery*time.Duration(max(1, d.there/100)))
+	d.exchangeAt = d.now + d.jitter(d.exchangeWait)
+	d.exchangeWait = min(2*d.exchangeWait, d.cfg.ExchangeInterval*time.Duration(max(1, d.presentCount/100)))
 	if d.self.State == Left {
 		d.exchangeAt = never
 		return
 	}
-	m := d.members[d.with]
-	d.with = ""
-	if m == nil || !m.State.there() {
-		some := d.some(1, nil)
-		if len(some) == 0 {
+	m := d.members[d.exchangePartner]
+	d.exchangePartner = ""
+	if m == nil || !m.State.isPresent() {
+		partners := d.randomMembers(1, nil)
+		if len(partners) == 0 {
 			return
 		}
-		m = some[0]
+		m = partners[0]
 	}
-	d.exchanged = d.now
-	d.act(Action{Kind: Exchange, Addr: m.Addr, Message: d.all(Push)})
+	d.lastExchangeAt = d.now
+	d.act(Action{Kind: Exchange, Addr: m.Addr, Message: d.fullState(Push)})
 }
 
-// afterExchange has one that taught a lot followed by another soon, and those after it ever more rarely: what does not fit into some
-// datagrams goes faster by stream.
-func (d *Detect) afterExchange(taught int) {
-	if taught >= taughtMuch && d.met {
-		d.wait = retry
-		d.exchangeAt = min(d.exchangeAt, d.now+d.about(exchangeSoonest))
+// scheduleFollowUp schedules another exchange soon after one that brought many updates; the ones after it come ever more
+// rarely. A stream is faster for what doesn't fit into a few datagrams.
+func (d *Detect) scheduleFollowUp(learned int) {
+	if learned >= minLearned && d.hasJoined {
+		d.exchangeWait = initialRetryWait
+		d.exchangeAt = min(d.exchangeAt, d.now+d.jitter(minExchangeInterval))
 	}
 }
 
-// taughtMuch is a third of what one datagram holds.
-const taughtMuch = 5
+// minLearned is a third of the updates that fit into one datagram.
+const minLearned = 5
 
-// exchangeSoon brings the next exchange forward, with a member that is back.
+// exchangeSoon brings the next exchange forward, with a member that has returned.
 func (d *Detect) exchangeSoon(m *member) {
-	if !d.met {
+	if !d.hasJoined {
 		return
 	}
-	at := max(d.now+d.chance(exchangeSoonest/2), d.exchanged+exchangeSoonest+d.chance(exchangeSoonest/2))
+	at := max(d.now+d.randomDuration(minExchangeInterval/2), d.lastExchangeAt+minExchangeInterval+d.randomDuration(minExchangeInterval/2))
 	if at >= d.exchangeAt {
 		return
 	}
-	d.exchangeAt, d.with = at, m.Name
+	d.exchangeAt, d.exchangePartner = at, m.Name
 }
--- a/detect/script_test.go
+++ b/detect/script_test.go
@@ -11,23 +11,27 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Scripts in testdata: a fleet in virtual time, what befalls it, and what its members held for true. The commands, one a line:
+// script runs a script of testdata: a fleet in virtual time, its faults, and the views of its members. The commands, one a line:
 //
-//	fleet n=5 seed=1 loss=0.1 every=.. — processes a, b, ... that know a, b and c as seeds
-//	start x seeds=a,b clock=-5s        — one more, or one that has ended again, with its clock off
-//	crash a | leave a | away a 20s | back a | pause a 10s (lost: and what comes meanwhile is lost)
-//	cut a>b c>*  | mend                — directions between processes; mend: all
-//	part a,b                           — these from all others
-//	run 10s | whole 60s                — whole: until all hold the same, which it tells, at most so long
-//	changes                            — what members came to hold since the last time, put together
+//	fleet n=5 seed=1 loss=0.1 forget=.. — starts processes a, b, ... with a, b and c as seeds
+//	start x seeds=a,b clock=-5s         — starts one more, or restarts an ended one, with a clock offset
+//	twin a                              — starts a second process of a name
+//	crash a | leave a | away a 20s | back a
+//	pause a 10s [lost]                  — lost: messages that arrive meanwhile are lost
+//	cut a>b c>*                         — cuts directions between processes
+//	part a,b                            — separates these from all others
+//	turning a b                         — the same in one direction, which reverses each second
+//	mend                                — ends all cuts
+//	run 10s | whole 60s                 — whole: runs until all views agree, prints the time taken, up to a limit
+//	changes                             — prints the changes in all views since the last time, grouped
 //	view a | via a b | sizes
 type script struct {
-	t    *testing.T
-	s    *sim
-	seen []string
-	at   map[string][]string
-	span map[string][2]time.Duration
-	make func(*Config) node
+	t       *testing.T
+	s       *sim
+	seen    []string
+	at      map[string][]string
+	span    map[string][2]time.Duration
+	newNode func(*Config) node
 }
 
 func TestScripts(t *testing.T) {
@@ -35,7 +39,7 @@
 		c := &script{t: t}
 		datadriven.RunTest(t, path, func(t *testing.T, td *datadriven.TestData) string {
 			if td.Cmd != "do" {
-				t.Fatalf("%s: %s: unknown; write do", td.Pos, td.Cmd)
+				t.Fatalf("%s: %s: unknown command, the only one is do", td.Pos, td.Cmd)
 			}
 			var b strings.Builder
 			for line := range strings.Lines(td.Input) {
@@ -51,34 +55,34 @@
 	})
 }
 
-// note keeps a change for the next time that changes are told.
-func (c *script) note(n *simNode, a Action) {
-	var what string
+// record stores a change for the next command "changes".
+func (c *script) record(n *simNode, a Action) {
+	var change string
 	switch a.Kind {
 	case Changed:
-		what = fmt.Sprintf("%s: %s -> %s", a.Word.Name, a.Old, a.Word.State)
+		change = fmt.Sprintf("%s: %s -> %s", a.Word.Name, a.Old, a.Word.State)
 		if a.Old == a.Word.State {
-			what = a.Word.Name + ": " + a.Cause
+			change = a.Word.Name + ": " + a.Cause
 		}
 	case CutOff:
-		if what = "cut off, " + a.Cause; !a.Is {
-			what = "cut off no more"
+		if change = "cut off, " + a.Cause; !a.Is {
+			change = "cut off no more"
 		}
 	case Superseded:
-		what = "superseded"
+		change = "superseded"
 	case Renamed:
-		what = "has a later start"
+		change = "has a later start"
 	default:
 		return
 	}
-	if _, ok := c.at[what]; !ok {
-		c.seen = append(c.seen, what)
-		c.span[what] = [2]time.Duration{c.s.now, c.s.now}
+	if _, ok := c.at[change]; !ok {
+		c.seen = append(c.seen, change)
+		c.span[change] = [2]time.Duration{c.s.now, c.s.now}
 	}
-	if !slices.Contains(c.at[what], n.name) {
-		c.at[what] = append(c.at[what], n.name)
+	if !slices.Contains(c.at[change], n.name) {
+		c.at[change] = append(c.at[change], n.name)
 	}
-	c.span[what] = [2]time.Duration{c.span[what][0], c.s.now}
+	c.span[change] = [2]time.Duration{c.span[change][0], c.s.now}
 }
 
 func (c *script) reset() {
@@ -109,42 +113,42 @@
 		c.s = newSim(seed)
 		c.s.loss, _ = strconv.ParseFloat(args["loss"], 64)
 		c.reset()
-		c.s.acted = c.note
-		c.make = detects(func(cfg *Config) {
+		c.s.onAction = c.record
+		c.newNode = newDetectFunc(func(cfg *Config) {
 			if v := args["forget"]; v != "" {
 				cfg.ForgetAfter = dur(v)
 			}
 		})
-		c.s.fleet(n, c.make)
+		c.s.fleet(n, c.newNode)
 	case "start":
 		if off := args["clock"]; off != "" {
-			n := c.s.named(plain[0])
+			n := c.s.nodeNamed(plain[0])
 			if n == nil {
 				n = &simNode{name: plain[0], addr: plain[0] + ":7946"}
 				c.s.nodes, c.s.byAddr[n.addr] = append(c.s.nodes, n), n
 			}
 			n.offset = dur(off)
 		}
-		c.s.start(plain[0], c.make, strings.Split(args["seeds"], ",")...)
+		c.s.start(plain[0], c.newNode, strings.Split(args["seeds"], ",")...)
 	case "twin": // a second process of a name, at another address
 		n := &simNode{name: plain[0], addr: plain[0] + "2:7946"}
 		c.s.nodes, c.s.byAddr[n.addr] = append(c.s.nodes, n), n
-		n.life++
+		n.process++
 		n.up, n.wake = true, never
 		n.node = New(Config{Name: plain[0], Addr: n.addr, Start: FirstStart(time.Unix(1_800_000_000, 0).Add(c.s.now), 1), Seed: 99, Seeds: []string{"a:7946", "b:7946"}})
 		n.name = plain[0] + "2"
 		c.s.handle(n, Event{Kind: Begin})
 	case "crash":
 		for _, name := range plain {
-			c.s.crash(c.s.named(name))
+			c.s.crash(c.s.nodeNamed(name))
 		}
 	case "leave":
-		c.s.handle(c.s.named(plain[0]), Event{Kind: Leave})
-		c.s.crash(c.s.named(plain[0]))
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: Leave})
+		c.s.crash(c.s.nodeNamed(plain[0]))
 	case "away":
-		c.s.handle(c.s.named(plain[0]), Event{Kind: GoAway, Until: dur(plain[1])})
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: GoAway, Until: dur(plain[1])})
 	case "back":
-		c.s.handle(c.s.named(plain[0]), Event{Kind: Begin})
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: Begin})
 	case "pause":
 		lost := plain[len(plain)-1] == "lost"
 		if lost {
@@ -152,8 +156,8 @@
 		}
 		last := len(plain) - 1
 		for _, name := range plain[:last] {
-			c.s.pause(c.s.named(name), dur(plain[last]))
-			c.s.named(name).overflows = lost
+			c.s.pause(c.s.nodeNamed(name), dur(plain[last]))
+			c.s.nodeNamed(name).losesInbox = lost
 		}
 	case "cut":
 		for _, a := range plain {
@@ -171,7 +175,7 @@
 	case "part":
 		side := strings.Split(plain[0], ",")
 		c.s.cutFunc = func(a, b *simNode) bool { return slices.Contains(side, a.name) != slices.Contains(side, b.name) }
-	case "turning": // the cut between these and all others turns round each second
+	case "turning": // the direction of the cut between these and all others reverses each second
 		c.s.cutFunc = func(a, b *simNode) bool {
 			odd := c.s.now/time.Second%2 == 1
 			return odd && slices.Contains(plain, a.name) || !odd && slices.Contains(plain, b.name)
@@ -181,7 +185,7 @@
 	case "run":
 		c.s.run(c.s.now + dur(plain[0]))
 	case "whole":
-		took := c.s.until(dur(plain[0]), 500*time.Millisecond, c.s.whole)
+		took := c.s.until(dur(plain[0]), 500*time.Millisecond, c.s.hasOneView)
 		if took < 0 {
 			return "not whole\n"
 		}
@@ -189,11 +193,11 @@
 	case "view":
 		var b strings.Builder
 		for _, name := range plain {
-			fmt.Fprintf(&b, "%s holds: %s\n", name, c.s.named(name).view())
+			fmt.Fprintf(&b, "%s holds: %s\n", name, c.s.nodeNamed(name).view())
 		}
 		return b.String()
 	case "via":
-		w, ok := c.s.named(plain[0]).d().Via(plain[1])
+		w, ok := c.s.nodeNamed(plain[0]).d().Via(plain[1])
 		if !ok {
 			return "no way\n"
 		}
@@ -202,7 +206,7 @@
 		var b strings.Builder
 		for _, n := range c.s.nodes {
 			if n.up {
-				fmt.Fprintf(&b, "%s %d ", n.name, n.sized)
+				fmt.Fprintf(&b, "%s %d ", n.name, n.size)
 			}
 		}
 		return strings.TrimSpace(b.String()) + "\n"
@@ -219,7 +223,7 @@
 		}
 		return b.String()
 	default:
-		c.t.Fatalf("%s: %s: unknown", pos, f[0])
+		c.t.Fatalf("%s: %s: unknown command", pos, f[0])
 	}
 	return ""
 }
