--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// chainMost is the limit of CNAMEs from a name to its records.
-	chainMost = 8
-	// doublings is the limit of doublings of Config.Timeout.
-	doublings = 4
-	// targetsMost is the limit of targets in one SRV response. Each may cost two queries.
-	targetsMost = 4096
-	// outMost is the limit of outstanding queries.
-	outMost = 16
-	// refreshFrom and refreshTo are fractions of a TTL. A refresh starts at a random time between them: early enough for several
-	// tries, and spread, so that nodes that started together don't send their queries together.
-	refreshFrom, refreshTo = 0.6, 0.95
+	// maxCNAMEs is the limit of CNAMEs from a name to its records.
+	maxCNAMEs = 8
+	// maxTimeoutDoublings is the limit of doublings of Config.Timeout.
+	maxTimeoutDoublings = 4
+	// maxTargets is the limit of targets in one SRV response. Each may cost two queries.
+	maxTargets = 4096
+	// maxOutstanding is the limit of outstanding queries.
+	maxOutstanding = 16
+	// minRefreshFraction and maxRefreshFraction are fractions of a TTL. A refresh starts at a random time between them: early
+	// enough for several tries, and spread, so that nodes that started together don't send their queries together.
+	minRefreshFraction, maxRefreshFraction = 0.6, 0.95
 )
 
 // Config holds the settings of a Lookup. Zero values stand for the defaults named here.
@@ -105,58 +105,59 @@
 
 // Lookup resolves one SRV name and keeps the result up to date, for as long as it gets events.
 type Lookup struct {
-	cfg  Config
-	rng  *rand.Rand
-	now  time.Duration
-	next time.Duration // when the next lookup starts, while none is under way
-	// server is the server that responded last. It is queried first again: with servers that differ, backends would come and go.
-	server int
-	token  int
-	out    map[int]*ask
-	queue  []*ask          // queries that wait until fewer are outstanding
-	run    *run            // nil: no lookup is under way
-	last   map[string]held // addresses of the last lookup, by target
-	fails  int             // failures in a row
-	// slow is the number of doublings of Config.Timeout for the first try: those that the slowest response of the last lookup
+	cfg    Config
+	rng    *rand.Rand
+	now    time.Duration
+	nextAt time.Duration // when the next lookup starts, while none is under way
+	// preferredServer is the server that responded last. It is queried first again: with servers that differ, backends would come
+	// and go.
+	preferredServer int
+	lastToken       int
+	outstanding     map[int]*pendingQuery
+	queue           []*pendingQuery        // queries that wait until fewer are outstanding
+	current         *resolution            // nil: no lookup is under way
+	lastAddrs       map[string]targetAddrs // addresses of the last lookup, by target
+	failures        int                    // failures in a row
+	// timeoutDoublings is the number of doublings of Config.Timeout for the first try: those that the slowest response of the last lookup
 	// needed, and one more for each failure since.
-	slow int
-	acts []Action // of the event in hand
+	timeoutDoublings int
+	actions          []Action // of the event in hand
 }
 
-// ask is a query under way, over all its tries and name servers.
-type ask struct {
+// pendingQuery is a query under way, over all its tries and name servers.
+type pendingQuery struct {
 	Question
-	first string // the name that was queried first; Name is where CNAMEs have led
-	from  int    // the server of the first try
-	tries int
-	chain int           // CNAMEs followed
-	ttl   time.Duration // the minimum of the TTLs of the CNAMEs that led here
-	sent  time.Duration // time of the last try
+	queriedName string // the name that was queried first; Name is where CNAMEs have led
+	firstServer int    // the server of the first try
+	tries       int
+	cnames      int           // CNAMEs followed
+	ttl         time.Duration // the minimum of the TTLs of the CNAMEs that led here
+	sentAt      time.Duration // time of the last try
 }
 
-// run is the state of one lookup.
-type run struct {
-	srv   []*dns.SRV
-	ttl   time.Duration     // of the SRV response
-	addrs map[string]*found // by target
-	left  int               // queries without a result
-	ok    bool              // the SRV query has been answered
-	slow  int               // doublings of Config.Timeout that the slowest response of this lookup needs
+// resolution is the state of one lookup.
+type resolution struct {
+	srv              []*dns.SRV
+	srvTTL           time.Duration            // of the SRV response
+	targets          map[string]*targetResult // by target
+	pending          int                      // queries without a result
+	srvAnswered      bool                     // the SRV query has been answered
+	timeoutDoublings int                      // doublings of Config.Timeout that the slowest response of this lookup needs
 }
 
-// found is the result of the address queries for one target.
-type found struct {
-	addrs []netip.Addr
-	ttl   time.Duration // of the address records
-	none  time.Duration // TTL of the negative responses: it counts where the target has neither A nor AAAA records
-	tried bool          // addresses came in the additional section, or are being queried
-	lost  bool          // a query got no response
+// targetResult is the result of the address queries for one target.
+type targetResult struct {
+	addrs       []netip.Addr
+	ttl         time.Duration // of the address records
+	negativeTTL time.Duration // TTL of the negative responses: it counts where the target has neither A nor AAAA records
+	queried     bool          // addresses came in the additional section, or are being queried
+	failed      bool          // a query got no response
 }
 
-// held is the addresses that the last lookup found for a target.
-type held struct {
-	addrs []netip.Addr
-	until time.Duration
+// targetAddrs is the addresses that the last lookup found for a target.
+type targetAddrs struct {
+	addrs     []netip.Addr
+	expiresAt time.Duration
 }
 
 // New returns a Lookup. Its first Ticked event starts a lookup.
@@ -172,39 +173,40 @@
 	cfg.Floor, cfg.Ceiling = cmp.Or(cfg.Floor, 5*time.Second), cmp.Or(cfg.Ceiling, time.Hour)
 	cfg.Negative, cfg.Retry, cfg.RetryMost = cmp.Or(cfg.Negative, 5*time.Minute), cmp.Or(cfg.Retry, time.Second),
 		cmp.Or(cfg.RetryMost, 30*time.Second)
-	return &Lookup{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: now, next: now, out: map[int]*ask{}, last: map[string]held{}}, nil
+	return &Lookup{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: now, nextAt: now,
+		outstanding: map[int]*pendingQuery{}, lastAddrs: map[string]targetAddrs{}}, nil
 }
 
 // Next returns when Handle needs the next Ticked event. It returns false while a lookup is under way.
-func (l *Lookup) Next() (time.Duration, bool) { return l.next, l.run == nil }
+func (l *Lookup) Next() (time.Duration, bool) { return l.nextAt, l.current == nil }
 
 // Handle processes one event and appends the resulting actions to out.
 func (l *Lookup) Handle(now time.Duration, ev Event, out []Action) []Action {
-	l.now, l.acts = max(l.now, now), out
+	l.now, l.actions = max(l.now, now), out
 	switch ev.Kind {
 	case Ticked:
-		if l.run == nil && l.now >= l.next {
-			l.run = &run{addrs: map[string]*found{}}
-			l.want(l.cfg.Name, dns.TypeSRV)
-			l.send()
+		if l.current == nil && l.now >= l.nextAt {
+			l.current = &resolution{targets: map[string]*targetResult{}}
+			l.enqueue(l.cfg.Name, dns.TypeSRV)
+			l.sendQueued()
 		}
 	case Replied, Lost:
-		a := l.out[ev.Token]
+		a := l.outstanding[ev.Token]
 		if a == nil {
 			break // a response to an earlier try
 		}
-		delete(l.out, ev.Token)
+		delete(l.outstanding, ev.Token)
 		if ev.Kind == Lost || ev.Msg == nil {
-			l.again(a)
+			l.retry(a)
 		} else {
-			l.replied(a, ev.Msg)
+			l.handleResponse(a, ev.Msg)
 		}
-		l.send()
-		if l.run != nil && l.run.left == 0 {
+		l.sendQueued()
+		if l.current != nil && l.current.pending == 0 {
 			l.finish()
 		}
 	}
-	out, l.acts = l.acts, nil
+	out, l.actions = l.actions, nil
 	return out
 }
 
@@ -216,77 +218,78 @@
 		got.Question[0].Qtype == sent.Question[0].Qtype && got.Question[0].Qclass == sent.Question[0].Qclass
 }
 
-// want adds a query to the queue.
-func (l *Lookup) want(name string, kind uint16) {
-	l.run.left++
-	l.queue = append(l.queue, &ask{Question: Question{Name: name, Type: kind, Server: l.server}, first: name, from: l.server, ttl: l.cfg.Ceiling})
+// enqueue adds a query to the queue.
+func (l *Lookup) enqueue(name string, qtype uint16) {
+	l.current.pending++
+	l.queue = append(l.queue, &pendingQuery{Question: Question{Name: name, Type: qtype, Server: l.preferredServer},
+		queriedName: name, firstServer: l.preferredServer, ttl: l.cfg.Ceiling})
 }
 
-// send sends queries from the queue, up to the limit of outstanding ones.
-func (l *Lookup) send() {
-	for len(l.queue) > 0 && len(l.out) < outMost {
+// sendQueued sends queries from the queue, up to the limit of outstanding ones.
+func (l *Lookup) sendQueued() {
+	for len(l.queue) > 0 && len(l.outstanding) < maxOutstanding {
 		a := l.queue[0]
 		l.queue = l.queue[1:]
-		l.token++
-		a.Token = l.token
-		a.Within, a.sent = l.cfg.Timeout<<min(l.slow+a.tries/l.cfg.Servers, doublings), l.now
-		l.out[a.Token] = a
+		l.lastToken++
+		a.Token = l.lastToken
+		a.Within, a.sentAt = l.cfg.Timeout<<min(l.timeoutDoublings+a.tries/l.cfg.Servers, maxTimeoutDoublings), l.now
+		l.outstanding[a.Token] = a
 		q := a.Question
-		l.acts = append(l.acts, Action{Ask: &q})
+		l.actions = append(l.actions, Action{Ask: &q})
 	}
 }
 
-// again retries a query at the next name server, or gives it up after the last round.
-func (l *Lookup) again(a *ask) {
+// retry retries a query at the next name server, or gives it up after the last round.
+func (l *Lookup) retry(a *pendingQuery) {
 	a.tries++
 	a.TCP, a.NoEDNS = false, false
 	if a.tries >= l.cfg.Servers*l.cfg.Rounds {
-		l.lost(a)
+		l.giveUp(a)
 		return
 	}
-	a.Server = (a.from + a.tries) % l.cfg.Servers
+	a.Server = (a.firstServer + a.tries) % l.cfg.Servers
 	l.queue = append(l.queue, a)
 }
 
-// lost records that a query got no response from any server.
-func (l *Lookup) lost(a *ask) {
-	l.run.left--
+// giveUp records that a query got no response from any server.
+func (l *Lookup) giveUp(a *pendingQuery) {
+	l.current.pending--
 	if a.Type != dns.TypeSRV {
-		f := l.run.addrs[a.first]
-		f.lost = true
+		f := l.current.targets[a.queriedName]
+		f.failed = true
 	}
 }
 
-// lifetime converts a TTL. One with the most significant bit set counts as 0 (RFC 2181, section 8).
-func lifetime(ttl uint32) time.Duration {
+// ttlDuration converts a TTL. One with the most significant bit set counts as 0 (RFC 2181, section 8).
+func ttlDuration(ttl uint32) time.Duration {
 	if ttl > 1<<31-1 {
 		return 0
 	}
 	return time.Duration(ttl) * time.Second
 }
 
-// learn raises the timeout of the next lookup to cover a response that took this long. Without it a server that needs longer than the
-// first timeout would get each query twice, and the response of one that needs longer than the last timeout would always come too late.
-func (l *Lookup) learn(took time.Duration) {
-	for l.run.slow < doublings && l.cfg.Timeout<<l.run.slow <= took {
-		l.run.slow++
+// raiseTimeout raises the timeout of the next lookup to cover a response that took this long. Without it a server that needs longer than
+// the first timeout would get each query twice, and the response of one that needs longer than the last timeout would always come too late.
+func (l *Lookup) raiseTimeout(took time.Duration) {
+	for l.current.timeoutDoublings < maxTimeoutDoublings && l.cfg.Timeout<<l.current.timeoutDoublings <= took {
+		l.current.timeoutDoublings++
 	}
 }
 
-// replied processes a response.
-func (l *Lookup) replied(a *ask, m *dns.Msg) {
-	l.learn(l.now - a.sent)
+// handleResponse processes a response.
+func (l *Lookup) handleResponse(a *pendingQuery, m *dns.Msg) {
+	l.raiseTimeout(l.now - a.sentAt)
 	switch {
 	case m.Truncated && !a.TCP:
 		a.TCP = true
-		l.queue = append([]*ask{a}, l.queue...)
+		l.queue = append([]*pendingQuery{a}, l.queue...)
 		return
 	case m.Rcode == dns.RcodeFormatError && !a.NoEDNS:
 		a.NoEDNS = true
-		l.queue = append([]*ask{a}, l.queue...)
+		l.queue = append([]*pendingQuery{a}, l.queue...)
 		return
 	case m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError, m.Truncated:
-		l.again(a)
+		l.retry(a)
 		return
 	}
 	name, ttl := a.Name, a.ttl
@@ -304,66 +307,66 @@
 				rrs = append(rrs, rr)
 			} else if c, ok := rr.(*dns.CNAME); ok && next == "" {
 				next = dns.CanonicalName(c.Target)
-				ttl = min(ttl, lifetime(h.Ttl))
+				ttl = min(ttl, ttlDuration(h.Ttl))
 			}
 		}
 		if len(rrs) > 0 || next == "" {
 			break
 		}
-		if a.chain++; a.chain > chainMost || seen[next] {
-			l.acts = append(l.acts, Action{Log: fmt.Sprintf("%s: CNAME loop, or more than %d CNAMEs", a.first, chainMost)})
-			l.again(a)
+		if a.cnames++; a.cnames > maxCNAMEs || seen[next] {
+			l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: CNAME loop, or more than %d CNAMEs", a.queriedName, maxCNAMEs)})
+			l.retry(a)
 			return
 		}
 		name = next
 	}
-	l.server = a.Server
-	if len(rrs) == 0 && name != a.Name && m.Rcode == dns.RcodeSuccess && !negative(m) {
+	l.preferredServer = a.Server
+	if len(rrs) == 0 && name != a.Name && m.Rcode == dns.RcodeSuccess && !isNegative(m) {
 		// The CNAMEs lead to a name that this server hasn't resolved: query that name.
 		a.Name, a.ttl = name, ttl
-		l.queue = append([]*ask{a}, l.queue...)
+		l.queue = append([]*pendingQuery{a}, l.queue...)
 		return
 	}
-	l.run.left--
+	l.current.pending--
 	for _, rr := range rrs {
-		ttl = min(ttl, lifetime(rr.Header().Ttl))
+		ttl = min(ttl, ttlDuration(rr.Header().Ttl))
 	}
 	if len(rrs) == 0 {
-		ttl = min(ttl, l.cfg.Negative, soa(m))
+		ttl = min(ttl, l.cfg.Negative, soaTTL(m))
 	}
 	if a.Type == dns.TypeSRV {
-		l.services(a, m, rrs, ttl)
+		l.handleSRV(a, m, rrs, ttl)
 		return
 	}
-	f := l.run.addrs[a.first]
-	f.tried = true
+	f := l.current.targets[a.queriedName]
+	f.queried = true
 	if len(rrs) == 0 {
-		f.none = min(f.none, ttl)
+		f.negativeTTL = min(f.negativeTTL, ttl)
 		return
 	}
 	f.ttl = min(f.ttl, ttl)
 	for _, rr := range rrs {
-		f.add(rr)
+		f.addAddr(rr)
 	}
 }
 
-// negative reports whether a response is negative, by its SOA record (RFC 2308, section 2).
-func negative(m *dns.Msg) bool {
+// isNegative reports whether a response is negative, by its SOA record (RFC 2308, section 2).
+func isNegative(m *dns.Msg) bool {
 	return slices.ContainsFunc(m.Ns, func(rr dns.RR) bool { _, ok := rr.(*dns.SOA); return ok })
 }
 
-// soa returns the TTL of a negative response (RFC 2308, section 5), or 0 where it has no SOA record.
-func soa(m *dns.Msg) time.Duration {
+// soaTTL returns the TTL of a negative response (RFC 2308, section 5), or 0 where it has no SOA record.
+func soaTTL(m *dns.Msg) time.Duration {
 	for _, rr := range m.Ns {
 		if s, ok := rr.(*dns.SOA); ok {
-			return min(lifetime(s.Hdr.Ttl), lifetime(s.Minttl))
+			return min(ttlDuration(s.Hdr.Ttl), ttlDuration(s.Minttl))
 		}
 	}
 	return 0
 }
 
-// add adds the address of an A or AAAA record, once. Unspecified and multicast addresses are left out.
-func (f *found) add(rr dns.RR) {
+// addAddr adds the address of an A or AAAA record, once. Unspecified and multicast addresses are left out.
+func (f *targetResult) addAddr(rr dns.RR) {
 	var a netip.Addr
 	var ok bool
 	switch r := rr.(type) {
@@ -377,21 +380,21 @@
 	}
 }
 
-// services processes the SRV records, and queries the addresses of targets that the additional section doesn't have.
-func (l *Lookup) services(a *ask, m *dns.Msg, rrs []dns.RR, ttl time.Duration) {
-	l.run.ttl, l.run.ok = ttl, true
+// handleSRV processes the SRV records, and queries the addresses of targets that the additional section doesn't have.
+func (l *Lookup) handleSRV(a *pendingQuery, m *dns.Msg, rrs []dns.RR, ttl time.Duration) {
+	l.current.srvTTL, l.current.srvAnswered = ttl, true
 	for _, rr := range rrs {
 		s := rr.(*dns.SRV)
 		s.Target = dns.CanonicalName(s.Target)
-		l.run.srv = append(l.run.srv, s)
-		if s.Target == "." || l.run.addrs[s.Target] != nil {
+		l.current.srv = append(l.current.srv, s)
+		if s.Target == "." || l.current.targets[s.Target] != nil {
 			continue
 		}
-		if len(l.run.addrs) >= targetsMost {
-			l.acts = append(l.acts, Action{Log: fmt.Sprintf("%s: more than %d SRV targets: the rest is ignored", l.cfg.Name, targetsMost)})
+		if len(l.current.targets) >= maxTargets {
+			l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: more than %d SRV targets: the rest is ignored", l.cfg.Name, maxTargets)})
 			break
 		}
-		l.run.addrs[s.Target] = &found{ttl: l.cfg.Ceiling, none: l.cfg.Negative}
+		l.current.targets[s.Target] = &targetResult{ttl: l.cfg.Ceiling, negativeTTL: l.cfg.Negative}
 	}
 	// Records of the additional section are accepted only for names within the domain of the service, as the sender may not be
 	// authoritative for others.
@@ -401,109 +404,109 @@
 	}
 	for _, rr := range m.Extra {
 		h := rr.Header()
-		f := l.run.addrs[dns.CanonicalName(h.Name)]
+		f := l.current.targets[dns.CanonicalName(h.Name)]
 		if f == nil || h.Class != dns.ClassINET || domain == "" || !dns.IsSubDomain(domain, h.Name) {
 			continue
 		}
 		if h.Rrtype == dns.TypeA || h.Rrtype == dns.TypeAAAA {
-			f.tried = true
-			f.ttl = min(f.ttl, lifetime(h.Ttl))
-			f.add(rr)
+			f.queried = true
+			f.ttl = min(f.ttl, ttlDuration(h.Ttl))
+			f.addAddr(rr)
 		}
 	}
-	for _, s := range l.run.srv {
-		if f := l.run.addrs[s.Target]; f != nil && !f.tried {
-			f.tried = true
-			l.want(s.Target, dns.TypeA)
-			l.want(s.Target, dns.TypeAAAA)
+	for _, s := range l.current.srv {
+		if f := l.current.targets[s.Target]; f != nil && !f.queried {
+			f.queried = true
+			l.enqueue(s.Target, dns.TypeA)
+			l.enqueue(s.Target, dns.TypeAAAA)
 		}
 	}
 }
 
-// clamp limits a TTL to the range from Floor to Ceiling.
-func (l *Lookup) clamp(ttl time.Duration) time.Duration {
+// clampTTL limits a TTL to the range from Floor to Ceiling.
+func (l *Lookup) clampTTL(ttl time.Duration) time.Duration {
 	return min(max(ttl, l.cfg.Floor), l.cfg.Ceiling)
 }
 
 // finish builds the answer of a lookup, and schedules the next lookup.
 func (l *Lookup) finish() {
-	r := l.run
-	l.run = nil
-	old := map[string]held{}
-	if !r.ok {
-		l.fail()
+	r := l.current
+	l.current = nil
+	newAddrs := map[string]targetAddrs{}
+	if !r.srvAnswered {
+		l.scheduleRetry()
 		return
 	}
-	life := l.clamp(r.ttl)
-	ans := &Answer{Until: l.now + life, Decided: len(r.srv) == 1 && r.srv[0].Target == "."}
-	var tiers []uint16
+	shortestTTL := l.clampTTL(r.srvTTL)
+	answer := &Answer{Until: l.now + shortestTTL, Decided: len(r.srv) == 1 && r.srv[0].Target == "."}
+	var priorities []uint16
 	for _, s := range r.srv {
-		if !slices.Contains(tiers, s.Priority) {
-			tiers = append(tiers, s.Priority)
+		if !slices.Contains(priorities, s.Priority) {
+			priorities = append(priorities, s.Priority)
 		}
 	}
-	slices.Sort(tiers)
-	lost := 0
+	slices.Sort(priorities)
+	failedTargets := 0
 	seen := map[string]bool{}
 	for _, s := range r.srv {
-		f := r.addrs[s.Target]
+		f := r.targets[s.Target]
 		if f == nil {
 			continue
 		}
 		if len(f.addrs) == 0 {
-			f.ttl = f.none
+			f.ttl = f.negativeTTL
 		}
-		h := held{f.addrs, l.now + min(l.clamp(r.ttl), l.clamp(f.ttl))}
-		if f.lost && len(f.addrs) == 0 {
-			lost++
-			h = l.last[s.Target] // the old addresses, until their old end
+		result := targetAddrs{f.addrs, l.now + min(l.clampTTL(r.srvTTL), l.clampTTL(f.ttl))}
+		if f.failed && len(f.addrs) == 0 {
+			failedTargets++
+			result = l.lastAddrs[s.Target] // the old addresses, until their old end
 		}
-		if len(h.addrs) > 0 {
-			old[s.Target] = h
+		if len(result.addrs) > 0 {
+			newAddrs[s.Target] = result
 		}
-		for _, addr := range h.addrs {
-			b := Box{Target: strings.TrimSuffix(s.Target, "."), Addr: netip.AddrPortFrom(addr, s.Port), Until: h.until,
-				Tier: slices.Index(tiers, s.Priority), Weight: weight(s.Weight)}
+		for _, addr := range result.addrs {
+			b := Box{Target: strings.TrimSuffix(s.Target, "."), Addr: netip.AddrPortFrom(addr, s.Port), Until: result.expiresAt,
+				Tier: slices.Index(priorities, s.Priority), Weight: srvWeight(s.Weight)}
 			if name := b.Name(); !seen[name] {
 				seen[name] = true
-				ans.Boxes = append(ans.Boxes, b)
+				answer.Boxes = append(answer.Boxes, b)
 			}
 		}
-		life = min(life, max(h.until-l.now, l.cfg.Floor))
+		shortestTTL = min(shortestTTL, max(result.expiresAt-l.now, l.cfg.Floor))
 	}
-	l.last = old
-	l.acts = append(l.acts, Action{Told: ans})
-	if lost > 0 {
-		l.acts = append(l.acts, Action{Log: fmt.Sprintf("%s: no response to the address queries for %d targets", l.cfg.Name, lost)})
-		l.fail()
-		l.next = min(l.next, l.now+l.refresh(life))
+	l.lastAddrs = newAddrs
+	l.actions = append(l.actions, Action{Told: answer})
+	if failedTargets > 0 {
+		l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: no response to the address queries for %d targets", l.cfg.Name, failedTargets)})
+		l.scheduleRetry()
+		l.nextAt = min(l.nextAt, l.now+l.refreshDelay(shortestTTL))
 		return
 	}
-	l.slow = r.slow
-	if l.fails > 0 {
-		l.acts = append(l.acts, Action{Log: l.cfg.Name + ": answered again"})
+	l.timeoutDoublings = r.timeoutDoublings
+	if l.failures > 0 {
+		l.actions = append(l.actions, Action{Log: l.cfg.Name + ": answered again"})
 	}
-	l.fails = 0
-	l.next = l.now + l.refresh(life)
+	l.failures = 0
+	l.nextAt = l.now + l.refreshDelay(shortestTTL)
 }
 
-// refresh draws the time until the refresh of a TTL.
-func (l *Lookup) refresh(life time.Duration) time.Duration {
-	return time.Duration((refreshFrom + (refreshTo-refreshFrom)*l.rng.Float64()) * float64(life))
+// refreshDelay draws the time until the refresh of a TTL.
+func (l *Lookup) refreshDelay(ttl time.Duration) time.Duration {
+	return time.Duration((minRefreshFraction + (maxRefreshFraction-minRefreshFraction)*l.rng.Float64()) * float64(ttl))
 }
 
-// fail schedules the next lookup after a failure, with exponential backoff and jitter.
-func (l *Lookup) fail() {
-	wait := min(l.cfg.Retry<<min(l.fails, 10), l.cfg.RetryMost)
-	l.slow = min(l.slow+1, doublings)
-	if l.fails++; l.fails == 1 {
-		l.acts = append(l.acts, Action{Log: l.cfg.Name + ": the name servers fail: what is known holds"})
+// scheduleRetry schedules the next lookup after a failure, with exponential backoff and jitter.
+func (l *Lookup) scheduleRetry() {
+	wait := min(l.cfg.Retry<<min(l.failures, 10), l.cfg.RetryMost)
+	l.timeoutDoublings = min(l.timeoutDoublings+1, maxTimeoutDoublings)
+	if l.failures++; l.failures == 1 {
+		l.actions = append(l.actions, Action{Log: l.cfg.Name + ": the name servers fail: what is known holds"})
 	}
-	l.next = l.now + time.Duration((0.5+l.rng.Float64())*float64(wait))
+	l.nextAt = l.now + time.Duration((0.5+l.rng.Float64())*float64(wait))
 }
 
-// weight converts an SRV weight. A weight of 0 becomes 0.1: a very small share beside other weights (RFC 2782).
-func weight(w uint16) float64 {
+// srvWeight converts an SRV weight. A weight of 0 becomes 0.1: a very small share beside other weights (RFC 2782).
+func srvWeight(w uint16) float64 {
 	if w == 0 {
 		return 0.1
 	}
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -10,8 +10,9 @@
 	"github.com/miekg/dns"
 )
 
-// play runs one lookup with responses from a function, and returns its answer, its log lines and its queries.
-func play(t testing.TB, l *Lookup, now *time.Duration, answer func(q Question, m *dns.Msg) *dns.Msg) (told *Answer, logs []string, asked []Question) {
+// runLookup runs one lookup with responses from a function, and returns its answer, its log lines and its queries.
+func runLookup(t testing.TB, l *Lookup, now *time.Duration, respond func(q Question, m *dns.Msg) *dns.Msg) (
+	result *Answer, logs []string, queries []Question) {
 	t.Helper()
 	acts := l.Handle(*now, Event{Kind: Ticked}, nil)
 	for steps := 0; len(acts) > 0; steps++ {
@@ -22,14 +23,14 @@
 		acts = acts[1:]
 		switch {
 		case a.Told != nil:
-			told = a.Told
+			result = a.Told
 		case a.Log != "":
 			logs = append(logs, a.Log)
 		case a.Ask != nil:
-			asked = append(asked, *a.Ask)
+			queries = append(queries, *a.Ask)
 			m := new(dns.Msg)
 			m.SetQuestion(a.Ask.Name, a.Ask.Type)
-			ev := Event{Kind: Replied, Token: a.Ask.Token, Msg: answer(*a.Ask, m)}
+			ev := Event{Kind: Replied, Token: a.Ask.Token, Msg: respond(*a.Ask, m)}
 			if ev.Msg == nil {
 				*now += a.Ask.Within
 				ev.Kind = Lost
@@ -39,7 +40,7 @@
 			acts = l.Handle(*now, ev, acts)
 		}
 	}
-	return told, logs, asked
+	return result, logs, queries
 }
 
 // zone returns a function that responds from the lines of a zone file.
@@ -65,7 +66,7 @@
 	}
 }
 
-func lookup(t testing.TB, servers int) *Lookup {
+func newLookup(t testing.TB, servers int) *Lookup {
 	t.Helper()
 	l, err := New(Config{Name: "_Menu._tcp.Khuree.mn", Servers: servers, Seed: 1}, 0)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return l
 }
 
-func names(a *Answer) string {
+func describe(a *Answer) string {
 	if a == nil {
 		return "nothing"
 	}
@@ -88,7 +89,7 @@
 // Responses are read as the RFCs define them: priorities, weights, TTLs, names in any case, CNAMEs, and target "." for a service that
 // is not available. An address in the additional section counts only for a name within the domain of the service. Otherwise a name
 // server could redirect the requests for a name of another domain.
-func TestAnswers(t *testing.T) {
+func TestResponsesAreReadPerRFC(t *testing.T) {
 	const srv = "_menu._tcp.khuree.mn. "
 	for _, tc := range []struct {
 		what  string
@@ -99,7 +100,8 @@
 			[]string{srv + "30 IN SRV 20 0 81 B.khuree.mn.",
 				srv + "60 IN SRV 5 7 80 a.KHUREE.mn.", "a.khuree.mn. 20 IN A 10.0.0.1", "b.khuree.mn. 3 IN AAAA fd00::1"},
 			"b.khuree.mn:81/fd00::1 tier 1 weight 0.1 life 5s; a.khuree.mn:80/10.0.0.1 tier 0 weight 7 life 20s"},
-		{"a TTL with the most significant bit set, and one of 68 years", []string{srv + "4294967295 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 2147483647 IN A 10.0.0.1"},
+		{"a TTL with the most significant bit set, and one of 68 years",
+			[]string{srv + "4294967295 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 2147483647 IN A 10.0.0.1"},
 			"a.khuree.mn:80/10.0.0.1 tier 0 weight 1 life 5s"},
 		{"a TTL over the maximum", []string{srv + "2147483647 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 2147483647 IN A 10.0.0.1"},
 			"a.khuree.mn:80/10.0.0.1 tier 0 weight 1 life 1h0m0s"},
@@ -115,36 +117,38 @@
 		{"none", nil, ""},
 	} {
 		now := time.Duration(0)
-		told, _, _ := play(t, lookup(t, 1), &now, zone(t, tc.lines...))
-		if got := names(told); got != tc.want {
+		result, _, _ := runLookup(t, newLookup(t, 1), &now, zone(t, tc.lines...))
+		if got := describe(result); got != tc.want {
 			t.Errorf("%s: %s\nwant %s", tc.what, got, tc.want)
 		}
 	}
 	now := time.Duration(0)
-	if told, _, _ := play(t, lookup(t, 1), &now, zone(t, srv+"30 IN SRV 0 0 0 .")); told == nil || !told.Decided || len(told.Boxes) != 0 {
-		t.Errorf("target .: %+v", told)
+	if result, _, _ := runLookup(t, newLookup(t, 1), &now, zone(t, srv+"30 IN SRV 0 0 0 .")); result == nil ||
+		!result.Decided || len(result.Boxes) != 0 {
+		t.Errorf("target .: %+v", result)
 	}
-	spoof := zone(t, srv+"30 IN SRV 1 1 80 a.khuree.mn.", srv+"30 IN SRV 1 1 80 bank.example.", "bank.example. 30 IN A 10.9.9.9")
+	spoofed := zone(t, srv+"30 IN SRV 1 1 80 a.khuree.mn.", srv+"30 IN SRV 1 1 80 bank.example.", "bank.example. 30 IN A 10.9.9.9")
 	now = 0
-	told, _, asked := play(t, lookup(t, 1), &now, func(q Question, m *dns.Msg) *dns.Msg {
-		m = spoof(q, m)
+	result, _, queries := runLookup(t, newLookup(t, 1), &now, func(q Question, m *dns.Msg) *dns.Msg {
+		m = spoofed(q, m)
 		for _, l := range []string{"bank.example. 3600 IN A 127.66.66.66", "a.khuree.mn. 30 IN A 10.0.0.1", "x.khuree.mn. 30 IN A 127.66.66.66"} {
 			rr, _ := dns.NewRR(l)
 			m.Extra = append(m.Extra, rr)
 		}
 		return m
 	})
-	if got := names(told); strings.Contains(got, "66") || !strings.Contains(got, "10.9.9.9") || !strings.Contains(got, "10.0.0.1") || len(asked) != 3 {
-		t.Errorf("additional records: %s after %d queries", got, len(asked))
+	if got := describe(result); strings.Contains(got, "66") || !strings.Contains(got, "10.9.9.9") ||
+		!strings.Contains(got, "10.0.0.1") || len(queries) != 3 {
+		t.Errorf("additional records: %s after %d queries", got, len(queries))
 	}
 }
 
 // A lookup gets past name servers that fail, that don't support EDNS0 or that truncate their responses, and the server that responded
 // last is queried first the next time. Failed lookups back off, and an answer that lacks the addresses of a target keeps its old ones.
-func TestServers(t *testing.T) {
+func TestLookupGetsPastFailingServers(t *testing.T) {
 	good := zone(t, "_menu._tcp.khuree.mn. 30 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 30 IN A 10.0.0.1")
-	l, now := lookup(t, 3), time.Duration(0)
-	told, _, asked := play(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
+	l, now := newLookup(t, 3), time.Duration(0)
+	result, _, queries := runLookup(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
 		switch {
 		case q.Server == 0:
 			return nil
@@ -161,42 +165,42 @@
 		}
 		return good(q, m)
 	})
-	if names(told) == "nothing" || asked[3].Server != 2 || !asked[3].NoEDNS || !asked[4].TCP {
-		t.Errorf("%s after %+v", names(told), asked)
+	if describe(result) == "nothing" || queries[3].Server != 2 || !queries[3].NoEDNS || !queries[4].TCP {
+		t.Errorf("%s after %+v", describe(result), queries)
 	}
 	now, _ = l.Next()
-	if _, _, asked := play(t, l, &now, good); asked[0].Server != 2 {
-		t.Errorf("first query went to server %d, and 2 had responded last", asked[0].Server)
+	if _, _, queries := runLookup(t, l, &now, good); queries[0].Server != 2 {
+		t.Errorf("first query went to server %d, and 2 had responded last", queries[0].Server)
 	}
 	// All servers fail: there is no answer, and the wait between lookups grows up to 30 s, plus jitter.
-	silent := func(Question, *dns.Msg) *dns.Msg { return nil }
+	noResponse := func(Question, *dns.Msg) *dns.Msg { return nil }
 	for i := range 12 {
 		now, _ = l.Next()
-		told, logs, asked := play(t, l, &now, silent)
+		result, logs, queries := runLookup(t, l, &now, noResponse)
 		next, idle := l.Next()
-		if told != nil || len(asked) != 6 || !idle || next <= now || next > now+45*time.Second || (len(logs) > 0) != (i == 0) {
-			t.Fatalf("failure %d: answer %v, %d queries, logs %q, next in %v", i, told, len(asked), logs, next-now)
+		if result != nil || len(queries) != 6 || !idle || next <= now || next > now+45*time.Second || (len(logs) > 0) != (i == 0) {
+			t.Fatalf("failure %d: answer %v, %d queries, logs %q, next in %v", i, result, len(queries), logs, next-now)
 		}
 	}
 	// The address queries for a target get no response: its old addresses stay, until the end of their TTL.
 	now, _ = l.Next()
-	play(t, l, &now, good)
-	until := l.last["a.khuree.mn."].until
+	runLookup(t, l, &now, good)
+	until := l.lastAddrs["a.khuree.mn."].expiresAt
 	now, _ = l.Next()
-	told, _, _ = play(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
+	result, _, _ = runLookup(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
 		if q.Type != dns.TypeSRV {
 			return nil
 		}
 		return good(q, m)
 	})
-	if told == nil || len(told.Boxes) != 1 || told.Boxes[0].Until != until {
-		t.Errorf("%s, want the old end %v", names(told), until)
+	if result == nil || len(result.Boxes) != 1 || result.Boxes[0].Until != until {
+		t.Errorf("%s, want the old end %v", describe(result), until)
 	}
 }
 
 // Of a million forged responses none is accepted. They come from an attacker off the path, who has to guess the message id and the
 // source port (RFC 5452).
-func TestForgedAnswers(t *testing.T) {
+func TestForgedResponsesAreRejected(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	sent := new(dns.Msg)
 	sent.SetQuestion("_menu._tcp.khuree.mn.", dns.TypeSRV)
@@ -219,7 +223,8 @@
 	if accepted != 0 {
 		t.Errorf("%d accepted", accepted)
 	}
-	ok := dns.Msg{MsgHdr: dns.MsgHdr{Id: sent.Id, Response: true}, Question: []dns.Question{{Name: "_MENU._tcp.Khuree.MN.", Qtype: dns.TypeSRV, Qclass: dns.ClassINET}}}
+	ok := dns.Msg{MsgHdr: dns.MsgHdr{Id: sent.Id, Response: true},
+		Question: []dns.Question{{Name: "_MENU._tcp.Khuree.MN.", Qtype: dns.TypeSRV, Qclass: dns.ClassINET}}}
 	if !Matches(sent, &ok) {
 		t.Error("the genuine response is rejected")
 	}
@@ -235,9 +240,9 @@
 		l, _ := New(Config{Name: "_menu._tcp.khuree.mn", Servers: 3, Seed: uint64(n)}, 0)
 		now := time.Duration(0)
 		for now < 10*time.Minute {
-			if _, _, asked := play(t, l, &now, good); now > time.Second {
-				perSecond[int(now/time.Second)] += len(asked)
-				total += len(asked)
+			if _, _, queries := runLookup(t, l, &now, good); now > time.Second {
+				perSecond[int(now/time.Second)] += len(queries)
+				total += len(queries)
 			}
 			now, _ = l.Next()
 		}
@@ -264,79 +269,79 @@
 	seed, _ := m.Pack()
 	f.Add(seed, seed)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		l, now, n := lookup(t, 2), time.Duration(0), 0
-		_, _, asked := play(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
+		l, now, n := newLookup(t, 2), time.Duration(0), 0
+		_, _, queries := runLookup(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
 			n++
-			text := first
+			packed := first
 			if n%2 == 0 {
-				text = second
+				packed = second
 			}
 			got := new(dns.Msg)
-			if got.Unpack(text) != nil {
+			if got.Unpack(packed) != nil {
 				return nil
 			}
 			return got
 		})
-		if _, idle := l.Next(); !idle || len(asked) > 4*(2+2*chainMost)*(1+2*targetsMost) {
-			t.Fatalf("idle %t after %d queries", idle, len(asked))
+		if _, idle := l.Next(); !idle || len(queries) > 4*(2+2*maxCNAMEs)*(1+2*maxTargets) {
+			t.Fatalf("idle %t after %d queries", idle, len(queries))
 		}
 	})
 }
 
 // The response of a name server that takes longer than the first timeout arrives in the end, and the next lookup waits long enough for
 // it. Without the longer timeout every query would be sent twice, or would never get its response.
-func TestASlowServerIsHeard(t *testing.T) {
+func TestTimeoutGrowsForSlowServer(t *testing.T) {
 	for _, slow := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 12 * time.Second} {
-		l, now := lookup(t, 1), time.Duration(0)
-		answer := zone(t, "_menu._tcp.khuree.mn. 60 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 60 IN A 10.0.0.1")
-		questions := 0
-		slowly := func(q Question, m *dns.Msg) *dns.Msg {
-			questions++
+		l, now := newLookup(t, 1), time.Duration(0)
+		respond := zone(t, "_menu._tcp.khuree.mn. 60 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 60 IN A 10.0.0.1")
+		sentQueries := 0
+		respondSlowly := func(q Question, m *dns.Msg) *dns.Msg {
+			sentQueries++
 			if q.Within < slow {
 				return nil
 			}
 			now += slow
-			return answer(q, m)
+			return respond(q, m)
 		}
-		var told *Answer
-		for ; told == nil && now < 5*time.Minute; now = l.next {
-			told, _, _ = play(t, l, &now, slowly)
+		var result *Answer
+		for ; result == nil && now < 5*time.Minute; now = l.nextAt {
+			result, _, _ = runLookup(t, l, &now, respondSlowly)
 		}
-		if told == nil {
-			t.Errorf("responses take %v: none arrived in time in %d queries", slow, questions)
+		if result == nil {
+			t.Errorf("responses take %v: none arrived in time in %d queries", slow, sentQueries)
 			continue
 		}
-		_, _, asked := play(t, l, &now, slowly)
-		if len(asked) != 3 {
-			t.Errorf("responses take %v: %d queries in the next lookup, 3 wanted", slow, len(asked))
+		_, _, queries := runLookup(t, l, &now, respondSlowly)
+		if len(queries) != 3 {
+			t.Errorf("responses take %v: %d queries in the next lookup, 3 wanted", slow, len(queries))
 		}
 	}
 }
 
 // A server that responds late to the SRV query and at once to address queries, which it has cached, gets each query once at every
 // refresh. A timeout taken from the last response would be too short for the SRV query.
-func TestASlowServiceBesideQuickAddresses(t *testing.T) {
+func TestTimeoutCoversSlowSRVBesideFastAddresses(t *testing.T) {
 	const slow = 3 * time.Second
-	l, now := lookup(t, 1), time.Duration(0)
-	answer := zone(t, "_menu._tcp.khuree.mn. 60 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 60 IN A 10.0.0.1")
-	mixed := func(q Question, m *dns.Msg) *dns.Msg {
+	l, now := newLookup(t, 1), time.Duration(0)
+	respond := zone(t, "_menu._tcp.khuree.mn. 60 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 60 IN A 10.0.0.1")
+	respondMixed := func(q Question, m *dns.Msg) *dns.Msg {
 		if q.Type == dns.TypeSRV {
 			if q.Within < slow {
 				return nil
 			}
 			now += slow
 		}
-		return answer(q, m)
+		return respond(q, m)
 	}
-	var told *Answer
-	for ; told == nil && now < 5*time.Minute; now = l.next {
-		told, _, _ = play(t, l, &now, mixed)
+	var result *Answer
+	for ; result == nil && now < 5*time.Minute; now = l.nextAt {
+		result, _, _ = runLookup(t, l, &now, respondMixed)
 	}
 	for refresh := range 3 {
-		told, logs, asked := play(t, l, &now, mixed)
-		if told == nil || len(asked) != 3 {
-			t.Errorf("refresh %d: %s, %d queries, 3 wanted; %q", refresh, names(told), len(asked), logs)
+		result, logs, queries := runLookup(t, l, &now, respondMixed)
+		if result == nil || len(queries) != 3 {
+			t.Errorf("refresh %d: %s, %d queries, 3 wanted; %q", refresh, describe(result), len(queries), logs)
 		}
-		now = l.next
+		now = l.nextAt
 	}
 }
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -99,84 +99,84 @@
 
 // Merge merges the sources of one pool. Handle takes every event in order. The same events give the same changes.
 type Merge struct {
-	cfg     Config
-	now     time.Duration
-	src     []source
-	boxes   map[string]*box     // by the id that the pool uses
-	ids     map[string]*box     // by the id that sources with ids report
-	at      map[string][]*box   // backends that a source with ids lists, by address
-	loose   map[string][]*entry // entries without an id, by address
-	bare    map[string]*box     // backends of the pool that no source has an entry for any more, by address
-	touched []*box              // backends that the event in hand may change
-	mark    uint64              // number of events
-	down    map[*box]bool       // backends whose checks fail
-	serving int                 // backends of the pool that are ready
-	held    map[*box]bool       // backends that the guard holds
-	wheel   *wheel.Wheel[alarm]
-	panics  bool // checks are ignored, because too many backends fail them
-
-	windowAt time.Duration // when the guard's window began
-	left     int           // backends that left within the window
-	log      []string
+	cfg        Config
+	now        time.Duration
+	sources    []source
+	backends   map[string]*backend   // by the id that the pool uses
+	bySourceID map[string]*backend   // by the id that sources with ids report
+	byAddr     map[string][]*backend // backends that a source with ids lists, by address
+	addrOnly   map[string][]*entry   // entries without an id, by address
+	orphans    map[string]*backend   // backends of the pool that no source has an entry for any more, by address
+	touched    []*backend            // backends that the event in hand may change
+	eventSeq   uint64                // number of events
+	failing    map[*backend]bool     // backends whose checks fail
+	serving    int                   // backends of the pool that are ready
+	held       map[*backend]bool     // backends that the guard holds
+	wheel      *wheel.Wheel[expiry]
+	inPanic    bool // checks are ignored, because too many backends fail them
+
+	windowStart  time.Duration // when the guard's window began
+	leftInWindow int           // backends that left within the window
+	logLines     []string
 }
 
 // source is the state of one source.
 type source struct {
 	SourceConfig
-	entries  map[string]*entry
-	whole    bool // it has sent a complete list
-	failed   bool // it can't be reached, or its revision has gone back
-	revision int64
-	until    time.Duration // the end of its list's lifetime; 0: none
-	alarm    wheel.ID
-	due      time.Duration // when alarm is set for
-	gen      uint64        // number of lists and updates received
-	seen     int           // entries that the current list names
+	entries     map[string]*entry
+	hasList     bool // it has sent a complete list
+	failed      bool // it can't be reached, or its revision has gone back
+	revision    int64
+	expiresAt   time.Duration // the end of its list's lifetime; 0: none
+	timer       wheel.ID
+	timerAt     time.Duration // when timer is set for
+	listSeq     uint64        // number of lists and updates received
+	listedCount int           // entries that the current list names
 }
 
 // entry is the last report of a source on one backend, and the backend that it is assigned to.
 type entry struct {
 	Entry
-	src   int
-	box   *box
-	stale bool
-	ghost bool          // it was draining when its source removed it, and it counts for DrainFor more
-	alarm wheel.ID      // set for the end of its lifetime, or for an earlier end where the lifetime has been extended since
-	due   time.Duration // when alarm is set for
-	gen   uint64        // gen of the source when it last listed the entry
-}
-
-// box is the state of one backend.
-type box struct {
-	id    string        // the id that the pool uses
-	named string        // the id that sources with ids report; empty: none has yet
-	says  []*entry      // by source
-	base  Change        // the merged state, before its checks are applied
-	told  Change        // the last change sent to the pool
-	known bool          // the pool has it: the last change sent was not Gone
-	rule  int           // index in Rules
-	check bool          // its checks fail
-	hold  time.Duration // when the guard's hold ends; 0: not held
-	freed bool          // its hold has ended, or an operator has released it
-	mark  uint64        // mark of the Merge when it was last touched
-	was   []bool        // by source: whether a partial source has listed it
-}
-
-// alarm is what a timer is for: the end of the lifetime of an entry or of a list, or the end of a hold.
-type alarm struct {
-	entry *entry
-	src   int // the source whose list it is for, where entry and box are nil
-	box   *box
+	sourceIndex int
+	backend     *backend
+	stale       bool
+	lingering   bool          // it was draining when its source removed it, and it counts for DrainFor more
+	timer       wheel.ID      // set for the end of its lifetime, or for an earlier end where the lifetime has been extended since
+	timerAt     time.Duration // when timer is set for
+	listSeq     uint64        // listSeq of the source when it last listed the entry
+}
+
+// backend is the state of one backend.
+type backend struct {
+	id            string        // the id that the pool uses
+	sourceID      string        // the id that sources with ids report; empty: none has yet
+	entries       []*entry      // by source
+	merged        Change        // the merged state, before its checks are applied
+	sent          Change        // the last change sent to the pool
+	inPool        bool          // the pool has it: the last change sent was not Gone
+	ruleIndex     int           // index in Rules
+	checksFail    bool          // its checks fail
+	holdEndsAt    time.Duration // when the guard's hold ends; 0: not held
+	released      bool          // its hold has ended, or an operator has released it
+	touchedSeq    uint64        // eventSeq of the Merge when it was last touched
+	partialListed []bool        // by source: whether a partial source has listed it
+}
+
+// expiry is what a timer is for: the end of the lifetime of an entry or of a list, or the end of a hold.
+type expiry struct {
+	entry       *entry
+	sourceIndex int // the source whose list it is for, where entry and backend are nil
+	backend     *backend
 }
 
 // NewMerge returns a Merge without backends.
 func NewMerge(cfg Config, now time.Duration) *Merge {
-	m := &Merge{cfg: cfg, now: now, boxes: map[string]*box{}, ids: map[string]*box{}, at: map[string][]*box{},
-		loose: map[string][]*entry{}, bare: map[string]*box{}, down: map[*box]bool{}, held: map[*box]bool{},
-		wheel: wheel.New[alarm](cfg.Tick, now)}
+	m := &Merge{cfg: cfg, now: now, backends: map[string]*backend{}, bySourceID: map[string]*backend{}, byAddr: map[string][]*backend{},
+		addrOnly: map[string][]*entry{}, orphans: map[string]*backend{}, failing: map[*backend]bool{}, held: map[*backend]bool{},
+		wheel: wheel.New[expiry](cfg.Tick, now)}
 	for _, s := range cfg.Sources {
 		s.Trust = cmp.Or(s.Trust, AllFacts)
-		m.src = append(m.src, source{SourceConfig: s, entries: map[string]*entry{}})
+		m.sources = append(m.sources, source{SourceConfig: s, entries: map[string]*entry{}})
 	}
 	return m
 }
@@ -186,110 +186,110 @@
 
 // Log returns the log lines since the last call.
 func (m *Merge) Log() []string {
-	l := m.log
-	m.log = nil
+	l := m.logLines
+	m.logLines = nil
 	return l
 }
 
 // Handle processes one event and appends the resulting changes to out, ordered by id.
 func (m *Merge) Handle(now time.Duration, ev Event, out []Change) []Change {
 	m.now = max(m.now, now) // time never goes back here, also when the caller's clock does
-	m.mark++
+	m.eventSeq++
 	m.touched = m.touched[:0]
 	switch ev.Kind {
 	case Listed:
-		if ev.Source >= 0 && ev.Source < len(m.src) {
-			m.listed(&ev)
+		if ev.Source >= 0 && ev.Source < len(m.sources) {
+			m.applyList(&ev)
 		}
 	case Failed:
-		if ev.Source >= 0 && ev.Source < len(m.src) && !m.src[ev.Source].failed {
-			s := &m.src[ev.Source]
+		if ev.Source >= 0 && ev.Source < len(m.sources) && !m.sources[ev.Source].failed {
+			s := &m.sources[ev.Source]
 			s.failed = true
-			m.log = append(m.log, fmt.Sprintf("source %s fails: its last word holds as old", s.Name))
+			m.logLines = append(m.logLines, fmt.Sprintf("source %s fails: its last word holds as old", s.Name))
 			m.touchAll()
 		}
 	case Checked:
-		if b := m.boxes[ev.Box]; b != nil && b.check == ev.Up {
-			b.check = !ev.Up
+		if b := m.backends[ev.Box]; b != nil && b.checksFail == ev.Up {
+			b.checksFail = !ev.Up
 			if ev.Up {
-				delete(m.down, b)
+				delete(m.failing, b)
 			} else {
-				m.down[b] = true
+				m.failing[b] = true
 			}
 			m.touch(b)
 		}
 	case Allowed:
 		for b := range m.held {
-			b.hold, b.freed = 0, true
+			b.holdEndsAt, b.released = 0, true
 			m.touch(b)
 		}
 		clear(m.held)
 	}
-	m.wheel.Advance(m.now, func(_ time.Duration, a alarm) { m.ring(a) })
+	m.wheel.Advance(m.now, func(_ time.Duration, a expiry) { m.timerFired(a) })
 	return m.decide(out, ev.Decided)
 }
 
 // touch marks a backend as one that the event may change.
-func (m *Merge) touch(b *box) {
-	if b.mark != m.mark {
-		b.mark = m.mark
+func (m *Merge) touch(b *backend) {
+	if b.touchedSeq != m.eventSeq {
+		b.touchedSeq = m.eventSeq
 		m.touched = append(m.touched, b)
 	}
 }
 
 func (m *Merge) touchAll() {
-	for _, b := range m.boxes {
+	for _, b := range m.backends {
 		m.touch(b)
 	}
 }
 
-// listed applies a complete list of a source, or updates to its list.
-func (m *Merge) listed(ev *Event) {
-	s := &m.src[ev.Source]
-	back := s.failed
+// applyList applies a complete list of a source, or updates to its list.
+func (m *Merge) applyList(ev *Event) {
+	s := &m.sources[ev.Source]
+	recovered := s.failed
 	s.failed = false
-	if back {
-		m.log = append(m.log, fmt.Sprintf("source %s is heard again", s.Name))
+	if recovered {
+		m.logLines = append(m.logLines, fmt.Sprintf("source %s is heard again", s.Name))
 	}
-	old := ev.Revision != 0 && ev.Revision < s.revision
-	if old && !ev.Complete {
-		m.log = append(m.log, fmt.Sprintf("source %s: changes of revision %d after %d: ignored", s.Name, ev.Revision, s.revision))
+	outdated := ev.Revision != 0 && ev.Revision < s.revision
+	if outdated && !ev.Complete {
+		m.logLines = append(m.logLines, fmt.Sprintf("source %s: changes of revision %d after %d: ignored", s.Name, ev.Revision, s.revision))
 		return
 	}
-	if old { // the source has gone back to an older state: its list counts as stale until its revision rises again
-		m.log = append(m.log, fmt.Sprintf("source %s: revision %d after %d: taken as old", s.Name, ev.Revision, s.revision))
+	if outdated { // the source has gone back to an older state: its list counts as stale until its revision rises again
+		m.logLines = append(m.logLines, fmt.Sprintf("source %s: revision %d after %d: taken as old", s.Name, ev.Revision, s.revision))
 		s.failed = true
 	}
 	s.revision = cmp.Or(ev.Revision, s.revision)
-	over := s.until > 0 && s.until <= m.now
-	s.until = ev.Until
-	s.gen++
-	s.seen = 0
+	hadExpired := s.expiresAt > 0 && s.expiresAt <= m.now
+	s.expiresAt = ev.Until
+	s.listSeq++
+	s.listedCount = 0
 	for i := range ev.Entries {
-		m.entry(s, ev.Source, &ev.Entries[i], cmp.Or(ev.Entries[i].Until, ev.Until))
+		m.applyEntry(s, ev.Source, &ev.Entries[i], cmp.Or(ev.Entries[i].Until, ev.Until))
 	}
-	first := ev.Complete && !s.whole
+	firstList := ev.Complete && !s.hasList
 	if ev.Complete {
-		s.whole = true
-		if s.seen < len(s.entries) && !old {
+		s.hasList = true
+		if s.listedCount < len(s.entries) && !outdated {
 			for _, e := range s.entries {
-				if e.gen != s.gen {
-					m.drop(s, e)
+				if e.listSeq != s.listSeq {
+					m.unlistEntry(s, e)
 				}
 			}
 		}
 	}
-	if first || back != s.failed || old || over {
+	if firstList || recovered != s.failed || outdated || hadExpired {
 		m.touchAll() // also backends that it doesn't list, since their votes change too
 	}
-	if s.until > 0 && (s.alarm == wheel.ID{} || s.until < s.due) {
-		m.wheel.Stop(s.alarm)
-		s.alarm, s.due = m.wheel.Arm(s.until, alarm{src: ev.Source}), s.until
+	if s.expiresAt > 0 && (s.timer == wheel.ID{} || s.expiresAt < s.timerAt) {
+		m.wheel.Stop(s.timer)
+		s.timer, s.timerAt = m.wheel.Arm(s.expiresAt, expiry{sourceIndex: ev.Source}), s.expiresAt
 	}
 }
 
-// entry applies one entry of a source.
-func (m *Merge) entry(s *source, number int, x *Entry, until time.Duration) {
+// applyEntry applies one entry of a source.
+func (m *Merge) applyEntry(s *source, index int, x *Entry, until time.Duration) {
 	if x.ID == x.Addr && x.ID != "" { // the address stands in for an id: another source may have the real one
 		c := *x
 		c.ID = ""
@@ -298,104 +298,104 @@
 	e := s.entries[x.Name]
 	if x.Phase == balance.Gone {
 		if e != nil {
-			m.drop(s, e)
+			m.unlistEntry(s, e)
 		}
 		return
 	}
 	if e != nil && e.ID == x.ID && e.Addr == x.Addr {
-		if e.gen != s.gen { // otherwise the list names it twice
-			s.seen++
+		if e.listSeq != s.listSeq { // otherwise the list names it twice
+			s.listedCount++
 		}
-		e.gen = s.gen
-		was, same := e.stale, e.Line == x.Line && e.Tier == x.Tier && e.Knows == x.Knows
-		shifts := x.ID != "" && (e.Line.Phase != x.Line.Phase || e.Launched != x.Launched)
-		was = was || e.ghost
-		e.Entry, e.stale, e.ghost = *x, false, false
+		e.listSeq = s.listSeq
+		wasInactive, unchanged := e.stale, e.Line == x.Line && e.Tier == x.Tier && e.Knows == x.Knows
+		ownerMayChange := x.ID != "" && (e.Line.Phase != x.Line.Phase || e.Launched != x.Launched)
+		wasInactive = wasInactive || e.lingering
+		e.Entry, e.stale, e.lingering = *x, false, false
 		e.Until = until
-		if was || !same {
-			m.touch(e.box)
+		if wasInactive || !unchanged {
+			m.touch(e.backend)
 		}
-		if shifts {
-			m.reseat(e.Addr)
+		if ownerMayChange {
+			m.reassign(e.Addr)
 		}
-		m.arm(e)
+		m.armTimer(e)
 		return
 	}
 	if e != nil {
-		m.remove(s, e) // the name now belongs to another id or address
+		m.deleteEntry(s, e) // the name now belongs to another id or address
 	}
-	e = &entry{Entry: *x, src: number, gen: s.gen}
+	e = &entry{Entry: *x, sourceIndex: index, listSeq: s.listSeq}
 	e.Until = until
 	s.entries[x.Name] = e
-	s.seen++
-	m.arm(e)
+	s.listedCount++
+	m.armTimer(e)
 	if x.ID == "" {
-		m.loose[x.Addr] = append(m.loose[x.Addr], e)
-		m.attach(e, m.owner(x.Addr, e))
+		m.addrOnly[x.Addr] = append(m.addrOnly[x.Addr], e)
+		m.attach(e, m.backendAt(x.Addr, e))
 		return
 	}
-	b := m.ids[x.ID]
+	b := m.bySourceID[x.ID]
 	if b == nil {
-		b = m.adopt(x)
+		b = m.backendForID(x)
 	}
 	m.attach(e, b)
-	m.reseat(x.Addr)
+	m.reassign(x.Addr)
 }
 
-// adopt returns the backend for a new id: the one at its address that has no id yet, or else a new one.
-func (m *Merge) adopt(x *Entry) *box {
-	var b *box
-	if l := m.loose[x.Addr]; len(l) > 0 && l[0].box.named == "" && len(m.at[x.Addr]) == 0 {
-		b = l[0].box
-	} else if bare := m.bare[x.Addr]; bare != nil && bare.named == "" {
-		b = bare
+// backendForID returns the backend for a new id: the one at its address that has no id yet, or else a new one.
+func (m *Merge) backendForID(x *Entry) *backend {
+	var b *backend
+	if l := m.addrOnly[x.Addr]; len(l) > 0 && l[0].backend.sourceID == "" && len(m.byAddr[x.Addr]) == 0 {
+		b = l[0].backend
+	} else if orphan := m.orphans[x.Addr]; orphan != nil && orphan.sourceID == "" {
+		b = orphan
 	} else {
-		b = m.newBox(x.ID)
+		b = m.addBackend(x.ID)
 	}
-	b.named = x.ID
-	m.ids[x.ID] = b
+	b.sourceID = x.ID
+	m.bySourceID[x.ID] = b
 	return b
 }
 
-// newBox adds a backend with this id for the pool. Where another backend has the id, it gets a numbered suffix.
-func (m *Merge) newBox(id string) *box {
-	free := id
-	for i := 2; m.boxes[free] != nil; i++ {
-		free = fmt.Sprintf("%s#%d", id, i)
+// addBackend adds a backend with this id for the pool. Where another backend has the id, it gets a numbered suffix.
+func (m *Merge) addBackend(id string) *backend {
+	unusedID := id
+	for i := 2; m.backends[unusedID] != nil; i++ {
+		unusedID = fmt.Sprintf("%s#%d", id, i)
 	}
-	b := &box{id: free, says: make([]*entry, len(m.src)), rule: len(Rules) - 1}
-	b.told.Line.Phase, b.base.Line.Phase = balance.Gone, balance.Gone
-	m.boxes[free] = b
+	b := &backend{id: unusedID, entries: make([]*entry, len(m.sources)), ruleIndex: len(Rules) - 1}
+	b.sent.Line.Phase, b.merged.Line.Phase = balance.Gone, balance.Gone
+	m.backends[unusedID] = b
 	return b
 }
 
-// owner returns the backend that an entry without an id is assigned to, by its address.
-func (m *Merge) owner(addr string, e *entry) *box {
-	if l := m.at[addr]; len(l) > 0 {
-		return slices.MinFunc(l, func(x, y *box) int {
-			return cmp.Or(cmp.Compare(x.phase(), y.phase()), cmp.Compare(y.start(), x.start()), cmp.Compare(x.named, y.named))
+// backendAt returns the backend that an entry without an id is assigned to, by its address.
+func (m *Merge) backendAt(addr string, e *entry) *backend {
+	if l := m.byAddr[addr]; len(l) > 0 {
+		return slices.MinFunc(l, func(x, y *backend) int {
+			return cmp.Or(cmp.Compare(x.phase(), y.phase()), cmp.Compare(y.latestStart(), x.latestStart()), cmp.Compare(x.sourceID, y.sourceID))
 		})
 	}
-	for _, other := range m.loose[addr] {
-		if other.box != nil && other.box.named == "" {
-			return other.box
+	for _, other := range m.addrOnly[addr] {
+		if other.backend != nil && other.backend.sourceID == "" {
+			return other.backend
 		}
 	}
-	if b := m.bare[addr]; b != nil {
+	if b := m.orphans[addr]; b != nil {
 		return b
 	}
-	return m.newBox(e.Name)
+	return m.addBackend(e.Name)
 }
 
-// silent reports whether no source has an entry for the backend.
-func (b *box) silent() bool {
-	return !slices.ContainsFunc(b.says, func(e *entry) bool { return e != nil })
+// hasNoEntries reports whether no source has an entry for the backend.
+func (b *backend) hasNoEntries() bool {
+	return !slices.ContainsFunc(b.entries, func(e *entry) bool { return e != nil })
 }
 
 // phase returns the phase of the backend by sources with ids: the most available one that any of them reports.
-func (b *box) phase() balance.Phase {
+func (b *backend) phase() balance.Phase {
 	p := balance.Gone
-	for _, e := range b.says {
+	for _, e := range b.entries {
 		if e != nil && e.ID != "" {
 			p = min(p, e.Line.Phase)
 		}
@@ -403,10 +403,10 @@
 	return p
 }
 
-// start returns the latest start of the backend by sources with ids.
-func (b *box) start() time.Duration {
+// latestStart returns the latest start of the backend by sources with ids.
+func (b *backend) latestStart() time.Duration {
 	var at time.Duration
-	for _, e := range b.says {
+	for _, e := range b.entries {
 		if e != nil && e.ID != "" {
 			at = max(at, e.Launched)
 		}
@@ -415,179 +415,179 @@
 }
 
 // attach assigns an entry to a backend.
-func (m *Merge) attach(e *entry, b *box) {
-	e.box = b
-	if m.bare[b.told.Addr] == b {
-		delete(m.bare, b.told.Addr)
-	}
-	if m.src[e.src].Partial {
-		if b.was == nil {
-			b.was = make([]bool, len(m.src))
+func (m *Merge) attach(e *entry, b *backend) {
+	e.backend = b
+	if m.orphans[b.sent.Addr] == b {
+		delete(m.orphans, b.sent.Addr)
+	}
+	if m.sources[e.sourceIndex].Partial {
+		if b.partialListed == nil {
+			b.partialListed = make([]bool, len(m.sources))
 		}
-		b.was[e.src] = true
+		b.partialListed[e.sourceIndex] = true
 	}
-	if b.says[e.src] == nil { // of two entries of one source for one backend the first counts
-		b.says[e.src] = e
+	if b.entries[e.sourceIndex] == nil { // of two entries of one source for one backend the first counts
+		b.entries[e.sourceIndex] = e
 	}
-	if e.ID != "" && !slices.Contains(m.at[e.Addr], b) {
-		m.at[e.Addr] = append(m.at[e.Addr], b)
+	if e.ID != "" && !slices.Contains(m.byAddr[e.Addr], b) {
+		m.byAddr[e.Addr] = append(m.byAddr[e.Addr], b)
 	}
 	m.touch(b)
 }
 
 // detach undoes attach: the next entry of the same source for the backend, if any, takes the place of this one.
 func (m *Merge) detach(e *entry) {
-	b := e.box
-	if b.says[e.src] == e {
-		b.says[e.src] = nil
-		for _, other := range m.loose[e.Addr] {
-			if other != e && other.src == e.src && other.box == b {
-				b.says[e.src] = other
+	b := e.backend
+	if b.entries[e.sourceIndex] == e {
+		b.entries[e.sourceIndex] = nil
+		for _, other := range m.addrOnly[e.Addr] {
+			if other != e && other.sourceIndex == e.sourceIndex && other.backend == b {
+				b.entries[e.sourceIndex] = other
 				break
 			}
 		}
 	}
-	if b.known && b.silent() {
-		m.bare[b.told.Addr] = b
+	if b.inPool && b.hasNoEntries() {
+		m.orphans[b.sent.Addr] = b
 	}
-	if e.ID != "" && !slices.ContainsFunc(b.says, func(o *entry) bool { return o != nil && o.ID != "" && o.Addr == e.Addr }) {
-		m.at[e.Addr] = without(m.at[e.Addr], b)
-		if len(m.at[e.Addr]) == 0 {
-			delete(m.at, e.Addr)
+	if e.ID != "" && !slices.ContainsFunc(b.entries, func(o *entry) bool { return o != nil && o.ID != "" && o.Addr == e.Addr }) {
+		m.byAddr[e.Addr] = removeFirst(m.byAddr[e.Addr], b)
+		if len(m.byAddr[e.Addr]) == 0 {
+			delete(m.byAddr, e.Addr)
 		}
 	}
 	m.touch(b)
 }
 
-// without deletes the first x from list, in place.
-func without[T comparable](list []T, x T) []T {
+// removeFirst deletes the first x from list, in place.
+func removeFirst[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// drop handles an entry that its source has removed. Where the backend was draining and another source still lists it, the drain
+// unlistEntry handles an entry that its source has removed. Where the backend was draining and another source still lists it, the drain
 // counts for DrainFor more: the other source is late, and without the drain a backend that has just finished would get new requests.
-func (m *Merge) drop(s *source, e *entry) {
-	others := slices.ContainsFunc(e.box.says, func(o *entry) bool { return o != nil && o != e && !o.ghost })
+func (m *Merge) unlistEntry(s *source, e *entry) {
+	others := slices.ContainsFunc(e.backend.entries, func(o *entry) bool { return o != nil && o != e && !o.lingering })
 	switch {
-	case e.ghost && others:
+	case e.lingering && others:
 	case e.Line.Phase == balance.Draining && others && m.cfg.DrainFor > 0:
-		m.wheel.Stop(e.alarm)
-		e.ghost, e.stale, e.Until, e.due = true, true, m.now, m.now+m.cfg.DrainFor
-		e.alarm = m.wheel.Arm(e.due, alarm{entry: e})
-		m.touch(e.box)
+		m.wheel.Stop(e.timer)
+		e.lingering, e.stale, e.Until, e.timerAt = true, true, m.now, m.now+m.cfg.DrainFor
+		e.timer = m.wheel.Arm(e.timerAt, expiry{entry: e})
+		m.touch(e.backend)
 	default:
-		m.remove(s, e)
+		m.deleteEntry(s, e)
 	}
 }
 
-// remove deletes an entry. Entries without an id at its address go to the backend that has the address now.
-func (m *Merge) remove(s *source, e *entry) {
+// deleteEntry deletes an entry. Entries without an id at its address go to the backend that has the address now.
+func (m *Merge) deleteEntry(s *source, e *entry) {
 	delete(s.entries, e.Name)
-	m.wheel.Stop(e.alarm)
+	m.wheel.Stop(e.timer)
 	if e.ID == "" {
-		m.loose[e.Addr] = without(m.loose[e.Addr], e)
-		if len(m.loose[e.Addr]) == 0 {
-			delete(m.loose, e.Addr)
+		m.addrOnly[e.Addr] = removeFirst(m.addrOnly[e.Addr], e)
+		if len(m.addrOnly[e.Addr]) == 0 {
+			delete(m.addrOnly, e.Addr)
 		}
 	}
-	b := e.box
+	b := e.backend
 	m.detach(e)
-	e.box = nil
+	e.backend = nil
 	if e.ID != "" {
-		m.reseat(e.Addr)
+		m.reassign(e.Addr)
 	}
-	m.lay(b)
+	m.deleteLingering(b)
 }
 
-// lay deletes the remaining entries of a backend where all of them are drains whose source has removed it.
-func (m *Merge) lay(b *box) {
-	if slices.ContainsFunc(b.says, func(e *entry) bool { return e != nil && !e.ghost }) {
+// deleteLingering deletes the remaining entries of a backend where all of them are drains whose source has removed it.
+func (m *Merge) deleteLingering(b *backend) {
+	if slices.ContainsFunc(b.entries, func(e *entry) bool { return e != nil && !e.lingering }) {
 		return
 	}
-	for _, e := range b.says {
+	for _, e := range b.entries {
 		if e != nil {
-			m.remove(&m.src[e.src], e)
+			m.deleteEntry(&m.sources[e.sourceIndex], e)
 		}
 	}
 }
 
-// reseat assigns the entries without an id at an address to the backend that has the address now. Where no backend with an id has
+// reassign assigns the entries without an id at an address to the backend that has the address now. Where no backend with an id has
 // the address any more, they stay with their backend: it keeps its identity when a source with ids removes it.
-func (m *Merge) reseat(addr string) {
-	if len(m.at[addr]) == 0 {
+func (m *Merge) reassign(addr string) {
+	if len(m.byAddr[addr]) == 0 {
 		return
 	}
-	var left []*box
-	for _, e := range m.loose[addr] {
-		if b, was := m.owner(addr, e), e.box; b != was {
+	var previous []*backend
+	for _, e := range m.addrOnly[addr] {
+		if b, old := m.backendAt(addr, e), e.backend; b != old {
 			m.detach(e)
 			m.attach(e, b)
-			left = append(left, was)
+			previous = append(previous, old)
 		}
 	}
-	for _, b := range left {
-		m.lay(b)
+	for _, b := range previous {
+		m.deleteLingering(b)
 	}
 }
 
-// arm sets the timer for the end of an entry's lifetime. Where the lifetime is extended, the old timer stays and is set again when
+// armTimer sets the timer for the end of an entry's lifetime. Where the lifetime is extended, the old timer stays and is set again when
 // it fires: so a refreshed list costs no timer operations.
-func (m *Merge) arm(e *entry) {
-	if e.Until > 0 && (e.alarm == wheel.ID{} || e.Until < e.due) {
-		m.wheel.Stop(e.alarm)
-		e.alarm, e.due = m.wheel.Arm(e.Until, alarm{entry: e}), e.Until
+func (m *Merge) armTimer(e *entry) {
+	if e.Until > 0 && (e.timer == wheel.ID{} || e.Until < e.timerAt) {
+		m.wheel.Stop(e.timer)
+		e.timer, e.timerAt = m.wheel.Arm(e.Until, expiry{entry: e}), e.Until
 	}
 }
 
-// ring handles a timer that has fired.
-func (m *Merge) ring(a alarm) {
+// timerFired handles a timer that has fired.
+func (m *Merge) timerFired(a expiry) {
 	switch {
-	case a.box != nil:
-		if a.box.hold > 0 && a.box.hold <= m.now && m.boxes[a.box.id] == a.box {
-			a.box.hold, a.box.freed = 0, true
-			delete(m.held, a.box)
-			m.touch(a.box)
+	case a.backend != nil:
+		if a.backend.holdEndsAt > 0 && a.backend.holdEndsAt <= m.now && m.backends[a.backend.id] == a.backend {
+			a.backend.holdEndsAt, a.backend.released = 0, true
+			delete(m.held, a.backend)
+			m.touch(a.backend)
 		}
 	case a.entry != nil:
 		e := a.entry
-		s := &m.src[e.src]
-		e.alarm = wheel.ID{}
+		s := &m.sources[e.sourceIndex]
+		e.timer = wheel.ID{}
 		switch {
-		case e.ghost:
-			m.remove(s, e)
+		case e.lingering:
+			m.deleteEntry(s, e)
 		case e.Until == 0 || e.Until > m.now:
 			e.stale = false
-			m.arm(e)
+			m.armTimer(e)
 		case e.Until+s.Keep > m.now:
 			if !e.stale {
 				e.stale = true
-				m.touch(e.box)
+				m.touch(e.backend)
 			}
-			e.due = e.Until + s.Keep
-			e.alarm = m.wheel.Arm(e.due, a)
+			e.timerAt = e.Until + s.Keep
+			e.timer = m.wheel.Arm(e.timerAt, a)
 		default:
-			m.remove(s, e)
+			m.deleteEntry(s, e)
 		}
 	default:
-		s := &m.src[a.src]
-		s.alarm = wheel.ID{}
+		s := &m.sources[a.sourceIndex]
+		s.timer = wheel.ID{}
 		switch {
-		case s.until > m.now:
-			s.alarm, s.due = m.wheel.Arm(s.until, a), s.until
-		case s.until > 0:
+		case s.expiresAt > m.now:
+			s.timer, s.timerAt = m.wheel.Arm(s.expiresAt, a), s.expiresAt
+		case s.expiresAt > 0:
 			m.touchAll() // what it leaves out is a stale vote from now on
 		}
 	}
 }
 
 // vote returns the vote of a source on a backend.
-func (m *Merge) vote(i int, b *box) Vote {
-	s, e := &m.src[i], b.says[i]
-	old := s.failed || s.until > 0 && s.until <= m.now
-	if e != nil && e.ghost && s.Trust&e.Knows&Phase == 0 {
+func (m *Merge) vote(i int, b *backend) Vote {
+	s, e := &m.sources[i], b.entries[i]
+	listStale := s.failed || s.expiresAt > 0 && s.expiresAt <= m.now
+	if e != nil && e.lingering && s.Trust&e.Knows&Phase == 0 {
 		e = nil
 	}
 	switch {
@@ -597,15 +597,15 @@
 		}
 		return Drains
 	case s.Trust&Existence == 0:
-		return Silent
+		return Abstains
 	case e != nil && (e.stale || s.failed):
 		return Had
 	case e != nil:
 		return Has
-	case !s.whole, s.Partial && (b.was == nil || !b.was[i]):
-		return Silent
-	case old:
-		return Lacked
+	case !s.hasList, s.Partial && (b.partialListed == nil || !b.partialListed[i]):
+		return Abstains
+	case listStale:
+		return StaleLacks
 	case s.Must:
 		return Denies
 	}
@@ -613,40 +613,40 @@
 }
 
 // votes returns the votes of all sources on a backend.
-func (m *Merge) votes(b *box) Votes {
-	var set Votes
-	for i := range m.src {
-		set |= Of(m.vote(i, b))
+func (m *Merge) votes(b *backend) VoteSet {
+	var set VoteSet
+	for i := range m.sources {
+		set |= SetOf(m.vote(i, b))
 	}
 	return set
 }
 
-// facts merges the facts of a backend besides its phase. Of each fact the first trusted source counts, fresh sources before stale
-// ones.
-func (m *Merge) facts(b *box) (l members.Line, tier int) {
+// mergeFacts merges the facts of a backend besides its phase. Of each fact the first trusted source counts, fresh sources
+// before stale ones.
+func (m *Merge) mergeFacts(b *backend) (l members.Line, tier int) {
 	l.ID, l.Member.Weight = b.id, 1
-	var have Facts
+	var known Facts
 	for _, stale := range [2]bool{false, true} {
-		for i, e := range b.says {
-			if e == nil || (e.stale || m.src[i].failed) != stale {
+		for i, e := range b.entries {
+			if e == nil || (e.stale || m.sources[i].failed) != stale {
 				continue
 			}
-			tells := m.src[i].Trust & e.Knows
-			take := tells &^ have
-			have |= tells
-			if take&Address != 0 {
+			reported := m.sources[i].Trust & e.Knows
+			taken := reported &^ known
+			known |= reported
+			if taken&Address != 0 {
 				l.Addr = e.Addr
 			}
-			if take&Weight != 0 {
+			if taken&Weight != 0 {
 				l.Member.Weight = e.Line.Member.Weight
 			}
-			if take&Zone != 0 {
+			if taken&Zone != 0 {
 				l.Zone, l.Cell, l.Kind = e.Line.Zone, e.Cell, e.Kind
 			}
-			if take&Tier != 0 {
+			if taken&Tier != 0 {
 				tier = e.Tier
 			}
-			if tells&Start != 0 { // the latest start counts: a cold backend that is taken for warm gets more load than it can serve
+			if reported&Start != 0 { // the latest start counts: a cold backend that is taken for warm gets more load than it can serve
 				l.Launched = max(l.Launched, e.Launched)
 			}
 		}
@@ -654,138 +654,139 @@
 	return l, tier
 }
 
-// decide applies the rules to the touched backends, holds removals over the guard's limit, and appends what has changed to out. meant
-// says that the removals are deliberate.
-func (m *Merge) decide(out []Change, meant bool) []Change {
+// decide applies the rules to the touched backends, holds removals over the guard's limit, and appends what has changed to out.
+// deliberate reports that the guard doesn't apply, since the removals are meant.
+func (m *Merge) decide(out []Change, deliberate bool) []Change {
 	if len(m.touched) == 0 {
 		return out
 	}
-	if m.now-m.windowAt >= m.cfg.GuardWindow {
-		m.windowAt, m.left = m.now, 0
+	if m.now-m.windowStart >= m.cfg.GuardWindow {
+		m.windowStart, m.leftInWindow = m.now, 0
 	}
-	before := m.serving + m.left
-	var leaving []*box
+	before := m.serving + m.leftInWindow
+	var leaving []*backend
 	first := len(out)
 	for i := 0; i < len(m.touched); i++ {
 		b := m.touched[i]
-		b.rule = Decide(m.votes(b))
-		b.hold = m.holds(b)
-		b.freed = b.freed && Rules[b.rule].Verdict == Leaves
-		if v := Rules[b.rule].Verdict; v == Leaves && b.known && b.told.Line.Phase == balance.Ready && b.hold == 0 {
-			if !b.check && !b.freed {
+		b.ruleIndex = Decide(m.votes(b))
+		b.holdEndsAt = m.holdEnd(b)
+		b.released = b.released && Rules[b.ruleIndex].Verdict == Remove
+		if v := Rules[b.ruleIndex].Verdict; v == Remove && b.inPool && b.sent.Line.Phase == balance.Ready && b.holdEndsAt == 0 {
+			if !b.checksFail && !b.released {
 				leaving = append(leaving, b)
 				continue
 			}
 		}
-		out = m.tell(b, out)
+		out = m.emit(b, out)
 	}
-	if m.cfg.GuardPart > 0 && !meant && len(leaving) > 0 && float64(m.left+len(leaving)) > m.cfg.GuardPart*float64(before) {
+	if m.cfg.GuardPart > 0 && !deliberate && len(leaving) > 0 && float64(m.leftInWindow+len(leaving)) > m.cfg.GuardPart*float64(before) {
 		for _, b := range leaving {
-			b.hold = m.now + m.cfg.GuardHold
+			b.holdEndsAt = m.now + m.cfg.GuardHold
 			m.held[b] = true
-			m.wheel.Arm(b.hold, alarm{box: b})
+			m.wheel.Arm(b.holdEndsAt, expiry{backend: b})
 		}
-		m.log = append(m.log, fmt.Sprintf("%d of %d serving boxes would leave within %v and have not failed: held for %v, unless an operator lets them go",
-			m.left+len(leaving), before, m.cfg.GuardWindow, m.cfg.GuardHold))
+		m.logLines = append(m.logLines, fmt.Sprintf(
+			"%d of %d serving boxes would leave within %v and have not failed: held for %v, unless an operator lets them go",
+			m.leftInWindow+len(leaving), before, m.cfg.GuardWindow, m.cfg.GuardHold))
 		leaving = nil
 	}
-	m.left += len(leaving)
+	m.leftInWindow += len(leaving)
 	for _, b := range leaving {
-		out = m.tell(b, out)
+		out = m.emit(b, out)
 	}
-	out = m.weighChecks(out)
+	out = m.applyPanicThreshold(out)
 	slices.SortStableFunc(out[first:], func(x, y Change) int { return cmp.Compare(x.ID, y.ID) })
 	return out
 }
 
-// holds returns when the hold of a backend ends. 0: it isn't held, also because it is listed again or its checks fail.
-func (m *Merge) holds(b *box) time.Duration {
-	if b.hold > 0 && Rules[b.rule].Verdict == Leaves && !b.check {
-		return b.hold
+// holdEnd returns when the hold of a backend ends. 0: it isn't held, also because it is listed again or its checks fail.
+func (m *Merge) holdEnd(b *backend) time.Duration {
+	if b.holdEndsAt > 0 && Rules[b.ruleIndex].Verdict == Remove && !b.checksFail {
+		return b.holdEndsAt
 	}
 	delete(m.held, b)
 	return 0
 }
 
-// tell appends the state of a backend to out, if it differs from the state that the pool has.
-func (m *Merge) tell(b *box, out []Change) []Change {
-	c := Change{Rule: b.rule}
-	c.Line, c.Tier = m.facts(b)
-	switch verdict := Rules[b.rule].Verdict; {
-	case verdict == Keep && b.known:
-		c = b.base
-		c.Rule = b.rule
-	case verdict == Leaves && b.hold > 0:
-		c = b.base
-		c.Rule, c.Note = b.rule, "held by the guard"
-	case verdict == Keep, verdict == Leaves:
+// emit appends the state of a backend to out, if it differs from the state that the pool has.
+func (m *Merge) emit(b *backend, out []Change) []Change {
+	c := Change{Rule: b.ruleIndex}
+	c.Line, c.Tier = m.mergeFacts(b)
+	switch verdict := Rules[b.ruleIndex].Verdict; {
+	case verdict == Unchanged && b.inPool:
+		c = b.merged
+		c.Rule = b.ruleIndex
+	case verdict == Remove && b.holdEndsAt > 0:
+		c = b.merged
+		c.Rule, c.Note = b.ruleIndex, "held by the guard"
+	case verdict == Unchanged, verdict == Remove:
 		c.Line.Phase = balance.Gone
-		c.Addr = cmp.Or(c.Addr, b.told.Addr)
-	case verdict == Retires:
+		c.Addr = cmp.Or(c.Addr, b.sent.Addr)
+	case verdict == Drain:
 		c.Line.Phase = balance.Draining
 	}
-	b.base = c
-	if c.Line.Phase == balance.Ready && b.check && !m.panics {
+	b.merged = c
+	if c.Line.Phase == balance.Ready && b.checksFail && !m.inPanic {
 		c.Line.Phase, c.Note = balance.Draining, "its checks fail"
 	}
-	if b.known && b.told.Line.Phase == balance.Ready {
+	if b.inPool && b.sent.Line.Phase == balance.Ready {
 		m.serving--
 	}
 	if c.Line.Phase == balance.Ready {
 		m.serving++
 	}
-	if b.known || c.Line.Phase != balance.Gone {
-		if b.told.Line != c.Line || b.told.Tier != c.Tier {
+	if b.inPool || c.Line.Phase != balance.Gone {
+		if b.sent.Line != c.Line || b.sent.Tier != c.Tier {
 			out = append(out, c)
 		}
 	}
-	b.told, b.known = c, c.Line.Phase != balance.Gone
-	if !b.known && b.silent() {
+	b.sent, b.inPool = c, c.Line.Phase != balance.Gone
+	if !b.inPool && b.hasNoEntries() {
 		m.forget(b)
 	}
 	return out
 }
 
 // forget deletes a backend that no source has an entry for.
-func (m *Merge) forget(b *box) {
-	if m.boxes[b.id] != b {
+func (m *Merge) forget(b *backend) {
+	if m.backends[b.id] != b {
 		return // deleted before
 	}
-	delete(m.boxes, b.id)
-	delete(m.down, b)
+	delete(m.backends, b.id)
+	delete(m.failing, b)
 	delete(m.held, b)
-	if m.bare[b.told.Addr] == b {
-		delete(m.bare, b.told.Addr)
+	if m.orphans[b.sent.Addr] == b {
+		delete(m.orphans, b.sent.Addr)
 	}
-	if m.ids[b.named] == b {
-		delete(m.ids, b.named)
+	if m.bySourceID[b.sourceID] == b {
+		delete(m.bySourceID, b.sourceID)
 	}
 }
 
-// weighChecks applies the panic threshold: while more than PanicPart of the backends fail their checks, the checks are ignored. Either
-// the checks are wrong then, or sending to some backends that are down does less harm than overloading the rest.
-func (m *Merge) weighChecks(out []Change) []Change {
+// applyPanicThreshold applies the panic threshold: while more than PanicPart of the backends fail their checks, the checks are
+// ignored. Either the checks are wrong then, or sending to some backends that are down does less harm than overloading the rest.
+func (m *Merge) applyPanicThreshold(out []Change) []Change {
 	if m.cfg.PanicPart <= 0 {
 		return out
 	}
-	down := 0
-	for b := range m.down {
-		if b.known && b.base.Line.Phase == balance.Ready {
-			down++
+	failing := 0
+	for b := range m.failing {
+		if b.inPool && b.merged.Line.Phase == balance.Ready {
+			failing++
 		}
 	}
-	all := m.serving
-	if !m.panics {
-		all += down
+	total := m.serving
+	if !m.inPanic {
+		total += failing
 	}
-	is := float64(down) > m.cfg.PanicPart*float64(all)
-	if is == m.panics {
+	panicNow := float64(failing) > m.cfg.PanicPart*float64(total)
+	if panicNow == m.inPanic {
 		return out
 	}
-	m.panics = is
-	m.log = append(m.log, fmt.Sprintf("%d of %d boxes fail their checks: checks are passed over: %t", down, all, is))
-	for _, b := range slices.SortedFunc(maps.Keys(m.down), func(x, y *box) int { return cmp.Compare(x.id, y.id) }) {
-		out = m.tell(b, out)
+	m.inPanic = panicNow
+	m.logLines = append(m.logLines, fmt.Sprintf("%d of %d boxes fail their checks: checks are passed over: %t", failing, total, panicNow))
+	for _, b := range slices.SortedFunc(maps.Keys(m.failing), func(x, y *backend) int { return cmp.Compare(x.id, y.id) }) {
+		out = m.emit(b, out)
 	}
 	return out
 }
@@ -797,11 +798,11 @@
 	Tier  int
 	Rule  int
 	Note  string
-	Says  []Said // by source
+	Says  []SourceVote // by source
 }
 
-// Said is the vote of one source on a backend.
-type Said struct {
+// SourceVote is the vote of one source on a backend.
+type SourceVote struct {
 	Vote Vote
 	Addr string
 	Left time.Duration // the rest of the entry's lifetime; negative: stale for that long; 0: it has no lifetime
@@ -809,27 +810,27 @@
 
 // Disagree reports whether fresh sources differ about the backend, or any two sources about its address.
 func (v *View) Disagree() bool {
-	var set Votes
-	addr, two := "", false
+	var set VoteSet
+	addr, addrsDiffer := "", false
 	for _, s := range v.Says {
-		set |= Of(s.Vote)
+		set |= SetOf(s.Vote)
 		if s.Addr != "" {
-			two = two || addr != "" && addr != s.Addr
+			addrsDiffer = addrsDiffer || addr != "" && addr != s.Addr
 			addr = s.Addr
 		}
 	}
-	listed := set&Of(Has, Drains) != 0
-	return two || listed && set&Of(Lacks, Denies) != 0 || set&Of(Has) != 0 && set&Of(Drains) != 0
+	listed := set&SetOf(Has, Drains) != 0
+	return addrsDiffer || listed && set&SetOf(Lacks, Denies) != 0 || set&SetOf(Has) != 0 && set&SetOf(Drains) != 0
 }
 
 // Views returns the state of all backends, ordered by id.
 func (m *Merge) Views() []View {
 	var list []View
-	for _, b := range m.boxes {
-		v := View{Line: b.told.Line, Named: b.named != "", Tier: b.told.Tier, Rule: b.rule, Note: b.told.Note}
+	for _, b := range m.backends {
+		v := View{Line: b.sent.Line, Named: b.sourceID != "", Tier: b.sent.Tier, Rule: b.ruleIndex, Note: b.sent.Note}
 		v.ID = b.id
-		for i, e := range b.says {
-			s := Said{Vote: m.vote(i, b)}
+		for i, e := range b.entries {
+			s := SourceVote{Vote: m.vote(i, b)}
 			if e != nil {
 				s.Addr = e.Addr
 				if e.Until > 0 {
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -17,38 +17,38 @@
 
 // A stale entry that is listed again is fresh. The latest start of a backend counts, also from a later source. The drain of a source
 // that isn't trusted for phases doesn't keep a backend once that source has removed it.
-func TestTold(t *testing.T) {
+func TestRelistedEntryLatestStartAndUntrustedDrain(t *testing.T) {
 	p := newPool(t, Config{DrainFor: time.Minute, Sources: []SourceConfig{
 		{Name: "a", Trust: AllFacts &^ Phase, Keep: time.Hour}, {Name: "b", Trust: Start}}})
-	p.list(0, time.Second, named("x", "1.1.1.1:1", 0, 0))
+	p.list(0, time.Second, entryWithID("x", "1.1.1.1:1", 0, 0))
 	p.now = 2 * time.Second
 	p.do(Event{Kind: Ticked})
-	p.list(0, 9*time.Second, named("x", "1.1.1.1:1", 0, 4))
+	p.list(0, 9*time.Second, entryWithID("x", "1.1.1.1:1", 0, 4))
 	if v := p.m.Views()[0]; v.Says[0].Vote != Has {
 		t.Errorf("listed again, its vote is %v", v.Says[0].Vote)
 	}
-	p.list(1, 0, named("x", "1.1.1.1:1", 0, 6))
+	p.list(1, 0, entryWithID("x", "1.1.1.1:1", 0, 6))
 	if p.have["x"].Launched != 6 {
 		t.Errorf("the latest start doesn't count: %+v", p.have["x"])
 	}
-	p.list(0, 9*time.Second, named("x", "1.1.1.1:1", balance.Draining, 4))
+	p.list(0, 9*time.Second, entryWithID("x", "1.1.1.1:1", balance.Draining, 4))
 	p.list(0, 9*time.Second)
 	p.want("removed by the source that is trusted for existence", "")
 }
 
 // A partial list, such as the backends in the configuration file, has no vote on backends that only other sources list: these stay
 // when the other sources fail. A backend that the partial list removes is gone, also where no other source has ever listed it.
-func TestAPartialList(t *testing.T) {
+func TestPartialListHasNoVoteOnOtherBackends(t *testing.T) {
 	p := newPool(t, Config{Sources: []SourceConfig{{Name: "boxes", Partial: true}, {Name: "dns", Keep: time.Hour}}})
-	p.list(0, 0, named("x", "1.1.1.9:1", 0, 0), named("y", "1.1.1.8:1", 0, 0))
-	p.list(1, time.Second, named("a", "1.1.1.1:1", 0, 0), named("x", "1.1.1.9:1", 0, 0))
+	p.list(0, 0, entryWithID("x", "1.1.1.9:1", 0, 0), entryWithID("y", "1.1.1.8:1", 0, 0))
+	p.list(1, time.Second, entryWithID("a", "1.1.1.1:1", 0, 0), entryWithID("x", "1.1.1.9:1", 0, 0))
 	p.do(Event{Kind: Failed, Source: 1})
 	p.want("the other source fails", "a@1.1.1.1:1 x@1.1.1.9:1 y@1.1.1.8:1")
 	p.list(0, 0)
 	p.want("removed from the partial list, which is fresh", "a@1.1.1.1:1")
 	p.list(1, time.Second)
 	p.want("the other source is fresh and lists none", "")
-	p.list(0, 0, named("a", "1.1.1.1:1", 0, 0))
+	p.list(0, 0, entryWithID("a", "1.1.1.1:1", 0, 0))
 	p.want("only the partial list has one", "a@1.1.1.1:1")
 	p.list(0, 0)
 	p.want("no list has any", "")
@@ -56,27 +56,27 @@
 
 // Every set of votes matches a rule, every rule is used by some set, and the verdicts follow from the votes: a drain is never
 // overlooked, and a backend leaves only where a fresh source leaves it out.
-func TestTable(t *testing.T) {
+func TestEveryVoteSetMatchesOneRule(t *testing.T) {
 	used := map[int]int{}
-	for s := Votes(0); s < AllVotes-1; s++ {
+	for s := VoteSet(0); s < VoteSetCount-1; s++ {
 		i := Decide(s)
 		used[i]++
-		has := func(list ...Vote) bool { return s&Of(list...) != 0 }
+		has := func(list ...Vote) bool { return s&SetOf(list...) != 0 }
 		v := Rules[i].Verdict
 		switch {
 		case has(Drains, Drained):
-			if v != Retires {
+			if v != Drain {
 				t.Errorf("%v: a drain is ignored: %v", s, v)
 			}
-		case v == Leaves && !has(Lacks, Denies):
+		case v == Remove && !has(Lacks, Denies):
 			t.Errorf("%v: the backend leaves, and no fresh source leaves it out", s)
-		case has(Denies) && v != Leaves:
+		case has(Denies) && v != Remove:
 			t.Errorf("%v: denied, and %v", s, v)
 		case has(Has) && !has(Denies) && v != Serves:
 			t.Errorf("%v: listed, and %v", s, v)
 		case v == Serves && !has(Has, Had):
 			t.Errorf("%v: serves, and no source lists it", s)
-		case v == Keep && has(Has, Had, Lacks, Denies):
+		case v == Unchanged && has(Has, Had, Lacks, Denies):
 			t.Errorf("%v: kept unchanged in spite of these votes", s)
 		}
 	}
@@ -85,13 +85,13 @@
 	}
 }
 
-// named returns an entry of a source with ids.
-func named(id, addr string, p balance.Phase, start time.Duration) Entry {
+// entryWithID returns an entry of a source with ids.
+func entryWithID(id, addr string, p balance.Phase, start time.Duration) Entry {
 	return Entry{Name: id, Knows: AllFacts, Line: members.Line{ID: id, Addr: addr, Member: balance.Member{Weight: 1, Phase: p, Launched: start}}}
 }
 
-// addressed returns an entry of a source that has addresses only.
-func addressed(addr string, until time.Duration) Entry {
+// entryWithoutID returns an entry of a source that has addresses only.
+func entryWithoutID(addr string, until time.Duration) Entry {
 	return Entry{Name: "dns/" + addr, Knows: Existence | Address, Until: until, Line: members.Line{Addr: addr}}
 }
 
@@ -148,37 +148,37 @@
 
 // A backend that two sources list under different names is one backend, and keeps its first name. When its address passes to another
 // backend, that one starts afresh. Otherwise a pool would count a backend twice, or send to one that drains.
-func TestOneBoxUnderTwoNames(t *testing.T) {
+func TestTwoNamesOfOneBackendAreMerged(t *testing.T) {
 	p := newPool(t, twoSources)
-	p.list(1, time.Minute, addressed("10.0.0.1:80", 0))
+	p.list(1, time.Minute, entryWithoutID("10.0.0.1:80", 0))
 	p.want("DNS alone", "dns/10.0.0.1:80@10.0.0.1:80")
-	if c := p.list(0, 0, named("s-1", "10.0.0.1:80", balance.Ready, 0)); len(c) != 0 {
+	if c := p.list(0, 0, entryWithID("s-1", "10.0.0.1:80", balance.Ready, 0)); len(c) != 0 {
 		t.Errorf("change %+v for a backend that the pool has", c)
 	}
 	p.want("both", "dns/10.0.0.1:80@10.0.0.1:80")
-	p.list(0, 0, named("s-2", "10.0.0.1:80", balance.Ready, 5))
+	p.list(0, 0, entryWithID("s-2", "10.0.0.1:80", balance.Ready, 5))
 	p.want("another backend at its address", "s-2@10.0.0.1:80")
 	// The backend moves. DNS still lists the old address, which the registry has no backend for.
-	p.list(0, 0, named("s-2", "10.0.0.9:80", balance.Ready, 5))
-	p.list(1, time.Minute, addressed("10.0.0.9:80", 0))
+	p.list(0, 0, entryWithID("s-2", "10.0.0.9:80", balance.Ready, 5))
+	p.list(1, time.Minute, entryWithoutID("10.0.0.9:80", 0))
 	p.want("moved", "s-2@10.0.0.9:80")
-	p.list(0, 0, named("s-2", "10.0.0.9:80", balance.Draining, 5))
+	p.list(0, 0, entryWithID("s-2", "10.0.0.9:80", balance.Draining, 5))
 	p.want("the registry lists it as draining, DNS lists it", "")
-	p.list(0, 0, named("s-2", "10.0.0.9:80", balance.Draining, 5), named("s-3", "10.0.0.9:80", balance.Ready, 9))
+	p.list(0, 0, entryWithID("s-2", "10.0.0.9:80", balance.Draining, 5), entryWithID("s-3", "10.0.0.9:80", balance.Ready, 9))
 	p.want("a successor at the address of one that drains", "s-3@10.0.0.9:80")
 	p = newPool(t, Config{Sources: []SourceConfig{{Name: "boxes"}, {Name: "file"}}})
-	p.list(0, 0, named("x", "10.0.0.1:80", balance.Draining, 0))
-	p.list(1, 0, named("10.0.0.1:80", "10.0.0.1:80", balance.Ready, 0))
+	p.list(0, 0, entryWithID("x", "10.0.0.1:80", balance.Draining, 0))
+	p.list(1, 0, entryWithID("10.0.0.1:80", "10.0.0.1:80", balance.Ready, 0))
 	p.want("one source uses the address as the id, the other lists it as draining", "")
-	if len(p.m.boxes) != 1 {
-		t.Errorf("%d backends kept", len(p.m.boxes))
+	if len(p.m.backends) != 1 {
+		t.Errorf("%d backends kept", len(p.m.backends))
 	}
 }
 
 // A failing source empties no pool, however long it fails: its last list counts until some source reports a fresh one.
-func TestAFailingSourceEmptiesNoPool(t *testing.T) {
+func TestFailingSourceEmptiesNoPool(t *testing.T) {
 	p := newPool(t, twoSources)
-	p.list(1, 30*time.Second, addressed("10.0.0.1:80", 0), addressed("10.0.0.2:80", 0))
+	p.list(1, 30*time.Second, entryWithoutID("10.0.0.1:80", 0), entryWithoutID("10.0.0.2:80", 0))
 	for _, d := range []time.Duration{31 * time.Second, 20 * time.Minute, 2 * time.Hour, 1000 * time.Hour} {
 		p.now = d
 		p.do(Event{Kind: Ticked})
@@ -186,7 +186,7 @@
 			t.Fatalf("after %v: %q", d, p.ready())
 		}
 	}
-	p.list(0, 0, named("s-1", "10.0.0.1:80", balance.Ready, 0))
+	p.list(0, 0, entryWithID("s-1", "10.0.0.1:80", balance.Ready, 0))
 	p.want("the registry is fresh and lists one of them", "dns/10.0.0.1:80@10.0.0.1:80")
 	p.do(Event{Kind: Failed, Source: 0})
 	p.now += time.Hour
@@ -196,15 +196,15 @@
 
 // A list whose lifetime ends before that of the list before it becomes stale at its own end. A timer kept from the older list would
 // leave it fresh for too long.
-func TestALifetimeThatShrinks(t *testing.T) {
+func TestShorterLifetimeOfNextListCounts(t *testing.T) {
 	p := newPool(t, twoSources)
-	p.list(0, 0, named("s-1", "10.0.0.1:80", balance.Ready, 0))
+	p.list(0, 0, entryWithID("s-1", "10.0.0.1:80", balance.Ready, 0))
 	p.list(1, time.Hour)
 	p.list(1, time.Minute)
 	p.now = 2 * time.Minute
 	p.do(Event{Kind: Failed, Source: 0})
 	p.want("both are stale: the backend stays", "s-1@10.0.0.1:80")
-	if v := p.m.Views()[0]; v.Says[1].Vote != Lacked || Rules[v.Rule].Name != "stale" {
+	if v := p.m.Views()[0]; v.Says[1].Vote != StaleLacks || Rules[v.Rule].Name != "stale" {
 		t.Errorf("%+v", v)
 	}
 	p.list(1, p.now+time.Hour)
@@ -221,16 +221,17 @@
 
 // When more than a fraction of a pool would leave at once, the backends whose checks pass are held. The hold ends when an operator
 // releases it or its time is over. A discovery that loses its data would empty the pool otherwise.
-func TestGuard(t *testing.T) {
+func TestGuardHoldsMassRemoval(t *testing.T) {
 	cfg := twoSources
 	cfg.GuardPart, cfg.GuardWindow, cfg.GuardHold = 0.5, 10*time.Second, time.Minute
-	all := []Entry{named("a", "1.1.1.1:1", 0, 0), named("b", "1.1.1.2:1", 0, 0), named("c", "1.1.1.3:1", 0, 0), named("d", "1.1.1.4:1", 0, 0)}
-	fresh := func() *pool {
+	all := []Entry{entryWithID("a", "1.1.1.1:1", 0, 0), entryWithID("b", "1.1.1.2:1", 0, 0),
+		entryWithID("c", "1.1.1.3:1", 0, 0), entryWithID("d", "1.1.1.4:1", 0, 0)}
+	fullPool := func() *pool {
 		p := newPool(t, cfg)
 		p.list(0, 0, all...)
 		return p
 	}
-	p := fresh()
+	p := fullPool()
 	p.list(0, 0, all[:2]...)
 	if p.m.Serving() != 2 || p.m.Held() != 0 {
 		t.Errorf("half of the pool left: %q", p.ready())
@@ -240,7 +241,7 @@
 	if p.m.Serving() != 2 || p.m.Held() != 1 {
 		t.Errorf("one more within the window: %q", p.ready())
 	}
-	p = fresh()
+	p = fullPool()
 	p.do(Event{Kind: Checked, Box: "c"})
 	p.list(0, 0)
 	p.want("empty list: those whose checks pass are held", "a@1.1.1.1:1 b@1.1.1.2:1 d@1.1.1.4:1")
@@ -256,20 +257,20 @@
 	p.now += 2 * time.Second
 	p.do(Event{Kind: Ticked})
 	p.want("the hold is over", "a@1.1.1.1:1")
-	p = fresh()
+	p = fullPool()
 	p.list(0, 0)
 	p.do(Event{Kind: Allowed})
 	p.want("an operator releases them", "")
-	p = fresh()
+	p = fullPool()
 	p.do(Event{Kind: Listed, Complete: true, Decided: true})
 	p.want("a deliberate empty list", "")
 }
 
 // A backend that fails its checks gets no requests. Once most backends fail them, the checks are ignored: a broken check would take
 // the whole pool out of service.
-func TestChecksAndPanic(t *testing.T) {
+func TestPanicThresholdIgnoresChecks(t *testing.T) {
 	p := newPool(t, Config{Sources: []SourceConfig{{Name: "r"}}, PanicPart: 0.5})
-	p.list(0, 0, named("a", "1.1.1.1:1", 0, 0), named("b", "1.1.1.2:1", 0, 0), named("c", "1.1.1.3:1", 0, 0))
+	p.list(0, 0, entryWithID("a", "1.1.1.1:1", 0, 0), entryWithID("b", "1.1.1.2:1", 0, 0), entryWithID("c", "1.1.1.3:1", 0, 0))
 	p.do(Event{Kind: Checked, Box: "a"})
 	p.want("one fails", "b@1.1.1.2:1 c@1.1.1.3:1")
 	p.do(Event{Kind: Checked, Box: "b"})
@@ -282,25 +283,25 @@
 }
 
 // The settings Must and Trust, the order of sources, and revisions that go back decide what counts of a source.
-func TestTrust(t *testing.T) {
+func TestMustTrustPrecedenceAndRevisions(t *testing.T) {
 	p := newPool(t, Config{Sources: []SourceConfig{
 		{Name: "must", Must: true, Trust: Existence | Address}, {Name: "words", Trust: Phase | Start | Weight}, {Name: "other", Trust: AllFacts}}})
-	p.list(0, 0, named("a", "1.1.1.1:1", balance.Draining, 7), named("b", "1.1.1.2:1", 0, 0))
+	p.list(0, 0, entryWithID("a", "1.1.1.1:1", balance.Draining, 7), entryWithID("b", "1.1.1.2:1", 0, 0))
 	p.want("it isn't trusted for phases", "a@1.1.1.1:1 b@1.1.1.2:1")
-	heavy := named("b", "9.9.9.9:9", balance.Draining, 5)
+	heavy := entryWithID("b", "9.9.9.9:9", balance.Draining, 5)
 	heavy.Member.Weight = 3
-	p.list(1, 0, named("x", "1.1.1.9:1", 0, 0), heavy)
+	p.list(1, 0, entryWithID("x", "1.1.1.9:1", 0, 0), heavy)
 	p.want("trusted for phase, start and weight only", "a@1.1.1.1:1")
 	if b := p.have["b"]; b.Addr != "1.1.1.2:1" || b.Launched != 5 || b.Member.Weight != 3 {
 		t.Errorf("%+v", b)
 	}
-	p.list(2, 0, named("c", "1.1.1.3:1", 0, 0), named("a", "1.1.1.8:1", 0, 11))
+	p.list(2, 0, entryWithID("c", "1.1.1.3:1", 0, 0), entryWithID("a", "1.1.1.8:1", 0, 11))
 	p.want("not listed by the source with Must", "a@1.1.1.1:1")
 	if p.have["a"].Launched != 11 {
 		t.Errorf("want the latest start: %+v", p.have["a"])
 	}
-	p.list(2, 0, named("a", "1.1.1.8:1", 0, 3))
-	p.list(1, 0, named("a", "1.1.1.1:1", 0, 8))
+	p.list(2, 0, entryWithID("a", "1.1.1.8:1", 0, 3))
+	p.list(1, 0, entryWithID("a", "1.1.1.1:1", 0, 8))
 	if p.have["a"].Launched != 8 {
 		t.Errorf("the start of the later source counts, though it is earlier: %+v", p.have["a"])
 	}
@@ -308,12 +309,12 @@
 		p.do(Event{Kind: Listed, Source: 2, Complete: complete, Revision: n, Entries: e})
 	}
 	p = newPool(t, Config{Sources: []SourceConfig{{Name: "f"}, {}, {Name: "r"}}})
-	rev(9, true, named("a", "1.1.1.1:1", 0, 0), named("b", "1.1.1.2:1", 0, 0))
-	rev(7, false, named("a", "1.1.1.1:1", balance.Gone, 0))
+	rev(9, true, entryWithID("a", "1.1.1.1:1", 0, 0), entryWithID("b", "1.1.1.2:1", 0, 0))
+	rev(7, false, entryWithID("a", "1.1.1.1:1", balance.Gone, 0))
 	p.want("updates of an old revision", "a@1.1.1.1:1 b@1.1.1.2:1")
-	rev(7, true, named("a", "1.1.1.1:1", 0, 0))
+	rev(7, true, entryWithID("a", "1.1.1.1:1", 0, 0))
 	p.want("a complete list of an old revision removes nothing", "a@1.1.1.1:1 b@1.1.1.2:1")
-	rev(8, true, named("a", "1.1.1.1:1", 0, 0))
+	rev(8, true, entryWithID("a", "1.1.1.1:1", 0, 0))
 	p.want("it goes on from there", "a@1.1.1.1:1")
 }
 
@@ -335,9 +336,9 @@
 				}
 				for range rapid.IntRange(0, 4).Draw(t, "boxes") {
 					if ev.Source == 1 {
-						ev.Entries = append(ev.Entries, addressed(addr(), ev.Until))
+						ev.Entries = append(ev.Entries, entryWithoutID(addr(), ev.Until))
 					} else {
-						ev.Entries = append(ev.Entries, named(fmt.Sprint("s-", rapid.IntRange(1, 4).Draw(t, "id")), addr(),
+						ev.Entries = append(ev.Entries, entryWithID(fmt.Sprint("s-", rapid.IntRange(1, 4).Draw(t, "id")), addr(),
 							balance.Phase(rapid.IntRange(0, 2).Draw(t, "phase")), time.Duration(rapid.IntRange(0, 2).Draw(t, "start"))))
 					}
 				}
@@ -352,12 +353,12 @@
 				p.now += time.Duration(rapid.IntRange(0, 30).Draw(t, "passes")) * time.Second
 				p.do(Event{Kind: Ticked})
 			}
-			heard := false
-			for i := range p.m.src {
-				s := &p.m.src[i]
-				heard = heard || s.whole && !s.failed && (s.until == 0 || s.until > p.now)
+			anyFresh := false
+			for i := range p.m.sources {
+				s := &p.m.sources[i]
+				anyFresh = anyFresh || s.hasList && !s.failed && (s.expiresAt == 0 || s.expiresAt > p.now)
 			}
-			if before != "" && len(p.have) == 0 && !heard {
+			if before != "" && len(p.have) == 0 && !anyFresh {
 				t.Fatalf("emptied while no source is fresh: %s", before)
 			}
 			serving := 0
@@ -366,13 +367,13 @@
 				if known != (v.Line.Phase != balance.Gone) || known && c.Line != v.Line {
 					t.Fatalf("%s: the pool has %+v, the view is %+v", v.ID, c, v)
 				}
-				var set Votes
+				var set VoteSet
 				for _, s := range v.Says {
-					set |= Of(s.Vote)
+					set |= SetOf(s.Vote)
 				}
 				if v.Line.Phase == balance.Ready {
 					serving++
-					if set&Of(Drains, Drained) != 0 {
+					if set&SetOf(Drains, Drained) != 0 {
 						t.Fatalf("%s drains and gets requests: %v", v.ID, set)
 					}
 				}
@@ -380,36 +381,36 @@
 			if serving != p.m.Serving() {
 				t.Fatalf("%d backends serve, Serving returns %d", serving, p.m.Serving())
 			}
-			for addr, l := range p.m.loose {
+			for addr, l := range p.m.addrOnly {
 				for _, e := range l {
-					if at := p.m.at[addr]; len(at) > 0 && !slices.Contains(at, e.box) {
-						t.Fatalf("%s: entry %s is assigned to %s", addr, e.Name, e.box.id)
+					if at := p.m.byAddr[addr]; len(at) > 0 && !slices.Contains(at, e.backend) {
+						t.Fatalf("%s: entry %s is assigned to %s", addr, e.Name, e.backend.id)
 					}
 				}
 			}
-			p.m.mark++
+			p.m.eventSeq++
 			p.m.touched = p.m.touched[:0]
 			p.m.touchAll()
 			if c := p.m.decide(nil, false); len(c) != 0 {
 				t.Fatalf("decided again: %+v", c)
 			}
 		}
-		for i := range p.m.src {
+		for i := range p.m.sources {
 			p.do(Event{Kind: Listed, Source: i, Complete: true})
 		}
-		if len(p.have)+len(p.m.boxes)+len(p.m.ids)+len(p.m.at)+len(p.m.loose)+len(p.m.bare)+len(p.m.down)+len(p.m.held) != 0 {
+		if len(p.have)+len(p.m.backends)+len(p.m.bySourceID)+len(p.m.byAddr)+len(p.m.addrOnly)+len(p.m.orphans)+len(p.m.failing)+len(p.m.held) != 0 {
 			t.Fatalf("state left: %+v %+v", p.have, p.m)
 		}
 	})
 }
 
-// big returns a Merge with this many backends, which a registry and DNS list.
-func big(boxes int) (*Merge, []Entry) {
+// newLargeMerge returns a Merge with this many backends, which a registry and DNS list.
+func newLargeMerge(boxes int) (*Merge, []Entry) {
 	entries := make([]Entry, boxes)
 	loose := make([]Entry, boxes)
 	for i := range entries {
 		addr := fmt.Sprintf("10.%d.%d.%d:80", i>>16, i>>8&255, i&255)
-		entries[i], loose[i] = named(fmt.Sprint("s-", i), addr, 0, 0), addressed(addr, time.Minute)
+		entries[i], loose[i] = entryWithID(fmt.Sprint("s-", i), addr, 0, 0), entryWithoutID(addr, time.Minute)
 	}
 	m := NewMerge(twoSources, 0)
 	m.Handle(0, Event{Kind: Listed, Complete: true, Entries: entries}, nil)
@@ -421,7 +422,7 @@
 func BenchmarkRefresh(b *testing.B) {
 	for _, plain := range []bool{false, true} {
 		b.Run(map[bool]string{false: "touched", true: "walk"}[plain], func(b *testing.B) {
-			m, entries := big(5000)
+			m, entries := newLargeMerge(5000)
 			r := rand.New(rand.NewPCG(1, 1))
 			var out []Change
 			b.ReportAllocs()
@@ -431,7 +432,7 @@
 				}
 				out = m.Handle(0, Event{Kind: Listed, Complete: true, Entries: entries}, out[:0])
 				if plain {
-					m.mark++
+					m.eventSeq++
 					m.touched = m.touched[:0]
 					m.touchAll()
 					out = m.decide(out[:0], false)
@@ -445,17 +446,17 @@
 func BenchmarkExpiry(b *testing.B) {
 	for _, plain := range []bool{false, true} {
 		b.Run(map[bool]string{false: "wheel", true: "walk"}[plain], func(b *testing.B) {
-			m, _ := big(5000)
+			m, _ := newLargeMerge(5000)
 			now := time.Duration(0)
 			var out []Change
 			for i := 0; b.Loop(); i++ {
 				now += time.Millisecond
 				k := i % 5000
 				addr := fmt.Sprintf("10.0.%d.%d:80", k>>8&255, k&255)
-				out = m.Handle(now, Event{Kind: Listed, Source: 1, Until: now + time.Minute, Entries: []Entry{addressed(addr, now+time.Minute)}}, out[:0])
+				out = m.Handle(now, Event{Kind: Listed, Source: 1, Until: now + time.Minute, Entries: []Entry{entryWithoutID(addr, now+time.Minute)}}, out[:0])
 				if plain {
 					due := 0
-					for _, e := range m.src[1].entries {
+					for _, e := range m.sources[1].entries {
 						if e.Until <= now {
 							due++
 						}
@@ -468,7 +469,7 @@
 }
 
 // A backend that two sources list takes at most 4 KiB. The test prints the measured size.
-func TestMemory(t *testing.T) {
+func TestMemoryPerBackendIsBounded(t *testing.T) {
 	heap := func() uint64 {
 		var s runtime.MemStats
 		runtime.GC()
@@ -477,11 +478,11 @@
 		return s.HeapAlloc
 	}
 	before := heap()
-	m, _ := big(5000)
-	per := (heap() - before) / 5000
-	t.Logf("%d bytes per backend with two sources", per)
-	if per > 4096 {
-		t.Errorf("%d bytes per backend", per)
+	m, _ := newLargeMerge(5000)
+	perBackend := (heap() - before) / 5000
+	t.Logf("%d bytes per backend with two sources", perBackend)
+	if perBackend > 4096 {
+		t.Errorf("%d bytes per backend", perBackend)
 	}
 	runtime.KeepAlive(m)
 }
--- a/merge/table.go
+++ b/merge/table.go
@@ -11,44 +11,44 @@
 
 // Votes.
 const (
-	Silent  Vote = iota // no list yet, or too long ago; or the source isn't trusted for this
-	Has                 // fresh: its list names the backend
-	Drains              // fresh: its list names it as draining
-	Lacks               // fresh: its complete list doesn't name it
-	Denies              // the same, of a source with Must
-	Had                 // stale: its list named the backend
-	Drained             // stale: its list named it as draining
-	Lacked              // stale: its list didn't name it
-	votes
+	Abstains   Vote = iota // no list yet, or too long ago; or the source isn't trusted for this
+	Has                    // fresh: its list names the backend
+	Drains                 // fresh: its list names it as draining
+	Lacks                  // fresh: its complete list doesn't name it
+	Denies                 // the same, of a source with Must
+	Had                    // stale: its list named the backend
+	Drained                // stale: its list named it as draining
+	StaleLacks             // stale: its list didn't name it
+	voteKinds
 )
 
-var voteNames = [votes]string{"silent", "lists", "drains", "lacks", "denies", "listed", "drained", "lacked"}
+var voteNames = [voteKinds]string{"silent", "lists", "drains", "lacks", "denies", "listed", "drained", "lacked"}
 
 // String returns the vote as one word, which stored lists contain.
 func (v Vote) String() string { return voteNames[v] }
 
-// Votes is a set of votes.
-type Votes uint8
+// VoteSet is a set of votes.
+type VoteSet uint8
 
-// Of returns the set of these votes. Silent is never in a set, since it has no influence.
-func Of(list ...Vote) Votes {
-	var s Votes
+// SetOf returns the set of these votes. Abstains is never in a set, since it has no influence.
+func SetOf(list ...Vote) VoteSet {
+	var s VoteSet
 	for _, v := range list {
-		if v != Silent {
+		if v != Abstains {
 			s |= 1 << (v - 1)
 		}
 	}
 	return s
 }
 
-// AllVotes is the number of sets.
-const AllVotes = 1 << (votes - 1)
+// VoteSetCount is the number of sets.
+const VoteSetCount = 1 << (voteKinds - 1)
 
 // String returns the votes of the set, joined by a plus sign.
-func (s Votes) String() string {
+func (s VoteSet) String() string {
 	var names []string
-	for v := Has; v < votes; v++ {
-		if s&Of(v) != 0 {
+	for v := Has; v < voteKinds; v++ {
+		if s&SetOf(v) != 0 {
 			names = append(names, v.String())
 		}
 	}
@@ -60,10 +60,10 @@
 
 // Verdicts.
 const (
-	Keep    Verdict = iota // its state doesn't change: no fresh source has a vote, and no stale list names it
-	Serves                 // it gets requests
-	Retires                // it drains: it finishes its requests and gets no new ones
-	Leaves                 // it is removed
+	Unchanged Verdict = iota // its state doesn't change: no fresh source has a vote, and no stale list names it
+	Serves                   // it gets requests
+	Drain                    // it drains: it finishes its requests and gets no new ones
+	Remove                   // it is removed
 )
 
 var verdictNames = [...]string{"as it was", "serves", "drains", "gone"}
@@ -74,26 +74,26 @@
 // Rule is one line of the table. It matches where any of its votes was given. A rule without votes matches always.
 type Rule struct {
 	Name    string
-	Any     Votes
+	AnyOf   VoteSet
 	Verdict Verdict
-	Why     string
+	Reason  string
 }
 
 // Rules decide on a backend, in order: the first that matches.
 var Rules = [...]Rule{
-	{"drain", Of(Drains, Drained), Retires,
+	{"drain", SetOf(Drains, Drained), Drain,
 		"some source lists it as draining; stale entries count too, because a missed drain sends requests to a backend that wants none"},
-	{"denied", Of(Denies), Leaves, "a source that has to list every backend doesn't list it"},
-	{"listed", Of(Has), Serves, "some source lists it; a source that has lost a backend doesn't remove it for the others"},
-	{"forgotten", Of(Lacks), Leaves, "no fresh source lists it, and some fresh source leaves it out"},
-	{"stale", Of(Had), Serves, "no fresh source has a vote, and a stale list names it; a failing source empties no pool"},
-	{"unknown", 0, Keep, "no fresh source has a vote, and no stale list names it"},
+	{"denied", SetOf(Denies), Remove, "a source that has to list every backend doesn't list it"},
+	{"listed", SetOf(Has), Serves, "some source lists it; a source that has lost a backend doesn't remove it for the others"},
+	{"forgotten", SetOf(Lacks), Remove, "no fresh source lists it, and some fresh source leaves it out"},
+	{"stale", SetOf(Had), Serves, "no fresh source has a vote, and a stale list names it; a failing source empties no pool"},
+	{"unknown", 0, Unchanged, "no fresh source has a vote, and no stale list names it"},
 }
 
 // Decide returns the index in Rules of the first rule that matches the votes.
-func Decide(s Votes) int {
+func Decide(s VoteSet) int {
 	for i := range Rules {
-		if Rules[i].Any == 0 || s&Rules[i].Any != 0 {
+		if Rules[i].AnyOf == 0 || s&Rules[i].AnyOf != 0 {
 			return i
 		}
 	}
--- a/route/path.go
+++ b/route/path.go
@@ -22,7 +22,7 @@
 	if raw == "" || raw[0] != '/' {
 		return "", ErrNoSlash
 	}
-	if plain(raw, merge) {
+	if isNormal(raw, merge) {
 		return raw, nil
 	}
 	out := make([]byte, 0, len(raw))
@@ -50,20 +50,20 @@
 			continue
 		}
 		// A segment ends here. It is the part of out after the last slash.
-		at := bytes.LastIndexByte(out, '/')
-		switch seg := string(out[at+1:]); {
-		case seg == "." && at >= 0:
-			out = out[:at+1]
+		lastSlash := bytes.LastIndexByte(out, '/')
+		switch seg := string(out[lastSlash+1:]); {
+		case seg == "." && lastSlash >= 0:
+			out = out[:lastSlash+1]
 			if end {
 				return string(out), nil
 			}
 			continue // out already ends with the slash
-		case seg == ".." && at >= 0:
-			up := bytes.LastIndexByte(out[:at], '/')
-			if up < 0 {
+		case seg == ".." && lastSlash >= 0:
+			prevSlash := bytes.LastIndexByte(out[:lastSlash], '/')
+			if prevSlash < 0 {
 				return "", ErrAbove
 			}
-			out = out[:up+1]
+			out = out[:prevSlash+1]
 			if end {
 				return string(out), nil
 			}
@@ -80,8 +80,8 @@
 	return string(out), nil
 }
 
-// plain reports whether a path is surely in its normal form.
-func plain(raw string, merge bool) bool {
+// isNormal reports whether a path is surely in its normal form.
+func isNormal(raw string, merge bool) bool {
 	for i := range len(raw) {
 		switch raw[i] {
 		case '%', 0:
@@ -117,7 +117,7 @@
 func Escape(path string) string {
 	n := 0
 	for i := range len(path) {
-		if !unreserved[path[i]] {
+		if !allowedInPath[path[i]] {
 			n++
 		}
 	}
@@ -127,7 +127,7 @@
 	const hex = "0123456789ABCDEF"
 	out := make([]byte, 0, len(path)+2*n)
 	for i := range len(path) {
-		if b := path[i]; unreserved[b] {
+		if b := path[i]; allowedInPath[b] {
 			out = append(out, b)
 		} else {
 			out = append(out, '%', hex[b>>4], hex[b&15])
@@ -136,8 +136,8 @@
 	return string(out)
 }
 
-// unreserved is the set of bytes that need no encoding in a path (RFC 3986, section 3.3): unreserved, sub-delims, ':', '@', '/'.
-var unreserved = func() (set [256]bool) {
+// allowedInPath is the set of bytes that need no encoding in a path (RFC 3986, section 3.3): unreserved, sub-delims, ':', '@', '/'.
+var allowedInPath = func() (set [256]bool) {
 	for _, b := range []byte("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~!$&'()*+,;=:@/") {
 		set[b] = true
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -88,13 +88,13 @@
 
 // listener holds the servers of one listener. Servers are indexes in Config.Servers.
 type listener struct {
-	fallback int // the default server: the marked one, else the first
-	exact    map[string]int
-	suffix   map[string]int // ".x.org" of "*.x.org"
-	prefix   map[string]int // "x." of "x.*"
-	regex    []nameRegex
-	levels   []*level // by server; nil for servers of other listeners
-	sawFirst bool     // fallback is a server marked as the default
+	defaultServer int // the default server: the marked one, else the first
+	exact         map[string]int
+	suffix        map[string]int // ".x.org" of "*.x.org"
+	prefix        map[string]int // "x." of "x.*"
+	regex         []nameRegex
+	levels        []*level // by server; nil for servers of other listeners
+	hasDefault    bool     // fallback is a server marked as the default
 }
 
 // nameRegex is a server name that is a regular expression.
@@ -105,16 +105,16 @@
 
 // level is a set of locations that are searched together.
 type level struct {
-	exact  map[string]*compiled
+	exact  map[string]*compiledLocation
 	prefix tree
-	regex  []*compiled
+	regex  []*compiledLocation
 }
 
-// compiled is a Location with its regular expression and its nested locations compiled.
-type compiled struct {
+// compiledLocation is a Location with its regular expression and its nested locations compiled.
+type compiledLocation struct {
 	*Location
 	re     *regexp.Regexp
-	within *level
+	nested *level
 }
 
 // Compile checks a Config and returns its Table. Errors name the place, and the remedy where there is one. Errors are a
@@ -128,38 +128,38 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, at := range s.Listen {
-			l := t.listeners[at]
+		for _, listen := range s.Listen {
+			l := t.listeners[listen]
 			if l == nil {
-				l = &listener{fallback: i, exact: map[string]int{}, suffix: map[string]int{}, prefix: map[string]int{},
+				l = &listener{defaultServer: i, exact: map[string]int{}, suffix: map[string]int{}, prefix: map[string]int{},
 					levels: make([]*level, len(cfg.Servers))}
-				t.listeners[at] = l
+				t.listeners[listen] = l
 			}
 			l.levels[i] = lv
-			if slices.Contains(s.Default, at) {
-				if l.sawFirst {
+			if slices.Contains(s.Default, listen) {
+				if l.hasDefault {
 					return nil, fmt.Errorf("%s: listener %s: a second default server: the first is at %s: mark only one of them as the default",
-						s.At, at, cfg.Servers[l.fallback].At)
+						s.At, listen, cfg.Servers[l.defaultServer].At)
 				}
-				l.sawFirst, l.fallback = true, i
+				l.hasDefault, l.defaultServer = true, i
 			}
 			for _, name := range s.Names {
-				if err := l.name(name, i, cfg.Servers); err != nil {
-					return nil, fmt.Errorf("%s: listener %s: %w", s.At, at, err)
+				if err := l.addName(name, i, cfg.Servers); err != nil {
+					return nil, fmt.Errorf("%s: listener %s: %w", s.At, listen, err)
 				}
 			}
 		}
-		for _, at := range s.Default {
-			if !slices.Contains(s.Listen, at) {
-				return nil, fmt.Errorf("%s: default server of listener %s, but it doesn't listen there: add it to Listen", s.At, at)
+		for _, listen := range s.Default {
+			if !slices.Contains(s.Listen, listen) {
+				return nil, fmt.Errorf("%s: default server of listener %s, but it doesn't listen there: add it to Listen", s.At, listen)
 			}
 		}
 	}
 	return t, nil
 }
 
-// name adds a name of a server to the listener.
-func (l *listener) name(name string, server int, all []Server) error {
+// addName adds a name of a server to the listener.
+func (l *listener) addName(name string, server int, all []Server) error {
 	if re, ok := strings.CutPrefix(name, "~"); ok {
 		c, err := regexp.Compile("(?i)" + re)
 		if err != nil {
@@ -169,7 +169,7 @@
 		return nil
 	}
 	name = strings.ToLower(name)
-	enter := func(m map[string]int, key string) error {
+	add := func(m map[string]int, key string) error {
 		if other, ok := m[key]; ok && other != server {
 			return fmt.Errorf("name %q: stands twice: it is %s's too: take it out of one of them", name, all[other].At)
 		}
@@ -180,36 +180,36 @@
 	case strings.Contains(strings.Trim(name, "*"), "*") || name == "*":
 		return fmt.Errorf("name %q: an asterisk may stand only first, before a dot, or last, after one", name)
 	case strings.HasPrefix(name, "*."):
-		return enter(l.suffix, name[1:])
+		return add(l.suffix, name[1:])
 	case strings.HasSuffix(name, ".*"):
-		return enter(l.prefix, name[:len(name)-1])
+		return add(l.prefix, name[:len(name)-1])
 	case strings.Contains(name, "*"):
 		return fmt.Errorf("name %q: an asterisk may stand only first, before a dot, or last, after one", name)
 	case strings.HasPrefix(name, "."):
-		if err := enter(l.exact, name[1:]); err != nil {
+		if err := add(l.exact, name[1:]); err != nil {
 			return err
 		}
-		return enter(l.suffix, name)
+		return add(l.suffix, name)
 	}
-	return enter(l.exact, name)
+	return add(l.exact, name)
 }
 
-// compileLevel compiles the locations that are searched together. around is the location that contains them, or nil.
-func compileLevel(locations []Location, around *Location) (*level, error) {
-	lv := &level{exact: map[string]*compiled{}}
+// compileLevel compiles the locations that are searched together. parent is the location that contains them, or nil.
+func compileLevel(locations []Location, parent *Location) (*level, error) {
+	lv := &level{exact: map[string]*compiledLocation{}}
 	prefixes := map[string]*Location{}
 	for i := range locations {
 		loc := &locations[i]
-		c := &compiled{Location: loc}
-		fault := func(format string, args ...any) error {
+		c := &compiledLocation{Location: loc}
+		locationError := func(format string, args ...any) error {
 			return fmt.Errorf("%s: location %q: %s", loc.At, loc.Path, fmt.Sprintf(format, args...))
 		}
-		if around != nil {
+		if parent != nil {
 			switch regex := loc.Kind >= Regex; {
-			case around.Kind == Exact:
-				return nil, fault("it is nested in the exact location %q, which can hold none: remove it", around.Path)
-			case !regex && around.Kind < Exact && !strings.HasPrefix(loc.Path, around.Path):
-				return nil, fault("it is outside of its parent location %q and never matches: remove it", around.Path)
+			case parent.Kind == Exact:
+				return nil, locationError("it is nested in the exact location %q, which can hold none: remove it", parent.Path)
+			case !regex && parent.Kind < Exact && !strings.HasPrefix(loc.Path, parent.Path):
+				return nil, locationError("it is outside of its parent location %q and never matches: remove it", parent.Path)
 			}
 		}
 		switch loc.Kind {
@@ -220,28 +220,28 @@
 			}
 			re, err := regexp.Compile(expr)
 			if err != nil {
-				return nil, fault("%v", err)
+				return nil, locationError("%v", err)
 			}
 			c.re = re
 			lv.regex = append(lv.regex, c)
 		case Exact:
 			if other := lv.exact[loc.Path]; other != nil {
-				return nil, fault("stands twice: the other is at %s: take one out", other.At)
+				return nil, locationError("stands twice: the other is at %s: take one out", other.At)
 			}
 			lv.exact[loc.Path] = c
 		default:
 			if other := prefixes[loc.Path]; other != nil {
-				return nil, fault("stands twice: the other is at %s: take one out", other.At)
+				return nil, locationError("stands twice: the other is at %s: take one out", other.At)
 			}
 			prefixes[loc.Path] = loc
 			lv.prefix.insert(loc.Path, c)
 		}
 		if len(loc.Within) > 0 {
-			within, err := compileLevel(loc.Within, loc)
+			nested, err := compileLevel(loc.Within, loc)
 			if err != nil {
 				return nil, err
 			}
-			c.within = within
+			c.nested = nested
 		}
 	}
 	return lv, nil
@@ -307,31 +307,31 @@
 			return l.regex[i].server
 		}
 	}
-	return l.fallback
+	return l.defaultServer
 }
 
 // find searches a level. final reports that the regular expressions beside the parent location must not be tried.
-func (lv *level) find(path string) (found *compiled, final bool) {
+func (lv *level) find(path string) (found *compiledLocation, final bool) {
 	if c := lv.exact[path]; c != nil {
 		return c, true
 	}
-	best := lv.prefix.longest(path)
-	if best != nil {
-		found = best
-		if best.within != nil {
-			if c, final := best.within.find(path); c != nil {
+	longest := lv.prefix.longestPrefix(path)
+	if longest != nil {
+		found = longest
+		if longest.nested != nil {
+			if c, final := longest.nested.find(path); c != nil {
 				if found = c; final {
 					return found, true
 				}
 			}
 		}
 	}
-	if best == nil || best.Kind != Stop {
+	if longest == nil || longest.Kind != Stop {
 		for _, c := range lv.regex {
 			if c.re.MatchString(path) {
-				if c.within != nil {
-					if in, _ := c.within.find(path); in != nil {
-						return in, true
+				if c.nested != nil {
+					if inner, _ := c.nested.find(path); inner != nil {
+						return inner, true
 					}
 				}
 				return c, true
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -132,10 +132,10 @@
 	return strings.Join(parts, ".")
 }
 
-func drawLocations(rng *rand.Rand, around string, depth int, number *int) (locs []Location) {
+func drawLocations(rng *rand.Rand, parent string, depth int, number *int) (locs []Location) {
 	seen := map[string]bool{}
 	for range rng.IntN(6) {
-		l := Location{Kind: Kind(rng.IntN(5)), Path: around + strings.TrimPrefix(drawPath(rng), "/")}
+		l := Location{Kind: Kind(rng.IntN(5)), Path: parent + strings.TrimPrefix(drawPath(rng), "/")}
 		if l.Kind >= Regex {
 			l.Path = regexes[rng.IntN(len(regexes))]
 		}
@@ -160,7 +160,7 @@
 
 // A compiled table gives the same results as a plain search by nginx's documentation, for 20,000 random tables with five requests
 // each.
-func TestAgainstTheDocumentation(t *testing.T) {
+func TestTableFollowsNginxPrecedence(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 1))
 	outcomes := map[Outcome]int{}
 	tables := 0
@@ -209,7 +209,7 @@
 }
 
 // Targets are chosen by method, and a location without a target for the method gives another outcome than one without targets.
-func TestMethods(t *testing.T) {
+func TestTargetIsChosenByMethod(t *testing.T) {
 	table, err := Compile(Config{Servers: []Server{{Listen: []string{"x"}, Locations: []Location{
 		{Path: "/", Targets: []Target{{Methods: []string{"GET", "HEAD"}, Route: 1}, {Methods: []string{"POST"}, Route: 2}}},
 		{Path: "/all", Targets: []Target{{Route: 3}}}, {Path: "/none"}}}}})
--- a/route/tree.go
+++ b/route/tree.go
@@ -9,15 +9,15 @@
 
 // node represents the prefix from the root to it. The texts of its children begin with different bytes.
 type node struct {
-	text     string    // the bytes between the parent and this node
-	value    *compiled // nil: no location has this prefix
-	first    []byte    // the first byte of each child, in the order of children
-	children []node
+	text       string            // the bytes between the parent and this node
+	value      *compiledLocation // nil: no location has this prefix
+	firstBytes []byte            // the first byte of each child, in the order of children
+	children   []node
 }
 
 // child returns the index of the child whose text begins with b, or -1.
 func (n *node) child(b byte) int {
-	for i, f := range n.first {
+	for i, f := range n.firstBytes {
 		if f == b {
 			return i
 		}
@@ -26,32 +26,32 @@
 }
 
 // insert adds a prefix that the tree doesn't have yet.
-func (t *tree) insert(path string, value *compiled) {
+func (t *tree) insert(path string, value *compiledLocation) {
 	n := &t.root
 	for path != "" {
 		i := n.child(path[0])
 		if i < 0 {
-			n.first = append(n.first, path[0])
+			n.firstBytes = append(n.firstBytes, path[0])
 			n.children = append(n.children, node{text: path, value: value})
 			return
 		}
 		c := &n.children[i]
-		same := 0
-		for same < len(path) && same < len(c.text) && path[same] == c.text[same] {
-			same++
+		common := 0
+		for common < len(path) && common < len(c.text) && path[common] == c.text[common] {
+			common++
 		}
-		if same < len(c.text) { // the prefixes diverge within the child: split it
+		if common < len(c.text) { // the prefixes diverge within the child: split it
 			rest := *c
-			rest.text = c.text[same:]
-			*c = node{text: c.text[:same], first: []byte{rest.text[0]}, children: []node{rest}}
+			rest.text = c.text[common:]
+			*c = node{text: c.text[:common], firstBytes: []byte{rest.text[0]}, children: []node{rest}}
 		}
-		path, n = path[same:], c
+		path, n = path[common:], c
 	}
 	n.value = value
 }
 
-// longest returns the location with the longest prefix of a path, or nil.
-func (t *tree) longest(path string) (best *compiled) {
+// longestPrefix returns the location with the longest prefix of a path, or nil.
+func (t *tree) longestPrefix(path string) (best *compiledLocation) {
 	for n := &t.root; ; {
 		if n.value != nil {
 			best = n.value
