--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -1,8 +1,9 @@
-// Package lookup decides what a stub resolver asks about one SRV name, when, and what the answers mean. It is pure: questions go
-// out as actions, answers come in as events, and time is what the caller says. Package dnssrv has the sockets.
+// Package lookup is the logic of a stub resolver for one SRV name: it decides which queries to send, when, and how to read the
+// responses. It is pure: queries go out as actions, responses come in as events, and the caller supplies the time. It opens no
+// sockets; package dnssrv does.
 //
-// It follows RFC 2782 (SRV), RFC 1035 and 2181 (answers, lifetimes), RFC 2308 (negative answers), RFC 5452 (forged answers) and
-// RFC 8767 (old answers while the servers fail).
+// It follows RFC 2782 (SRV), RFC 1035 and 2181 (responses, TTLs), RFC 2308 (negative responses), RFC 5452 (forged responses) and
+// RFC 8767 (stale data while the name servers fail).
 package lookup
 
 import (
@@ -18,268 +19,277 @@
 )
 
 const (
-	// chainMost bounds how many CNAMEs lead from one name to its records.
-	chainMost = 8
-	// doublings bounds how often the first wait for an answer is doubled.
-	doublings = 4
-	// targetsMost bounds how many targets one answer may name: each may cost two questions.
-	targetsMost = 4096
-	// outMost bounds how many questions are out at once.
-	outMost = 16
-	// refreshFrom and refreshTo are the parts of a lifetime between which it is refreshed: early enough for several tries, and
-	// spread, so that nodes that began together do not ask together.
-	refreshFrom, refreshTo = 0.6, 0.95
+	// maxCNAMEs is the limit of CNAMEs from a name to its records.
+	maxCNAMEs = 8
+	// maxTimeoutDoublings is the limit of doublings of Config.Timeout.
+	maxTimeoutDoublings = 4
+	// maxTargets is the limit of targets in one SRV response. Each may cost two queries.
+	maxTargets = 4096
+	// maxOutstanding is the limit of outstanding queries.
+	maxOutstanding = 16
+	// minRefreshFraction and maxRefreshFraction are fractions of a TTL. A refresh starts at a random time between them: early
+	// enough for several tries, and spread, so that nodes that started together don't send their queries together.
+	minRefreshFraction, maxRefreshFraction = 0.6, 0.95
 )
 
-// Config is what a Lookup is built from. Zero values have the defaults named here.
+// Config holds the settings of a Lookup. Zero values stand for the defaults named here.
 type Config struct {
 	Name     string // such as _menu._tcp.khuree.mn
-	Servers  int    // name servers, tried in order
+	Servers  int    // number of name servers, which are tried in order
 	Seed     uint64
-	Timeout  time.Duration // for one question; doubled in each round over the servers; 0: 1s
-	Rounds   int           // over all servers before a question has failed; 0: 2
-	Floor    time.Duration // the shortest lifetime; 0: 5s
-	Ceiling  time.Duration // the longest; 0: 1h
-	Negative time.Duration // the longest of an answer that there is nothing; 0: 5m
-	Retry    time.Duration // after a failure, doubled up to RetryMost; 0: 1s
-	// RetryMost is the longest wait after a failure; 0: 30s (RFC 8767, section 5).
+	Timeout  time.Duration // for one query; doubled in each round over the servers; 0: 1s
+	Rounds   int           // rounds over all servers before a query has failed; 0: 2
+	Floor    time.Duration // minimum TTL; 0: 5s
+	Ceiling  time.Duration // maximum TTL; 0: 1h
+	Negative time.Duration // maximum TTL of a negative response; 0: 5m
+	Retry    time.Duration // wait after a failure, doubled up to RetryMost; 0: 1s
+	// RetryMost is the maximum wait after a failure; 0: 30s (RFC 8767, section 5).
 	RetryMost time.Duration
 }
 
-// EventKind says what happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Kinds of events, with the fields each one uses.
 const (
-	Ticked  EventKind = iota
-	Replied           // Token, Msg: a message that Matches
-	Lost              // Token: no answer in time, or none that can be read
+	Ticked  EventKind = iota // time has passed
+	Replied                  // Token, Msg: a response for which Matches is true
+	Lost                     // Token: no response in time, or none that can be parsed
 )
 
-// Event is one thing that a Lookup is told.
+// Event is one input of a Lookup.
 type Event struct {
 	Kind  EventKind
 	Token int
 	Msg   *dns.Msg
 }
 
-// Question is one question to one server.
+// Question is one query to one name server.
 type Question struct {
 	Token  int
 	Server int
-	Name   string // with the final dot
+	Name   string // fully qualified, with the final dot
 	Type   uint16
 	TCP    bool
-	NoEDNS bool // the server did not understand it
-	Within time.Duration
+	NoEDNS bool          // send it without EDNS: the server doesn't support it
+	Within time.Duration // the timeout
 }
 
-// Box is one address at which one target serves.
+// Box is one backend: an address and port of an SRV target.
 type Box struct {
-	Target string // in small letters, without the final dot
+	Target string // in lower case, without the final dot
 	Addr   netip.AddrPort
-	Tier   int // the rank of its priority: 0 is served from, the others are backups
+	Tier   int // rank of its SRV priority among those of the response: 0 gets the requests, higher tiers are backups
 	Weight float64
-	Until  time.Duration // the end of its lifetime
+	Until  time.Duration // when its TTL ends
 }
 
-// Name is what the box is called.
+// Name returns the id of the backend: target, port and address.
 func (b *Box) Name() string {
 	return fmt.Sprintf("%s:%d/%s", b.Target, b.Addr.Port(), b.Addr.Addr())
 }
 
-// Answer is what a lookup has found: the whole list.
+// Answer is the result of a lookup: the complete list of backends.
 type Answer struct {
 	Boxes   []Box
-	Until   time.Duration
-	Decided bool // the target is ".": the service is decidedly not to be had here
+	Until   time.Duration // when the TTL of the list ends
+	Decided bool          // the only target is ".": the service is decidedly not available at this name (RFC 2782)
 }
 
-// Action is what to do: ask, take in an answer, or write a line to the log.
+// Action is one thing for the caller to do: send a query, apply an answer, or write a line to the log.
 type Action struct {
 	Ask  *Question
 	Told *Answer
 	Log  string
 }
 
-// Lookup looks one name up for as long as it is told of events.
+// Lookup resolves one SRV name and keeps the result up to date, for as long as it gets events.
 type Lookup struct {
 	cfg    Config
 	rng    *rand.Rand
 	now    time.Duration
-	next   time.Duration // when to begin again, while nothing is out
-	server int           // that answered last: it goes on being asked, or servers that differ would have boxes come and go
-	token  int
-	out    map[int]*ask
-	queue  []*ask // wait for their turn
-	run    *run   // nil: nothing is being looked up
-	last   map[string]held
-	fails  int
-	slow   int // the first wait for an answer is the time-out doubled so often: as long as the slowest answer of the last lookup took, or more after failures
-	acts   []Action
+	nextAt time.Duration // when the next lookup starts, while none is under way
+	// preferredServer is the server that responded last. It is queried first again: with servers that differ, backends would come
+	// and go.
+	preferredServer int
+	lastToken       int
+	outstanding     map[int]*pendingQuery
+	queue           []*pendingQuery        // queries that wait until fewer are outstanding
+	current         *resolution            // nil: no lookup is under way
+	lastAddrs       map[string]targetAddrs // addresses of the last lookup, by target
+	failures        int                    // failures in a row
+	// timeoutDoublings is the number of doublings of Config.Timeout for the first try: those that the slowest response of the last lookup
+	// needed, and one more for each failure since.
+	timeoutDoublings int
+	actions          []Action // of the event in hand
 }
 
-// ask is a question under way, over all its servers and tries.
-type ask struct {
+// pendingQuery is a query under way, over all its tries and name servers.
+type pendingQuery struct {
 	Question
-	first string // the name that is asked for; Name is where CNAMEs have led
-	from  int    // the server that the round began with
-	tries int
-	chain int
-	ttl   time.Duration // the least of the CNAMEs that led here
-	sent  time.Duration
+	queriedName string // the name that was queried first; Name is where CNAMEs have led
+	firstServer int    // the server of the first try
+	tries       int
+	cnames      int           // CNAMEs followed
+	ttl         time.Duration // the minimum of the TTLs of the CNAMEs that led here
+	sentAt      time.Duration // time of the last try
 }
 
-// run is one lookup.
-type run struct {
-	srv   []*dns.SRV
-	ttl   time.Duration
-	addrs map[string]*found
-	left  int  // questions without an answer
-	ok    bool // the question for the service has one
-	slow  int  // as Lookup has it, by the slowest answer
+// resolution is the state of one lookup.
+type resolution struct {
+	srv              []*dns.SRV
+	srvTTL           time.Duration            // of the SRV response
+	targets          map[string]*targetResult // by target
+	pending          int                      // queries without a result
+	srvAnswered      bool                     // the SRV query has been answered
+	timeoutDoublings int                      // doublings of Config.Timeout that the slowest response of this lookup needs
 }
 
-type found struct {
-	addrs []netip.Addr
-	ttl   time.Duration // of its addresses
-	none  time.Duration // of answers that there are none: it counts where there are none of either kind
-	tried bool
-	lost  bool
+// targetResult is the result of the address queries for one target.
+type targetResult struct {
+	addrs       []netip.Addr
+	ttl         time.Duration // of the address records
+	negativeTTL time.Duration // TTL of the negative responses: it counts where the target has neither A nor AAAA records
+	queried     bool          // addresses came in the additional section, or are being queried
+	failed      bool          // a query got no response
 }
 
-// held is what a target was found at last.
-type held struct {
-	addrs []netip.Addr
-	until time.Duration
+// targetAddrs is the addresses that the last lookup found for a target.
+type targetAddrs struct {
+	addrs     []netip.Addr
+	expiresAt time.Duration
 }
 
-// New returns a Lookup that begins at the first event.
+// New returns a Lookup. Its first Ticked event starts a lookup.
 func New(cfg Config, now time.Duration) (*Lookup, error) {
 	if _, ok := dns.IsDomainName(cfg.Name); !ok || cfg.Name == "" || cfg.Name == "." {
-		return nil, fmt.Errorf("%q is no name of a service: write it as _menu._tcp.khuree.mn", cfg.Name)
+		return nil, fmt.Errorf("dns: %q is not a service name: write it as _menu._tcp.khuree.mn", cfg.Name)
 	}
 	if cfg.Servers <= 0 {
-		return nil, fmt.Errorf("%s: no name server: name one, or see that resolv.conf does", cfg.Name)
+		return nil, fmt.Errorf("dns: %s: no name server: list one in resolvers or in resolv.conf", cfg.Name)
 	}
 	cfg.Name = dns.CanonicalName(cfg.Name)
 	cfg.Timeout, cfg.Rounds = cmp.Or(cfg.Timeout, time.Second), cmp.Or(cfg.Rounds, 2)
 	cfg.Floor, cfg.Ceiling = cmp.Or(cfg.Floor, 5*time.Second), cmp.Or(cfg.Ceiling, time.Hour)
-	cfg.Negative, cfg.Retry, cfg.RetryMost = cmp.Or(cfg.Negative, 5*time.Minute), cmp.Or(cfg.Retry, time.Second), cmp.Or(cfg.RetryMost, 30*time.Second)
-	return &Lookup{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: now, next: now, out: map[int]*ask{}, last: map[string]held{}}, nil
+	cfg.Negative, cfg.Retry, cfg.RetryMost = cmp.Or(cfg.Negative, 5*time.Minute), cmp.Or(cfg.Retry, time.Second),
+		cmp.Or(cfg.RetryMost, 30*time.Second)
+	return &Lookup{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: now, nextAt: now,
+		outstanding: map[int]*pendingQuery{}, lastAddrs: map[string]targetAddrs{}}, nil
 }
 
-// Next is when Handle wants a Ticked event; false while questions are out.
-func (l *Lookup) Next() (time.Duration, bool) { return l.next, l.run == nil }
+// Next returns when Handle needs the next Ticked event. It returns false while a lookup is under way.
+func (l *Lookup) Next() (time.Duration, bool) { return l.nextAt, l.current == nil }
 
-// Handle takes one event and appends what to do to out.
+// Handle processes one event and appends the resulting actions to out.
 func (l *Lookup) Handle(now time.Duration, ev Event, out []Action) []Action {
-	l.now, l.acts = max(l.now, now), out
+	l.now, l.actions = max(l.now, now), out
 	switch ev.Kind {
 	case Ticked:
-		if l.run == nil && l.now >= l.next {
-			l.run = &run{addrs: map[string]*found{}}
-			l.want(l.cfg.Name, dns.TypeSRV)
-			l.send()
+		if l.current == nil && l.now >= l.nextAt {
+			l.current = &resolution{targets: map[string]*targetResult{}}
+			l.enqueue(l.cfg.Name, dns.TypeSRV)
+			l.sendQueued()
 		}
 	case Replied, Lost:
-		a := l.out[ev.Token]
+		a := l.outstanding[ev.Token]
 		if a == nil {
-			break // of an older try
+			break // a response to an earlier try
 		}
-		delete(l.out, ev.Token)
+		delete(l.outstanding, ev.Token)
 		if ev.Kind == Lost || ev.Msg == nil {
-			l.again(a)
+			l.retry(a)
 		} else {
-			l.replied(a, ev.Msg)
+			l.handleResponse(a, ev.Msg)
 		}
-		l.send()
-		if l.run != nil && l.run.left == 0 {
+		l.sendQueued()
+		if l.current != nil && l.current.pending == 0 {
 			l.finish()
 		}
 	}
-	out, l.acts = l.acts, nil
+	out, l.actions = l.actions, nil
 	return out
 }
 
-// Matches tells whether a message answers what was sent (RFC 5452, section 9.1). Addresses and ports are the socket's to check.
+// Matches reports whether a message is a response to the query that was sent (RFC 5452, section 9.1). It doesn't check addresses and
+// ports: a connected socket does.
 func Matches(sent, got *dns.Msg) bool {
 	return got.Id == sent.Id && got.Response && got.Opcode == dns.OpcodeQuery && len(got.Question) == 1 && len(sent.Question) == 1 &&
 		strings.EqualFold(got.Question[0].Name, sent.Question[0].Name) &&
 		got.Question[0].Qtype == sent.Question[0].Qtype && got.Question[0].Qclass == sent.Question[0].Qclass
 }
 
-// want has a question asked, when its turn has come.
-func (l *Lookup) want(name string, kind uint16) {
-	l.run.left++
-	l.queue = append(l.queue, &ask{Question: Question{Name: name, Type: kind, Server: l.server}, first: name, from: l.server, ttl: l.cfg.Ceiling})
+// enqueue adds a query to the queue.
+func (l *Lookup) enqueue(name string, qtype uint16) {
+	l.current.pending++
+	l.queue = append(l.queue, &pendingQuery{Question: Question{Name: name, Type: qtype, Server: l.preferredServer},
+		queriedName: name, firstServer: l.preferredServer, ttl: l.cfg.Ceiling})
 }
 
-// send sends what has its turn.
-func (l *Lookup) send() {
-	for len(l.queue) > 0 && len(l.out) < outMost {
+// sendQueued sends queries from the queue, up to the limit of outstanding ones.
+func (l *Lookup) sendQueued() {
+	for len(l.queue) > 0 && len(l.outstanding) < maxOutstanding {
 		a := l.queue[0]
 		l.queue = l.queue[1:]
-		l.token++
-		a.Token = l.token
-		a.Within, a.sent = l.cfg.Timeout<<min(l.slow+a.tries/l.cfg.Servers, doublings), l.now
-		l.out[a.Token] = a
+		l.lastToken++
+		a.Token = l.lastToken
+		a.Within, a.sentAt = l.cfg.Timeout<<min(l.timeoutDoublings+a.tries/l.cfg.Servers, maxTimeoutDoublings), l.now
+		l.outstanding[a.Token] = a
 		q := a.Question
-		l.acts = append(l.acts, Action{Ask: &q})
+		l.actions = append(l.actions, Action{Ask: &q})
 	}
 }
 
-// again asks the next server, or gives a question up.
-func (l *Lookup) again(a *ask) {
+// retry retries a query at the next name server, or gives it up after the last round.
+func (l *Lookup) retry(a *pendingQuery) {
 	a.tries++
 	a.TCP, a.NoEDNS = false, false
 	if a.tries >= l.cfg.Servers*l.cfg.Rounds {
-		l.lost(a)
+		l.giveUp(a)
 		return
 	}
-	a.Server = (a.from + a.tries) % l.cfg.Servers
+	a.Server = (a.firstServer + a.tries) % l.cfg.Servers
 	l.queue = append(l.queue, a)
 }
 
-// lost takes in that nobody answers a question.
-func (l *Lookup) lost(a *ask) {
-	l.run.left--
+// giveUp records that a query got no response from any server.
+func (l *Lookup) giveUp(a *pendingQuery) {
+	l.current.pending--
 	if a.Type != dns.TypeSRV {
-		f := l.run.addrs[a.first]
-		f.lost = true
+		f := l.current.targets[a.queriedName]
+		f.failed = true
 	}
 }
 
-// lifetime reads a lifetime (RFC 2181, section 8: one with the highest bit set is 0).
-func lifetime(ttl uint32) time.Duration {
+// ttlDuration converts a TTL. One with the most significant bit set counts as 0 (RFC 2181, section 8).
+func ttlDuration(ttl uint32) time.Duration {
 	if ttl > 1<<31-1 {
 		return 0
 	}
 	return time.Duration(ttl) * time.Second
 }
 
-// learn has the questions of the next lookup wait for as long as the slowest answer of this one took. A server that needs longer than
-// the first wait would be asked twice each time, and one that needs longer than the last one would never be heard.
-func (l *Lookup) learn(took time.Duration) {
-	for l.run.slow < doublings && l.cfg.Timeout<<l.run.slow <= took {
-		l.run.slow++
+// raiseTimeout raises the timeout of the next lookup to cover a response that took this long. Without it a server that needs longer than
+// the first timeout would get each query twice, and the response of one that needs longer than the last timeout would always come too late.
+func (l *Lookup) raiseTimeout(took time.Duration) {
+	for l.current.timeoutDoublings < maxTimeoutDoublings && l.cfg.Timeout<<l.current.timeoutDoublings <= took {
+		l.current.timeoutDoublings++
 	}
 }
 
-// replied takes in a message.
-func (l *Lookup) replied(a *ask, m *dns.Msg) {
-	l.learn(l.now - a.sent)
+// handleResponse processes a response.
+func (l *Lookup) handleResponse(a *pendingQuery, m *dns.Msg) {
+	l.raiseTimeout(l.now - a.sentAt)
 	switch {
 	case m.Truncated && !a.TCP:
 		a.TCP = true
-		l.queue = append([]*ask{a}, l.queue...)
+		l.queue = append([]*pendingQuery{a}, l.queue...)
 		return
 	case m.Rcode == dns.RcodeFormatError && !a.NoEDNS:
 		a.NoEDNS = true
-		l.queue = append([]*ask{a}, l.queue...)
+		l.queue = append([]*pendingQuery{a}, l.queue...)
 		return
 	case m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError, m.Truncated:
-		l.again(a)
+		l.retry(a)
 		return
 	}
 	name, ttl := a.Name, a.ttl
@@ -297,65 +307,66 @@
 				rrs = append(rrs, rr)
 			} else if c, ok := rr.(*dns.CNAME); ok && next == "" {
 				next = dns.CanonicalName(c.Target)
-				ttl = min(ttl, lifetime(h.Ttl))
+				ttl = min(ttl, ttlDuration(h.Ttl))
 			}
 		}
 		if len(rrs) > 0 || next == "" {
 			break
 		}
-		if a.chain++; a.chain > chainMost || seen[next] {
-			l.acts = append(l.acts, Action{Log: fmt.Sprintf("%s: CNAMEs go in a circle or are more than %d", a.first, chainMost)})
-			l.again(a)
+		if a.cnames++; a.cnames > maxCNAMEs || seen[next] {
+			l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: CNAME loop, or more than %d CNAMEs", a.queriedName, maxCNAMEs)})
+			l.retry(a)
 			return
 		}
 		name = next
 	}
-	l.server = a.Server
-	if len(rrs) == 0 && name != a.Name && m.Rcode == dns.RcodeSuccess && !negative(m) {
-		// The chain leads elsewhere, and this server has not followed it.
+	l.preferredServer = a.Server
+	if len(rrs) == 0 && name != a.Name && m.Rcode == dns.RcodeSuccess && !isNegative(m) {
+		// The CNAMEs lead to a name that this server hasn't resolved: query that name.
 		a.Name, a.ttl = name, ttl
-		l.queue = append([]*ask{a}, l.queue...)
+		l.queue = append([]*pendingQuery{a}, l.queue...)
 		return
 	}
-	l.run.left--
+	l.current.pending--
 	for _, rr := range rrs {
-		ttl = min(ttl, lifetime(rr.Header().Ttl))
+		ttl = min(ttl, ttlDuration(rr.Header().Ttl))
 	}
 	if len(rrs) == 0 {
-		ttl = min(ttl, l.cfg.Negative, soa(m))
+		ttl = min(ttl, l.cfg.Negative, soaTTL(m))
 	}
 	if a.Type == dns.TypeSRV {
-		l.services(a, m, rrs, ttl)
+		l.handleSRV(a, m, rrs, ttl)
 		return
 	}
-	f := l.run.addrs[a.first]
-	f.tried = true
+	f := l.current.targets[a.queriedName]
+	f.queried = true
 	if len(rrs) == 0 {
-		f.none = min(f.none, ttl)
+		f.negativeTTL = min(f.negativeTTL, ttl)
 		return
 	}
 	f.ttl = min(f.ttl, ttl)
 	for _, rr := range rrs {
-		f.add(rr)
+		f.addAddr(rr)
 	}
 }
 
-// negative tells whether a message says that there is nothing (RFC 2308, section 2): it has an SOA record.
-func negative(m *dns.Msg) bool {
+// isNegative reports whether a response is negative, by its SOA record (RFC 2308, section 2).
+func isNegative(m *dns.Msg) bool {
 	return slices.ContainsFunc(m.Ns, func(rr dns.RR) bool { _, ok := rr.(*dns.SOA); return ok })
 }
 
-// soa is the lifetime of a negative answer (RFC 2308, section 5); 0 where there is none.
-func soa(m *dns.Msg) time.Duration {
+// soaTTL returns the TTL of a negative response (RFC 2308, section 5), or 0 where it has no SOA record.
+func soaTTL(m *dns.Msg) time.Duration {
 	for _, rr := range m.Ns {
 		if s, ok := rr.(*dns.SOA); ok {
-			return min(lifetime(s.Hdr.Ttl), lifetime(s.Minttl))
+			return min(ttlDuration(s.Hdr.Ttl), ttlDuration(s.Minttl))
 		}
 	}
 	return 0
 }
 
-func (f *found) add(rr dns.RR) {
+// addAddr adds the address of an A or AAAA record, once. Unspecified and multicast addresses are left out.
+func (f *targetResult) addAddr(rr dns.RR) {
 	var a netip.Addr
 	var ok bool
 	switch r := rr.(type) {
@@ -369,132 +380,133 @@
 	}
 }
 
-// services takes in the SRV records, and asks for the addresses of targets that did not come with them.
-func (l *Lookup) services(a *ask, m *dns.Msg, rrs []dns.RR, ttl time.Duration) {
-	l.run.ttl, l.run.ok = ttl, true
+// handleSRV processes the SRV records, and queries the addresses of targets that the additional section doesn't have.
+func (l *Lookup) handleSRV(a *pendingQuery, m *dns.Msg, rrs []dns.RR, ttl time.Duration) {
+	l.current.srvTTL, l.current.srvAnswered = ttl, true
 	for _, rr := range rrs {
 		s := rr.(*dns.SRV)
 		s.Target = dns.CanonicalName(s.Target)
-		l.run.srv = append(l.run.srv, s)
-		if s.Target == "." || l.run.addrs[s.Target] != nil {
+		l.current.srv = append(l.current.srv, s)
+		if s.Target == "." || l.current.targets[s.Target] != nil {
 			continue
 		}
-		if len(l.run.addrs) >= targetsMost {
-			l.acts = append(l.acts, Action{Log: fmt.Sprintf("%s: more than %d targets: the others are left out", l.cfg.Name, targetsMost)})
+		if len(l.current.targets) >= maxTargets {
+			l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: more than %d SRV targets: the rest is ignored", l.cfg.Name, maxTargets)})
 			break
 		}
-		l.run.addrs[s.Target] = &found{ttl: l.cfg.Ceiling, none: l.cfg.Negative}
+		l.current.targets[s.Target] = &targetResult{ttl: l.cfg.Ceiling, negativeTTL: l.cfg.Negative}
 	}
-	// What comes beside the answer is believed where its sender speaks for it: of names below the one that was asked for.
+	// Records of the additional section are accepted only for names within the domain of the service, as the sender may not be
+	// authoritative for others.
 	domain := l.cfg.Name
 	for strings.HasPrefix(domain, "_") {
 		_, domain, _ = strings.Cut(domain, ".")
 	}
 	for _, rr := range m.Extra {
 		h := rr.Header()
-		f := l.run.addrs[dns.CanonicalName(h.Name)]
+		f := l.current.targets[dns.CanonicalName(h.Name)]
 		if f == nil || h.Class != dns.ClassINET || domain == "" || !dns.IsSubDomain(domain, h.Name) {
 			continue
 		}
 		if h.Rrtype == dns.TypeA || h.Rrtype == dns.TypeAAAA {
-			f.tried = true
-			f.ttl = min(f.ttl, lifetime(h.Ttl))
-			f.add(rr)
+			f.queried = true
+			f.ttl = min(f.ttl, ttlDuration(h.Ttl))
+			f.addAddr(rr)
 		}
 	}
-	for _, s := range l.run.srv {
-		if f := l.run.addrs[s.Target]; f != nil && !f.tried {
-			f.tried = true
-			l.want(s.Target, dns.TypeA)
-			l.want(s.Target, dns.TypeAAAA)
+	for _, s := range l.current.srv {
+		if f := l.current.targets[s.Target]; f != nil && !f.queried {
+			f.queried = true
+			l.enqueue(s.Target, dns.TypeA)
+			l.enqueue(s.Target, dns.TypeAAAA)
 		}
 	}
 }
 
-// clamp bounds a lifetime.
-func (l *Lookup) clamp(ttl time.Duration) time.Duration {
+// clampTTL limits a TTL to the range from Floor to Ceiling.
+func (l *Lookup) clampTTL(ttl time.Duration) time.Duration {
 	return min(max(ttl, l.cfg.Floor), l.cfg.Ceiling)
 }
 
-// finish makes an answer of what was found, and sets when to ask again.
+// finish builds the answer of a lookup, and schedules the next lookup.
 func (l *Lookup) finish() {
-	r := l.run
-	l.run = nil
-	old := map[string]held{}
-	if !r.ok {
-		l.fail()
+	r := l.current
+	l.current = nil
+	newAddrs := map[string]targetAddrs{}
+	if !r.srvAnswered {
+		l.scheduleRetry()
 		return
 	}
-	life := l.clamp(r.ttl)
-	ans := &Answer{Until: l.now + life, Decided: len(r.srv) == 1 && r.srv[0].Target == "."}
-	var tiers []uint16
+	shortestTTL := l.clampTTL(r.srvTTL)
+	answer := &Answer{Until: l.now + shortestTTL, Decided: len(r.srv) == 1 && r.srv[0].Target == "."}
+	var priorities []uint16
 	for _, s := range r.srv {
-		if !slices.Contains(tiers, s.Priority) {
-			tiers = append(tiers, s.Priority)
+		if !slices.Contains(priorities, s.Priority) {
+			priorities = append(priorities, s.Priority)
 		}
 	}
-	slices.Sort(tiers)
-	lost := 0
+	slices.Sort(priorities)
+	failedTargets := 0
 	seen := map[string]bool{}
 	for _, s := range r.srv {
-		f := r.addrs[s.Target]
+		f := r.targets[s.Target]
 		if f == nil {
 			continue
 		}
 		if len(f.addrs) == 0 {
-			f.ttl = f.none
+			f.ttl = f.negativeTTL
 		}
-		h := held{f.addrs, l.now + min(l.clamp(r.ttl), l.clamp(f.ttl))}
-		if f.lost && len(f.addrs) == 0 {
-			lost++
-			h = l.last[s.Target] // as it was, and no longer for that
+		result := targetAddrs{f.addrs, l.now + min(l.clampTTL(r.srvTTL), l.clampTTL(f.ttl))}
+		if f.failed && len(f.addrs) == 0 {
+			failedTargets++
+			result = l.lastAddrs[s.Target] // the old addresses, until their old end
 		}
-		if len(h.addrs) > 0 {
-			old[s.Target] = h
+		if len(result.addrs) > 0 {
+			newAddrs[s.Target] = result
 		}
-		for _, addr := range h.addrs {
-			b := Box{Target: strings.TrimSuffix(s.Target, "."), Addr: netip.AddrPortFrom(addr, s.Port), Until: h.until,
-				Tier: slices.Index(tiers, s.Priority), Weight: weight(s.Weight)}
+		for _, addr := range result.addrs {
+			b := Box{Target: strings.TrimSuffix(s.Target, "."), Addr: netip.AddrPortFrom(addr, s.Port), Until: result.expiresAt,
+				Tier: slices.Index(priorities, s.Priority), Weight: srvWeight(s.Weight)}
 			if name := b.Name(); !seen[name] {
 				seen[name] = true
-				ans.Boxes = append(ans.Boxes, b)
+				answer.Boxes = append(answer.Boxes, b)
 			}
 		}
-		life = min(life, max(h.until-l.now, l.cfg.Floor))
+		shortestTTL = min(shortestTTL, max(result.expiresAt-l.now, l.cfg.Floor))
 	}
-	l.last = old
-	l.acts = append(l.acts, Action{Told: ans})
-	if lost > 0 {
-		l.acts = append(l.acts, Action{Log: fmt.Sprintf("%s: no answer on the addresses of %d targets", l.cfg.Name, lost)})
-		l.fail()
-		l.next = min(l.next, l.now+l.refresh(life))
+	l.lastAddrs = newAddrs
+	l.actions = append(l.actions, Action{Told: answer})
+	if failedTargets > 0 {
+		l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: no response to the address queries for %d targets", l.cfg.Name, failedTargets)})
+		l.scheduleRetry()
+		l.nextAt = min(l.nextAt, l.now+l.refreshDelay(shortestTTL))
 		return
 	}
-	l.slow = r.slow
-	if l.fails > 0 {
-		l.acts = append(l.acts, Action{Log: l.cfg.Name + ": answered again"})
+	l.timeoutDoublings = r.timeoutDoublings
+	if l.failures > 0 {
+		l.actions = append(l.actions, Action{Log: l.cfg.Name + ": answered again"})
 	}
-	l.fails = 0
-	l.next = l.now + l.refresh(life)
+	l.failures = 0
+	l.nextAt = l.now + l.refreshDelay(shortestTTL)
 }
 
-// refresh draws when a lifetime is refreshed.
-func (l *Lookup) refresh(life time.Duration) time.Duration {
-	return time.Duration((refreshFrom + (refreshTo-refreshFrom)*l.rng.Float64()) * float64(life))
+// refreshDelay draws the time until the refresh of a TTL.
+func (l *Lookup) refreshDelay(ttl time.Duration) time.Duration {
+	return time.Duration((minRefreshFraction + (maxRefreshFraction-minRefreshFraction)*l.rng.Float64()) * float64(ttl))
 }
 
-// fail sets when to try again after a failure.
-func (l *Lookup) fail() {
-	wait := min(l.cfg.Retry<<min(l.fails, 10), l.cfg.RetryMost)
-	l.slow = min(l.slow+1, doublings)
-	if l.fails++; l.fails == 1 {
-		l.acts = append(l.acts, Action{Log: l.cfg.Name + ": the name servers fail: what is known holds"})
+// scheduleRetry schedules the next lookup after a failure, with exponential backoff and jitter.
+func (l *Lookup) scheduleRetry() {
+	wait := min(l.cfg.Retry<<min(l.failures, 10), l.cfg.RetryMost)
+	l.timeoutDoublings = min(l.timeoutDoublings+1, maxTimeoutDoublings)
+	if l.failures++; l.failures == 1 {
+		l.actions = append(l.actions, Action{Log: l.cfg.Name + ": the name servers fail: what is known holds"})
 	}
-	l.next = l.now + time.Duration((0.5+l.rng.Float64())*float64(wait))
+	l.nextAt = l.now + time.Duration((0.5+l.rng.Float64())*float64(wait))
 }
 
-// weight is a share. A weight of 0 is little beside others (RFC 2782).
-func weight(w uint16) float64 {
+// srvWeight converts an SRV weight. A weight of 0 becomes 0.1: a very small share beside other weights (RFC 2782).
+func srvWeight(w uint16) float64 {
 	if w == 0 {
 		return 0.1
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -1,15 +1,16 @@
-// Package route finds where a request goes: from listener, host, path and method to a route. It is pure, and compiled
-// once: events that change routes make a new Table.
+// Package route maps a request to a route, by listener, host, path and method. It is pure and doesn't forward requests. A
+// Table is compiled once; a change of routes makes a new Table.
 //
-// Precedence is nginx's, as documented for server_name (ngx_http_core_module, "Server names") and location. Of names: an
-// exact one, the longest wildcard that begins with an asterisk, the longest that ends with one, the first regular
-// expression in order, the listener's default. Of locations: an exact one ends the search; else the longest prefix is
-// remembered; unless it is marked to stop, regular expressions are tried in order, and the first that matches wins; else
-// it is the prefix. Locations within a location are searched in the same way once it is chosen; regular expressions
-// beside a prefix are tried after those within it, and go before the prefixes within it.
+// The precedence is nginx's, as documented for server_name (ngx_http_core_module, "Server names") and location. Server
+// names are tried in this order: an exact name, the longest wildcard that begins with an asterisk, the longest that ends
+// with one, the first regular expression in order, the default server of the listener. An exact location ends the search.
+// Otherwise the longest matching prefix is remembered. Unless it is of kind Stop, the regular expressions are tried in
+// order, and the first that matches wins. If none matches, the prefix wins. Locations nested in a prefix are searched in
+// the same way before the regular expressions beside that prefix. A nested exact location or regular expression wins over
+// those beside the prefix, and they win over a nested prefix.
 //
-// Exact names, exact locations and prefixes cost no more with more of them: maps and a radix tree. A search that meets
-// no regular expression allocates nothing.
+// The cost of a search doesn't depend on the number of exact names, exact locations and prefixes: they are in maps and a
+// radix tree. A search that tries no regular expression allocates nothing.
 package route
 
 import (
@@ -19,82 +20,84 @@
 	"strings"
 )
 
-// Config is what a Table is compiled from.
+// Config holds the servers that a Table is compiled from.
 type Config struct {
 	Servers []Server
 }
 
-// Server is a virtual server: the names that it answers to, at the listeners that it has.
+// Server is a virtual server: its names, at its listeners.
 type Server struct {
-	At      string   // where it stands, for errors: file and line
-	Listen  []string // listeners, in any spelling, the same one for Lookup
-	Default []string // those of them whose requests without a better server come here; at most one server a listener
-	// Names: exact, "*.x.org", "x.*", ".x.org" (x.org and *.x.org), "~regex". Case does not count.
+	At      string   // its place in the configuration, for errors: file and line
+	Listen  []string // names of its listeners, as they are passed to Lookup
+	Default []string // the listeners at which it is the default server; at most one server per listener
+	// Names: exact, "*.x.org", "x.*", ".x.org" (x.org and *.x.org), "~regex". Case is ignored.
 	Names     []string
 	Locations []Location
 }
 
-// Kind is how a location's path is compared.
+// Kind is the way in which the path of a location is compared.
 type Kind uint8
 
 // Kinds of locations.
 const (
 	Prefix    Kind = iota // the longest wins, unless a regular expression matches
-	Stop                  // a prefix; if it is the longest, regular expressions beside it are not tried (^~)
-	Exact                 // the whole path (=)
-	Regex                 // a regular expression (RE2 syntax), the first in order (~)
-	RegexFold             // likewise, whatever the case (~*)
+	Stop                  // a prefix; if it is the longest match, the regular expressions beside it are not tried (^~)
+	Exact                 // the whole path has to be equal (=)
+	Regex                 // a regular expression (RE2 syntax); the first match in order wins (~)
+	RegexFold             // the same, ignoring case (~*)
 )
 
-// Location is a part of a server's paths.
+// Location is a set of paths of a server.
 type Location struct {
-	At      string // where it stands, for errors
+	At      string // its place in the configuration, for errors
 	Kind    Kind
-	Path    string   // compared with the normalised path; a regular expression for Regex and RegexFold
-	Targets []Target // by method, the first that fits; none: this location answers nothing by itself
-	Within  []Location
+	Path    string     // compared with the normalized path; a regular expression for Regex and RegexFold
+	Targets []Target   // by method; the first that matches counts; none: the location handles no request itself
+	Within  []Location // nested locations
 }
 
-// Target is where requests of some methods go.
+// Target is the route for requests of some methods.
 type Target struct {
 	Methods []string // upper case; none: all
-	Route   int      // the caller's number
+	Route   int      // a number that the caller defines
 }
 
-// Outcome is what a search came to.
+// Outcome is the kind of result of a search.
 type Outcome uint8
 
 // Outcomes.
 const (
-	Found      Outcome = iota
-	NoServer           // no server at this listener
-	NoLocation         // no location matches, or the one that does has no targets
-	NoMethod           // the location has no target for the method
+	Found      Outcome = iota // a target matches
+	NoServer                  // the listener has no server
+	NoLocation                // no location matches, or the one that does has no targets
+	NoMethod                  // the location has no target for the method
 )
 
-// Match is what a search found.
+// Match is the result of a search.
 type Match struct {
 	Outcome  Outcome
 	Route    int
-	Location *Location // with Found and NoMethod: the one chosen
+	Location *Location // the chosen location; nil if none matches
 	Server   int       // index in Config.Servers, with any outcome but NoServer
 }
 
-// Table is a compiled Config. It never changes, and any goroutine may search it.
+// Table is a compiled Config. It is immutable and safe for concurrent use.
 type Table struct {
 	listeners map[string]*listener
 }
 
+// listener holds the servers of one listener. Servers are indexes in Config.Servers.
 type listener struct {
-	fallback int
-	exact    map[string]int
-	suffix   map[string]int // ".x.org" of "*.x.org"
-	prefix   map[string]int // "x." of "x.*"
-	regex    []nameRegex
-	levels   []*level // by server; nil for those of other listeners
-	sawFirst bool
+	defaultServer int // the default server: the marked one, else the first
+	exact         map[string]int
+	suffix        map[string]int // ".x.org" of "*.x.org"
+	prefix        map[string]int // "x." of "x.*"
+	regex         []nameRegex
+	levels        []*level // by server; nil for servers of other listeners
+	hasDefault    bool     // fallback is a server marked as the default
 }
 
+// nameRegex is a server name that is a regular expression.
 type nameRegex struct {
 	re     *regexp.Regexp
 	server int
@@ -102,19 +105,21 @@
 
 // level is a set of locations that are searched together.
 type level struct {
-	exact  map[string]*compiled
+	exact  map[string]*compiledLocation
 	prefix tree
-	regex  []*compiled
+	regex  []*compiledLocation
 }
 
-type compiled struct {
+// compiledLocation is a Location with its regular expression and its nested locations compiled.
+type compiledLocation struct {
 	*Location
 	re     *regexp.Regexp
-	within *level
+	nested *level
 }
 
-// Compile checks a Config and makes a Table of it. Errors name the place and the remedy: a name or location that stands
-// twice, two defaults of one listener, a regular expression that can't be read, a location outside the one around it.
+// Compile checks a Config and returns its Table. Errors name the place, and the remedy where there is one. Errors are a
+// duplicate name or location, two default servers of one listener, an invalid regular expression, and a nested location
+// that can never match.
 func Compile(cfg Config) (*Table, error) {
 	t := &Table{listeners: map[string]*listener{}}
 	for i := range cfg.Servers {
@@ -123,37 +128,38 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, at := range s.Listen {
-			l := t.listeners[at]
+		for _, listen := range s.Listen {
+			l := t.listeners[listen]
 			if l == nil {
-				l = &listener{fallback: i, exact: map[string]int{}, suffix: map[string]int{}, prefix: map[string]int{},
+				l = &listener{defaultServer: i, exact: map[string]int{}, suffix: map[string]int{}, prefix: map[string]int{},
 					levels: make([]*level, len(cfg.Servers))}
-				t.listeners[at] = l
+				t.listeners[listen] = l
 			}
 			l.levels[i] = lv
-			if slices.Contains(s.Default, at) {
-				if l.sawFirst {
-					return nil, fmt.Errorf("%s: listener %s: a second default server: one is at %s: mark one of them only", s.At, at, cfg.Servers[l.fallback].At)
+			if slices.Contains(s.Default, listen) {
+				if l.hasDefault {
+					return nil, fmt.Errorf("%s: listener %s: a second default server: the first is at %s: mark only one of them as the default",
+						s.At, listen, cfg.Servers[l.defaultServer].At)
 				}
-				l.sawFirst, l.fallback = true, i
+				l.hasDefault, l.defaultServer = true, i
 			}
 			for _, name := range s.Names {
-				if err := l.name(name, i, cfg.Servers); err != nil {
-					return nil, fmt.Errorf("%s: listener %s: %w", s.At, at, err)
+				if err := l.addName(name, i, cfg.Servers); err != nil {
+					return nil, fmt.Errorf("%s: listener %s: %w", s.At, listen, err)
 				}
 			}
 		}
-		for _, at := range s.Default {
-			if !slices.Contains(s.Listen, at) {
-				return nil, fmt.Errorf("%s: default of listener %s, which it does not listen at: add it to Listen", s.At, at)
+		for _, listen := range s.Default {
+			if !slices.Contains(s.Listen, listen) {
+				return nil, fmt.Errorf("%s: default server of listener %s, but it doesn't listen there: add it to Listen", s.At, listen)
 			}
 		}
 	}
 	return t, nil
 }
 
-// name enters a server's name.
-func (l *listener) name(name string, server int, all []Server) error {
+// addName adds a name of a server to the listener.
+func (l *listener) addName(name string, server int, all []Server) error {
 	if re, ok := strings.CutPrefix(name, "~"); ok {
 		c, err := regexp.Compile("(?i)" + re)
 		if err != nil {
@@ -163,7 +169,7 @@
 		return nil
 	}
 	name = strings.ToLower(name)
-	enter := func(m map[string]int, key string) error {
+	add := func(m map[string]int, key string) error {
 		if other, ok := m[key]; ok && other != server {
 			return fmt.Errorf("name %q: stands twice: it is %s's too: take it out of one of them", name, all[other].At)
 		}
@@ -174,36 +180,36 @@
 	case strings.Contains(strings.Trim(name, "*"), "*") || name == "*":
 		return fmt.Errorf("name %q: an asterisk may stand only first, before a dot, or last, after one", name)
 	case strings.HasPrefix(name, "*."):
-		return enter(l.suffix, name[1:])
+		return add(l.suffix, name[1:])
 	case strings.HasSuffix(name, ".*"):
-		return enter(l.prefix, name[:len(name)-1])
+		return add(l.prefix, name[:len(name)-1])
 	case strings.Contains(name, "*"):
 		return fmt.Errorf("name %q: an asterisk may stand only first, before a dot, or last, after one", name)
 	case strings.HasPrefix(name, "."):
-		if err := enter(l.exact, name[1:]); err != nil {
+		if err := add(l.exact, name[1:]); err != nil {
 			return err
 		}
-		return enter(l.suffix, name)
+		return add(l.suffix, name)
 	}
-	return enter(l.exact, name)
+	return add(l.exact, name)
 }
 
-// compileLevel compiles the locations that are searched together. around is the location that they stand in.
-func compileLevel(locations []Location, around *Location) (*level, error) {
-	lv := &level{exact: map[string]*compiled{}}
+// compileLevel compiles the locations that are searched together. parent is the location that contains them, or nil.
+func compileLevel(locations []Location, parent *Location) (*level, error) {
+	lv := &level{exact: map[string]*compiledLocation{}}
 	prefixes := map[string]*Location{}
 	for i := range locations {
 		loc := &locations[i]
-		c := &compiled{Location: loc}
-		fault := func(format string, args ...any) error {
+		c := &compiledLocation{Location: loc}
+		locationError := func(format string, args ...any) error {
 			return fmt.Errorf("%s: location %q: %s", loc.At, loc.Path, fmt.Sprintf(format, args...))
 		}
-		if around != nil {
+		if parent != nil {
 			switch regex := loc.Kind >= Regex; {
-			case around.Kind == Exact:
-				return nil, fault("it stands in the exact location %q, which can hold none: take it out", around.Path)
-			case !regex && around.Kind < Exact && !strings.HasPrefix(loc.Path, around.Path):
-				return nil, fault("it is outside of the location %q around it, and would never be chosen: take it out", around.Path)
+			case parent.Kind == Exact:
+				return nil, locationError("it is nested in the exact location %q, which can hold none: remove it", parent.Path)
+			case !regex && parent.Kind < Exact && !strings.HasPrefix(loc.Path, parent.Path):
+				return nil, locationError("it is outside of its parent location %q and never matches: remove it", parent.Path)
 			}
 		}
 		switch loc.Kind {
@@ -214,35 +220,35 @@
 			}
 			re, err := regexp.Compile(expr)
 			if err != nil {
-				return nil, fault("%v", err)
+				return nil, locationError("%v", err)
 			}
 			c.re = re
 			lv.regex = append(lv.regex, c)
 		case Exact:
 			if other := lv.exact[loc.Path]; other != nil {
-				return nil, fault("stands twice: the other is at %s: take one out", other.At)
+				return nil, locationError("stands twice: the other is at %s: take one out", other.At)
 			}
 			lv.exact[loc.Path] = c
 		default:
 			if other := prefixes[loc.Path]; other != nil {
-				return nil, fault("stands twice: the other is at %s: take one out", other.At)
+				return nil, locationError("stands twice: the other is at %s: take one out", other.At)
 			}
 			prefixes[loc.Path] = loc
 			lv.prefix.insert(loc.Path, c)
 		}
 		if len(loc.Within) > 0 {
-			within, err := compileLevel(loc.Within, loc)
+			nested, err := compileLevel(loc.Within, loc)
 			if err != nil {
 				return nil, err
 			}
-			c.within = within
+			c.nested = nested
 		}
 	}
 	return lv, nil
 }
 
-// Lookup finds where a request goes. host is the Host header or :authority, with or without a port; path is normalised
-// (Normalize); method is upper case.
+// Lookup returns the route of a request. host is the Host header or :authority, with or without a port. path is normalized
+// by Normalize. method is in upper case.
 func (t *Table) Lookup(listen, host, path, method string) Match {
 	l := t.listeners[listen]
 	if l == nil {
@@ -264,7 +270,7 @@
 	return m
 }
 
-// hostname takes the port and a closing dot off. An address in brackets keeps them.
+// hostname removes the port and a final dot from a host. An IPv6 address keeps its brackets.
 func hostname(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
 		host = host[:i]
@@ -272,13 +278,13 @@
 	return strings.TrimSuffix(host, ".")
 }
 
-// server finds the server of a name.
+// server returns the server of a host name.
 func (l *listener) server(name string) int {
 	name = strings.ToLower(name) // allocates only where there is an upper-case letter
 	if s, ok := l.exact[name]; ok {
 		return s
 	}
-	if len(l.suffix) > 0 { // the longest goes first; it covers at least one label
+	if len(l.suffix) > 0 { // the longest suffix first; the asterisk covers at least one label
 		for i := 1; i < len(name); i++ {
 			if name[i] == '.' {
 				if s, ok := l.suffix[name[i:]]; ok {
@@ -301,31 +307,31 @@
 			return l.regex[i].server
 		}
 	}
-	return l.fallback
+	return l.defaultServer
 }
 
-// find searches a level. final tells that regular expressions around it are not to be tried any more.
-func (lv *level) find(path string) (found *compiled, final bool) {
+// find searches a level. final reports that the regular expressions beside the parent location must not be tried.
+func (lv *level) find(path string) (found *compiledLocation, final bool) {
 	if c := lv.exact[path]; c != nil {
 		return c, true
 	}
-	best := lv.prefix.longest(path)
-	if best != nil {
-		found = best
-		if best.within != nil {
-			if c, final := best.within.find(path); c != nil {
+	longest := lv.prefix.longestPrefix(path)
+	if longest != nil {
+		found = longest
+		if longest.nested != nil {
+			if c, final := longest.nested.find(path); c != nil {
 				if found = c; final {
 					return found, true
 				}
 			}
 		}
 	}
-	if best == nil || best.Kind != Stop {
+	if longest == nil || longest.Kind != Stop {
 		for _, c := range lv.regex {
 			if c.re.MatchString(path) {
-				if c.within != nil {
-					if in, _ := c.within.find(path); in != nil {
-						return in, true
+				if c.nested != nil {
+					if inner, _ := c.nested.find(path); inner != nil {
+						return inner, true
 					}
 				}
 				return c, true
