--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -20,7 +20,7 @@
 	"glencart/internal/standin"
 )
 
-// exchangesFor returns exchanges with a pool of their own.
+// exchangesFor returns exchanges with a connection pool of their own.
 func exchangesFor(t *testing.T) *exchanges {
 	p := newPool(16, 2*time.Second, 5*time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -29,21 +29,22 @@
 	return newExchanges(p, true, quiet())
 }
 
+// get returns a GET message with this request id. Its Idempotency-Key makes http.Transport treat it as safe to send again.
 func get(id string) *message {
 	return &message{method: "GET", url: &url.URL{Path: "/api/x"}, host: "api.internal",
 		header: http.Header{"X-Trace-Id": {id}, "Idempotency-Key": {"key"}}}
 }
 
-// try makes one attempt and waits for how it ends.
+// try makes one attempt and returns its result.
 func try(t *testing.T, x *exchanges, to engine.Endpoint, m *message) engine.Result {
 	t.Helper()
 	done := make(chan engine.Result, 1)
 	x.attempt(to, m, time.Now().Add(patience/2), func(r engine.Result) { done <- r })
-	return receive(t, "the outcome", done)
+	return receive(t, "the result of the attempt", done)
 }
 
-// Each attempt reaches one connection, once. http.Transport would send these again by itself when the reused
-// connection breaks: they are GETs and bear an Idempotency-Key.
+// An attempt whose reused connection breaks must not be sent again on another connection, since it may have run. http.Transport
+// sends such requests again by itself: they are GETs with an Idempotency-Key.
 func TestBrokenReusedConnectionIsNotTriedAgain(t *testing.T) {
 	seen := make(chan string, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -62,17 +63,18 @@
 	})
 	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
 	if r := try(t, x, to, get("first")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "x" {
-		t.Fatalf("the first: %v", r)
+		t.Fatalf("first attempt: %v", r)
 	}
 	if r := try(t, x, to, get("second")); r.Status != balance.Dropped {
-		t.Errorf("the second: status %v, want Dropped: it may have run", r.Status)
+		t.Errorf("second attempt: status %v, want Dropped since it may have run", r.Status)
 	}
 	if n := b.Accepted.Load(); n != 1 || len(seen) != 2 {
-		t.Errorf("%d connections, %d requests", n, len(seen))
+		t.Errorf("backend saw %d connections and %d requests, want 1 and 2", n, len(seen))
 	}
 }
 
-// Outcomes by what the backend does with the request once it has it.
+// An answer that is misread as one that never ran leads to a retry of a request that may have run, and an incomplete or oversized
+// answer must not reach the client as a whole one. The cases differ in what the backend writes after it has read the request.
 func TestOutcomes(t *testing.T) {
 	big := strings.Repeat("x", bodyMost)
 	for name, tc := range map[string]struct {
@@ -80,25 +82,25 @@
 		want   balance.Status
 		body   string
 	}{
-		"served":                   {ok200("abc"), balance.Delivered, "abc"},
-		"largest body":             {ok200(big), balance.Delivered, big},
-		"chunked":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", balance.Delivered, "ab"},
-		"1xx ahead":                {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200("abc"), balance.Delivered, "abc"},
-		"error":                    {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
-		"turned away":              {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Shed, ""},
-		"over already":             {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Shed, ""},
-		"503 that may run":         {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
-		"504 that may run":         {"HTTP/1.1 504 Late\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
-		"500 with the mark":        {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
-		"nothing":                  {"", balance.Dropped, ""},
-		"cut short":                {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", balance.Dropped, ""},
-		"chunks cut short":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", balance.Dropped, ""},
-		"ends with its connection": {"HTTP/1.1 200 OK\r\n\r\nabc", balance.Delivered, "abc"},
-		"not HTTP":                 {"hello\r\n\r\n", balance.Dropped, ""},
-		"too long":                 {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big, balance.Dropped, ""},
-		"head without end":         {"HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(headMost+bodyMost)), balance.Dropped, ""},
-		"1xx without end":          {strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000), balance.Dropped, ""},
-		"chunks without end":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+big[:0x1000]+"\r\n", 40), balance.Dropped, ""},
+		"served":               {ok200("abc"), balance.Delivered, "abc"},
+		"largest body":         {ok200(big), balance.Delivered, big},
+		"chunked":              {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", balance.Delivered, "ab"},
+		"1xx ahead":            {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200("abc"), balance.Delivered, "abc"},
+		"error":                {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
+		"rejected unrun":       {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Shed, ""},
+		"expired unrun":        {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Shed, ""},
+		"503 that may run":     {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
+		"504 that may run":     {"HTTP/1.1 504 Late\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
+		"500 with never-ran":   {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.AppError, ""},
+		"no answer":            {"", balance.Dropped, ""},
+		"cut short":            {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", balance.Dropped, ""},
+		"chunks cut short":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", balance.Dropped, ""},
+		"ends with connection": {"HTTP/1.1 200 OK\r\n\r\nabc", balance.Delivered, "abc"},
+		"not HTTP":             {"hello\r\n\r\n", balance.Dropped, ""},
+		"too long":             {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big, balance.Dropped, ""},
+		"endless head":         {"HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(headMost+bodyMost)), balance.Dropped, ""},
+		"endless 1xx":          {strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000), balance.Dropped, ""},
+		"endless chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+big[:0x1000]+"\r\n", 40), balance.Dropped, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -114,14 +116,15 @@
 	}
 }
 
-// A connection that nobody takes, or that breaks before the last byte is written, never ran.
+// A request on a connection that is refused, or that breaks before the last byte is written, never ran. Any other status than
+// DialFailed would keep a request that must not run twice from being sent to another backend.
 func TestNeverRan(t *testing.T) {
 	addr := standin.ReserveAddr(t)
 	if r := try(t, exchangesFor(t), engine.Endpoint{Addr: addr}, get("refused")); r.Status != balance.DialFailed {
-		t.Errorf("refused connection: %v", r.Status)
+		t.Errorf("refused connection: status %v, want DialFailed", r.Status)
 	}
 
-	// Buffers far smaller than the body, and a backend that breaks off having read a part of it.
+	// The socket buffers are far smaller than the body, and the backend resets the connection after reading a part of it.
 	small := func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
@@ -147,11 +150,11 @@
 	m := get("partial")
 	m.method, m.body = "POST", make([]byte, bodyMost)
 	if r := try(t, x, engine.Endpoint{Addr: l.Addr().String()}, m); r.Status != balance.DialFailed {
-		t.Errorf("broken before the last byte: %v", r.Status)
+		t.Errorf("connection reset before the last byte: status %v, want DialFailed", r.Status)
 	}
 }
 
-// A backend restarted under its address leaves connections that look open here. None may swallow a request.
+// A backend that restarts under its address leaves pooled connections that look open. A request written on one of them would be lost.
 func TestRestartedBackendLeavesNoDeadConnections(t *testing.T) {
 	serve := answering(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
 	conns := make(chan net.Conn, 8)
@@ -159,23 +162,24 @@
 	addr := b.Addr().String()
 	x, to := exchangesFor(t), engine.Endpoint{Addr: addr}
 	if r := try(t, x, to, get("old")); r.Status != balance.Delivered {
-		t.Fatalf("%v", r.Status)
+		t.Fatalf("first attempt: status %v", r.Status)
 	}
 	b.Close()
 	reset(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
 	if r := try(t, x, to, get("new")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "new" {
-		t.Errorf("after the restart: %v %q", r.Status, replyOf(r.Body).body)
+		t.Errorf("after the restart: status %v, body %q", r.Status, replyOf(r.Body).body)
 	}
 }
 
-// An idle connection is not used near the end of its life: a request that crosses its close may have run.
+// An idle connection is not used shortly before the backend closes it. A request that is sent while the backend closes the
+// connection fails, and may have run.
 func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
 	for i := range 2 {
 		if r := try(t, x, to, get(fmt.Sprint(i))); r.Status != balance.Delivered {
-			t.Fatalf("%v", r.Status)
+			t.Fatalf("first attempt: status %v", r.Status)
 		}
 	}
 	if n := b.Accepted.Load(); n != 1 {
@@ -185,14 +189,14 @@
 	x.pool.idle[to][0].idleAt = time.Now().Add(-x.pool.keep)
 	x.pool.mu.Unlock()
 	if r := try(t, x, to, get("later")); r.Status != balance.Delivered {
-		t.Fatalf("%v", r.Status)
+		t.Fatalf("first attempt: status %v", r.Status)
 	}
 	if n := b.Accepted.Load(); n != 2 {
 		t.Errorf("an old idle connection was used: %d connections", n)
 	}
 }
 
-// What follows an answer unasked spoils the connection: it would be read as the answer to the next request.
+// Extra bytes after an answer must not be read as the answer to the next request. The connection is closed instead of reused.
 func TestSurplusAfterAnAnswerReachesNobody(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
@@ -200,12 +204,13 @@
 	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
 		if r := try(t, x, to, get(id)); r.Status != balance.Delivered || string(replyOf(r.Body).body) != id {
-			t.Errorf("%s: %v %q", id, r.Status, replyOf(r.Body).body)
+			t.Errorf("attempt %s: status %v, body %q", id, r.Status, replyOf(r.Body).body)
 		}
 	}
 }
 
-// An attempt given up ends its connection, and its late answer is nobody's.
+// A cancelled attempt closes its connection. Otherwise its late answer could be read as that of another request, and the connection
+// would stay counted in the pool.
 func TestAttemptGivenUpEndsItsConnection(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -221,17 +226,18 @@
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
-	if r := receive(t, "the outcome", done); r.Status != balance.Revoked {
-		t.Errorf("%v", r.Status)
+	if r := receive(t, "the result of the attempt", done); r.Status != balance.Revoked {
+		t.Errorf("cancelled attempt: status %v, want Revoked", r.Status)
 	}
 	x.pool.mu.Lock()
 	defer x.pool.mu.Unlock()
 	if x.pool.open != 0 {
-		t.Errorf("%d connections left", x.pool.open)
+		t.Errorf("%d connections still open", x.pool.open)
 	}
 }
 
-// The pool holds no more connections than it may, and what is idle makes room.
+// The pool never exceeds its limit, which would take descriptors from other parts of the node. It closes an idle connection to
+// dial another backend, and an attempt without a connection is Unused.
 func TestPoolIsBounded(t *testing.T) {
 	serve := answering(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
@@ -239,7 +245,7 @@
 	x.pool.most = 1
 	for _, l := range []*rawBackend{a, b} {
 		if r := try(t, x, engine.Endpoint{Addr: l.Addr().String()}, get("id")); r.Status != balance.Delivered {
-			t.Errorf("%v", r.Status)
+			t.Errorf("attempt with room in the pool: status %v, want Delivered", r.Status)
 		}
 	}
 	c, err := x.pool.get(context.Background(), engine.Endpoint{Addr: b.Addr().String()}, false)
@@ -247,11 +253,12 @@
 		t.Fatal(err)
 	}
 	if r := try(t, x, engine.Endpoint{Addr: a.Addr().String()}, get("id")); r.Status != balance.Unused {
-		t.Errorf("with no room: %v", r.Status)
+		t.Errorf("attempt with a full pool: status %v, want Unused", r.Status)
 	}
 	x.pool.discard(c)
 }
 
+// A malformed load report must give an error and no values. Numbers such as NaN, -1 or 1e300 would distort the choice of backends.
 func TestReports(t *testing.T) {
 	l, err := settings.ParseReport("TEXT inflight=7, queue=2, util=0.61, other=3")
 	if err != nil || l.Active != 7 || l.Waiting != 2 || l.CPU != 0.61 ||
@@ -259,7 +266,7 @@
 		t.Errorf("%+v %v", l, err)
 	}
 	if l, err := settings.ParseReport(" \n"); err != nil || l.Has != 0 {
-		t.Errorf("empty: %+v %v", l, err)
+		t.Errorf("empty report: %+v, %v", l, err)
 	}
 	for _, text := range []string{"TEXT inflight", "inflight=x", "inflight=NaN", "inflight=-1", "inflight=1e300", "\x00\xff"} {
 		if l, err := settings.ParseReport(text); err == nil || l.Has != 0 {
@@ -268,7 +275,7 @@
 	}
 }
 
-// A probe brings the backend's report, and one that can't be read is none.
+// A probe returns the load report of the backend. An unreadable report must count as none, not as a load of zero.
 func TestProbes(t *testing.T) {
 	body := "TEXT inflight=7, util=0.5"
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -280,27 +287,27 @@
 	x, done := exchangesFor(t), make(chan engine.Result, 1)
 	x.Probe(engine.Endpoint{Addr: b.Addr().String()}, func(r engine.Result) { done <- r })
 	if r := receive(t, "the probe", done); r.Status != balance.Delivered || r.Load.Active != 7 || r.Load.CPU != 0.5 {
-		t.Errorf("%+v", r)
+		t.Errorf("probe: %+v", r)
 	}
 	body = "\x00\x01"
 	x.Probe(engine.Endpoint{Addr: b.Addr().String()}, func(r engine.Result) { done <- r })
 	if r := receive(t, "the probe", done); r.Load.Has != 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("probe with an unreadable report: %+v", r)
 	}
 }
 
-// The platform may refuse sendfile and splice: no connection lets the library use them, since none shows it a plain socket. What
-// the node copies it reads and writes.
+// The platform may refuse sendfile and splice. The library uses them where a connection has ReadFrom, WriteTo or SyscallConn, so
+// the connection types of the node have none of these, and the node copies with read and write.
 func TestNoCopyInTheKernel(t *testing.T) {
 	for what, c := range map[string]any{"client": &clients.Conn{}, "backend": &conn{}, "upload": plainWriter{}} {
 		if _, ok := c.(io.ReaderFrom); ok {
-			t.Errorf("%s: has ReadFrom, which splices", what)
+			t.Errorf("%s: has ReadFrom, which uses splice", what)
 		}
 		if _, ok := c.(io.WriterTo); ok {
-			t.Errorf("%s: has WriteTo, which splices", what)
+			t.Errorf("%s: has WriteTo, which uses splice", what)
 		}
 		if _, ok := c.(syscall.Conn); ok {
-			t.Errorf("%s: shows its descriptor", what)
+			t.Errorf("%s: exposes its descriptor through SyscallConn", what)
 		}
 	}
 }
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -13,6 +13,8 @@
 	"glencart/internal/standin"
 )
 
+// The backend gets the path, query, body and id as the client sent them, without the headers of the client's connection, and the
+// client gets the answer unchanged. Decoding and encoding again, or dropping what Connection lists, would alter the request.
 func TestServedAnswerIsTheBackendsOwn(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -34,7 +36,7 @@
 		r.Header.Get("Idempotency-Key") != "key-1" {
 		t.Errorf("backend got %s %s %q %v", r.Method, r.RequestURI, payload, r.Header)
 	}
-	// A client that lists the id among its connection's headers must not make it vanish on the way.
+	// The id is forwarded even where the client lists it in Connection.
 	if r.Header.Get("X-Trace-Id") != "trace-1" || r.Header.Get("X-Hop") != "" {
 		t.Errorf("headers at the backend: %v", r.Header)
 	}
@@ -44,7 +46,7 @@
 	}
 }
 
-// What can't be a request is answered with a 4xx at once and reaches no backend.
+// A malformed request gets a 4xx at once and reaches no backend. A 429 or 5xx would make the client send it again.
 func TestMalformedRequests(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	n := startOn(t, b.Addr().String())
@@ -58,19 +60,19 @@
 		want   int
 		words  string // the header at fault and what to do
 	}{
-		"no id":           {"read", set("X-Trace-Id", ""), 400, "X-Trace-Id: missing"},
-		"unknown class":   {"read", set("X-Qos", "gold"), 400, "X-Qos: no such class: name"},
-		"no class":        {"read", set("X-Qos", ""), 400, "X-Qos: no such class: name"},
-		"unknown tenant":  {"read", set("X-Customer", "nobody"), 400, "X-Customer: no such customer: name"},
-		"no number":       {"read", set("X-Expires-In", "soon"), 400, "X-Expires-In: not a time: send"},
-		"NaN":             {"read", set("X-Expires-In", "NaN"), 400, "X-Expires-In: not a time: send"},
-		"infinite":        {"read", set("X-Expires-In", "Inf"), 400, "X-Expires-In: not a time: send"},
-		"negative time":   {"read", set("X-Expires-In", "-1"), 400, "X-Expires-In: not a time: send"},
-		"two ids":         {"read", func(r *http.Request) { r.Header.Add("X-Trace-Id", "again") }, 400, "X-Trace-Id: given more than once: send"},
-		"keyed, no key":   {"token", set("Idempotency-Key", ""), 400, "Idempotency-Key: missing: "},
-		"unsafe as a GET": {"order", func(r *http.Request) { r.Method = "GET" }, 405, "use POST"},
-		"safe as a POST":  {"read", func(r *http.Request) { r.Method = "POST" }, 405, "use GET"},
-		"other method":    {"order", func(r *http.Request) { r.Method = "DELETE" }, 405, "use POST"},
+		"no id":             {"read", set("X-Trace-Id", ""), 400, "X-Trace-Id: missing"},
+		"unknown class":     {"read", set("X-Qos", "gold"), 400, "X-Qos: no such class: name"},
+		"no class":          {"read", set("X-Qos", ""), 400, "X-Qos: no such class: name"},
+		"unknown tenant":    {"read", set("X-Customer", "nobody"), 400, "X-Customer: no such customer: name"},
+		"not a number":      {"read", set("X-Expires-In", "soon"), 400, "X-Expires-In: not a time: send"},
+		"NaN":               {"read", set("X-Expires-In", "NaN"), 400, "X-Expires-In: not a time: send"},
+		"infinite":          {"read", set("X-Expires-In", "Inf"), 400, "X-Expires-In: not a time: send"},
+		"negative time":     {"read", set("X-Expires-In", "-1"), 400, "X-Expires-In: not a time: send"},
+		"two ids":           {"read", func(r *http.Request) { r.Header.Add("X-Trace-Id", "again") }, 400, "X-Trace-Id: given more than once: send"},
+		"keyed without key": {"token", set("Idempotency-Key", ""), 400, "Idempotency-Key: missing: "},
+		"unsafe as a GET":   {"order", func(r *http.Request) { r.Method = "GET" }, 405, "use POST"},
+		"safe as a POST":    {"read", func(r *http.Request) { r.Method = "POST" }, 405, "use GET"},
+		"other method":      {"order", func(r *http.Request) { r.Method = "DELETE" }, 405, "use POST"},
 		"body too long": {"order", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", bodyMost+1))), bodyMost+1
 		}, 413, "send at most 65536 bytes"},
@@ -89,7 +91,7 @@
 		})
 	}
 	for name, text := range map[string]string{
-		"no HTTP":         "\x16\x03\x01 hello\r\n\r\n",
+		"not HTTP":        "\x16\x03\x01 hello\r\n\r\n",
 		"negative length": "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n",
 		"two lengths":     "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
 		"huge head":       "GET /api/x HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 2*headMost) + "\r\n\r\n",
@@ -107,7 +109,7 @@
 				t.Errorf("answered %d", resp.StatusCode)
 			}
 			if err != nil && strings.Contains(err.Error(), "timeout") {
-				t.Error("no answer and no close")
+				t.Error("neither an answer nor a close")
 			}
 		})
 	}
@@ -116,8 +118,8 @@
 	}
 }
 
-// A backend that says nothing costs the attempt and not the answer: that comes before the client's time is up,
-// and is a failure for what may have run.
+// A backend that never answers must not leave its client without an answer. The client gets one before its deadline, and that is a
+// failure (504), since the request may have run.
 func TestSilentBackendIsAnsweredInTime(t *testing.T) {
 	ended := make(chan error, 4)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -134,14 +136,15 @@
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	if d := time.Since(began); d < 200*time.Millisecond {
-		t.Errorf("given up after %v already", d)
+		t.Errorf("answered too early, after %v", d)
 	}
-	// The attempt given up has really ended its connection.
+	// The cancelled attempt closes its connection to the backend.
 	receive(t, "the end of the backend's connection", ended)
-	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.open(t) == 0 })
 }
 
-// A client that goes away leaves nothing behind: no request, no attempt, no connection.
+// A client that disconnects during its request must not leave a request, an attempt or a connection behind. Nothing else would end
+// an attempt on a backend that doesn't answer.
 func TestClientThatGoesAwayLeaksNothing(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -164,19 +167,19 @@
 	if d := time.Since(left); d > 5*time.Second {
 		t.Errorf("the attempt went on for %v", d)
 	}
-	// No backend has made an answer, so none may be read, not even an empty one of the library's.
+	// No backend has answered, so the client must read nothing, not even an empty answer of net/http.
 	c.SetReadDeadline(time.Now().Add(patience))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("answered %q", text)
 	}
 	c.Close()
-	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.open(t) == 0 })
 	eventually(t, "no request in flight and no connection", func() bool {
 		return n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
 }
 
-// Two open requests of one id could not be told apart at a backend.
+// A request with the id of an open one gets a 409. A backend could not distinguish two open requests with the same id.
 func TestIDOfAnOpenRequestIsTurnedAway(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -191,17 +194,17 @@
 		_, body := do(t, ask(t, n.url+"/api/x", "order", same))
 		first <- body
 	}()
-	receive(t, "the first at the backend", held)
+	receive(t, "the first request at the backend", held)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "order", same)); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %d", resp.StatusCode)
+		t.Errorf("second request: %d", resp.StatusCode)
 	}
 	close(hold)
 	if body := receive(t, "the first answer", first); body != "once" {
-		t.Errorf("the first: %q", body)
+		t.Errorf("first request: %q", body)
 	}
 }
 
-// At its limit the node refuses in order, and says when to come back.
+// A node at its limit of open requests rejects a new one with 503 and Retry-After, and still serves those that it has accepted.
 func TestFullNodeRefuses(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -211,25 +214,26 @@
 	}))
 	n := startOn(t, b.Addr().String())
 	n.onLoop(t, func() {})
-	n.front.inFlight.Store(n.front.most.Load() - 1) // all places but one are taken
+	n.front.inFlight.Store(n.front.most.Load() - 1) // one request below the limit
 	first := make(chan int, 1)
 	go func() {
 		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 		first <- resp.StatusCode
 	}()
-	receive(t, "the last place taken", held)
+	receive(t, "the last accepted request at the backend", held)
 	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	close(hold)
-	if status := receive(t, "the answer of the one taken", first); status != 200 {
-		t.Errorf("the one taken: %d", status)
+	if status := receive(t, "the answer to the accepted request", first); status != 200 {
+		t.Errorf("accepted request: %d", status)
 	}
 	n.front.inFlight.Add(1 - n.front.most.Load())
 }
 
-// A crowd of idle connections gives way to clients that have something to ask.
+// Idle client connections that fill the node are closed in favor of new connections. Otherwise clients with a request wait in the
+// backlog until idle ones leave.
 func TestIdleConnectionsGiveWay(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
@@ -250,7 +254,7 @@
 			t.Errorf("answered %d", resp.StatusCode)
 		}
 	}
-	busy := clients / 4 // more than there is room for beside the idle ones
+	busy := clients / 4 // more than fit beside the idle ones
 	for range busy {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err != nil {
@@ -259,23 +263,25 @@
 		defer c.Close()
 		io.WriteString(c, "GET /api/x HTTP/1.1\r\n")
 	}
-	eventually(t, "all of the busy connections at once", func() bool {
+	eventually(t, "all busy connections accepted", func() bool {
 		return n.front.table.Counts().Waiting >= busy
 	})
 }
 
-// What no server can take is refused at once, and the refusal says when to come back.
+// A request that no backend can run is rejected at once and with Retry-After. Waiting for the deadline would hold a request slot
+// and leave the client no time for another node.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	n := startOn(t, standin.ReserveAddr(t)) // nobody is there: connections are refused
+	n := startOn(t, standin.ReserveAddr(t)) // refuses connections
 	began := time.Now()
 	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 	var after float64
 	if _, err := fmt.Sscan(resp.Header.Get("Retry-After"), &after); resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
-		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if d := time.Since(began); d > 5*time.Second {
-		t.Errorf("the refusal was held back for %v", d)
+		t.Errorf("rejected only after %v", d)
 	}
 }
 
+// connections returns the number of open client connections.
 func (f *front) connections() int { return f.table.Counts().Open }
--- a/internal/node/clockstep_test.go
+++ b/internal/node/clockstep_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A node whose wall clock is an hour off takes a backend that has just started for cold all the same, and soon for warm: whether it
-// reads of it in its first list or in a change.
+// A wall clock that is an hour off must not change the age of a backend, whether it is in the first list or in an update. A backend
+// that has just started would count as warm, or would stay cold for an hour.
 func TestStartsByAClockThatIsAnHourOff(t *testing.T) {
 	const off = time.Hour
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
@@ -38,17 +38,18 @@
 			for _, id := range []string{"first", "change"} {
 				eventually(t, id, func() bool { _, known := age(id); return known })
 				if got, _ := age(id); got < -time.Second || got > 10*time.Second {
-					t.Errorf("%s started a moment ago, and has the age of %v", id, got)
+					t.Errorf("%s has just started, but has the age %v", id, got)
 				}
 			}
 			if got, _ := age("old"); got < off {
-				t.Errorf("old started long ago, and has the age of %v", got)
+				t.Errorf("old started long ago, but has the age %v", got)
 			}
 		})
 	}
 }
 
-// Waits and ages go by the monotonic clock: the wall clock may be set by an hour at any time. Whoever reads it says so here, and why.
+// Waits and ages use the monotonic clock, since the wall clock may be set by an hour at any time. The test searches the sources of
+// the node for reads of the wall clock. Each exception is listed here with its reason.
 func TestNothingWaitsByTheWallClock(t *testing.T) {
 	allowed := map[string]string{
 		"internal/engine/engine.go": "the origin of the engine's clock, read once",
@@ -61,7 +62,7 @@
 	}
 	folders := regexp.MustCompile(`(?m)^node = \[(.*)\]`).FindSubmatch(deploy)
 	if folders == nil {
-		t.Fatal("deploy/balancer.toml: no node")
+		t.Fatal("deploy/balancer.toml: no list of node folders")
 	}
 	for folder := range strings.SplitSeq(string(folders[1]), ",") {
 		files, _ := filepath.Glob(filepath.Join(root, strings.Trim(folder, ` "`), "*.go"))
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -11,6 +11,7 @@
  "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},"peer_listen":"127.0.0.4:7946","peers":["127.0.0.6:7946"],
  "peers_all":"127.0.0.7:7946","known":{"revision":41,"complete":true,"members":[]},"settings":` + testSettings + `}`
 
+// A valid configuration file is parsed with its seed, limits, cached list and classes.
 func TestConfig(t *testing.T) {
 	cfg, err := ParseConfig([]byte(goodConfig))
 	if err != nil {
@@ -21,7 +22,7 @@
 	}
 }
 
-// What is missing or malformed is one line that names it.
+// A missing or malformed value must give an error of one line that names the key. Operators see nothing else of it.
 func TestBadConfig(t *testing.T) {
 	for name, tc := range map[string]struct{ old, new, want string }{
 		"empty":          {goodConfig, "", "JSON"},
@@ -41,22 +42,23 @@
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(goodConfig, tc.old, tc.new, 1)
 			if text == goodConfig {
-				t.Fatal("nothing was changed")
+				t.Fatal("the test case changes nothing")
 			}
 			_, err := ParseConfig([]byte(text))
 			if err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want a line with %q", err, tc.want)
+				t.Errorf("%v, want one line with %q", err, tc.want)
 			}
 		})
 	}
 	if _, err := LoadConfig(""); err == nil {
-		t.Error("no file, and no error")
+		t.Error("no error for an empty file name")
 	}
 	if _, err := LoadConfig(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(unwrap(err)) {
 		t.Errorf("missing file: %v", err)
 	}
 }
 
+// unwrap returns the innermost error.
 func unwrap(err error) error {
 	for {
 		u, ok := err.(interface{ Unwrap() error })
@@ -67,7 +69,7 @@
 	}
 }
 
-// The remembered list only bridges the time until discovery answers: one that can't be read does not stop a start.
+// An unreadable cached list must not prevent the start. The list is only used until discovery answers.
 func TestABadRememberedListDoesNotStopTheStart(t *testing.T) {
 	cfg, err := ParseConfig([]byte(strings.Replace(goodConfig, `"members":[]`, `"members":[{}]`, 1)))
 	if err != nil || cfg.knownErr == nil || len(cfg.Known.Members) != 0 {
@@ -75,8 +77,8 @@
 	}
 }
 
-// Settings that tell two classes or tenants by one name, or one by none, start no node and replace nothing in service: the first
-// of them would be served for both, with the other's effect.
+// Settings with a duplicate or empty name of a class or tenant must not start a node or replace settings in use. Requests of both
+// classes would be served as the first one, with the wrong effect.
 func TestNamesThatTellNothingApartStartNoNode(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name":"token"`, `"name":"read"`, "classes[2].name: read is given twice: give each one a name of its own"},
@@ -102,7 +104,7 @@
 		}
 		n.loop.Step()
 		if n.front.tuning.Load() != before {
-			t.Errorf("%s: taken in", c.new)
+			t.Errorf("%s: applied", c.new)
 		}
 		n.close()
 	}
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// cramped names the variable by which a process of the tests is a node with this configuration and no more descriptors than it
-// names. It tells its addresses, and, when its input ends, the most descriptors that it has had open.
+// cramped names the environment variable with which the test binary runs as a node. Its value is the configuration. The process
+// limits itself to leastSockets descriptors, prints its addresses, and when its standard input ends the peak of its open descriptors.
 const cramped = "GLENCART_TEST_CRAMPED"
 
 func init() {
@@ -47,7 +47,7 @@
 	most := atomic.Int64{}
 	go every(ctx, 3*time.Millisecond, func() {
 		if list, err := os.ReadDir("/proc/self/fd"); err == nil {
-			most.Store(max(most.Load(), int64(len(list)-1))) // but for the one that looks
+			most.Store(max(most.Load(), int64(len(list)-1))) // without the one that reads the folder
 		}
 	})
 	go every(ctx, 20*time.Millisecond, func() { n.peers.tell(0, []byte("word")) })
@@ -57,9 +57,9 @@
 	os.Exit(0)
 }
 
-// While clients fill a node's descriptors with connections that say nothing or half of something, operators' callers do the same, its
-// backends are held up and discovery refuses or hangs, it serves who asks, speaks to its peers, and hears of a drain as soon as
-// discovery is back.
+// A node must not run out of descriptors. Here clients and callers of the management endpoint open connections and send nothing or a
+// part of a request, backends are slow, and discovery refuses or hangs. The node still serves requests, sends to its peers, and applies
+// a drain as soon as discovery is back.
 func TestCrowdsLeaveDescriptorsForTheRest(t *testing.T) {
 	t.Parallel()
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 		}
 	}()
 	hold, held := make(chan struct{}), make(chan struct{}, 64)
-	var oldLast atomic.Int64 // when the old backend got a request last
+	var oldLast atomic.Int64 // when an old backend last received a request
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
 		return answering(func(r *http.Request) string {
 			if !strings.HasPrefix(r.URL.Path, "/api/") {
@@ -96,7 +96,7 @@
 			return ok200(name)
 		})
 	}
-	const many = 24 // more than there are connections for: each that a probe leaves open is kept for a while
+	const many = 24 // more than the pool may hold: each connection of a probe is kept for a while
 	var known, drained []listed
 	for i := range many {
 		old := listed{ID: fmt.Sprintf("s-old-%d", i), Addr: newRawBackend(t, "127.0.0.1:0", serve("old")).Addr().String(), Phase: "ready"}
@@ -157,7 +157,7 @@
 	said := bufio.NewScanner(out)
 	var addr, admin string
 	if !said.Scan() {
-		t.Fatalf("the node does not start: %v %s", ended(), log.String())
+		t.Fatalf("the node did not start: %v %s", ended(), log.String())
 	}
 	fmt.Sscan(said.Text(), &addr, &admin)
 	call := func(to, path string) (status int, body string) {
@@ -202,7 +202,7 @@
 		crowd(addr, 3*b.clients)
 		crowd(admin, 2*adminLast)
 		for range many {
-			call(addr, "/api/x") // and the probes beside it
+			call(addr, "/api/x") // probes run in between
 		}
 		had := calls.Load()
 		began := time.Now()
@@ -210,29 +210,29 @@
 			t.Errorf("discovery %s: answered %d %s", m, status, body)
 		}
 		if d := time.Since(began); d > 2*time.Second {
-			t.Errorf("discovery %s: the client waited for %v", m, d)
+			t.Errorf("discovery %s: the client waited %v", m, d)
 		}
 		if status, body := call(admin, "/control/ready"); status != 200 {
-			t.Errorf("discovery %s: operators are answered %d %s", m, status, body)
+			t.Errorf("discovery %s: the management endpoint answered %d %s", m, status, body)
 		}
-		eventually(t, "a call to discovery that "+m, func() bool { return calls.Load() > had })
+		eventually(t, "a call to discovery, which "+m, func() bool { return calls.Load() > had })
 		select {
 		case <-words:
 		default:
 		}
-		receive(t, "a word to peers", words)
+		receive(t, "a datagram at the peer", words)
 	}
 	eventually(t, "the new backend", func() bool { _, body := call(addr, "/api/x"); return body == "new" })
 	for range 20 {
 		call(addr, "/api/x")
 	}
 	if d := time.Duration(oldLast.Load() - toldAt.Load()); d > 500*time.Millisecond {
-		t.Errorf("the drain was told, and %v later it got a request", d)
+		t.Errorf("a draining backend received a request %v after the update", d)
 	}
 	close(hold)
 	slow.Wait()
 	if got := int(answered.Load()); got != b.requests-1 {
-		t.Errorf("%d of %d open requests have their answer", got, b.requests-1)
+		t.Errorf("%d of %d open requests were answered", got, b.requests-1)
 	}
 	in.Close()
 	most := 0
@@ -240,9 +240,9 @@
 		fmt.Sscan(said.Text(), &most)
 	}
 	if err := ended(); err != nil {
-		t.Errorf("the node's end: %v", err)
+		t.Errorf("the node ended with %v", err)
 	}
-	t.Logf("most descriptors open: %d of %d; clients %d, backends %d, the rest %d", most, leastSockets, b.clients, b.backends, otherSockets)
+	t.Logf("peak of open descriptors: %d of %d; clients %d, backends %d, others %d", most, leastSockets, b.clients, b.backends, otherSockets)
 	if most == 0 || most >= leastSockets || strings.Contains(log.String(), "too many open files") {
 		t.Errorf("%d of %d descriptors were open; the node's log: %s", most, leastSockets, log.String())
 	}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -11,7 +11,8 @@
 	"glencart/balance"
 )
 
-// Once a backend drains nothing new goes out to it: not from the module, and not what still hangs in a dial.
+// A draining backend must get no new request. The balancer chooses it no more, and an attempt that is still dialing when the update
+// arrives is not written.
 func TestDrainStopsWhatHangsInADial(t *testing.T) {
 	got := make(chan string, 8)
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
@@ -46,12 +47,12 @@
 	receive(t, "a dial", dialing)
 	reg.Next <- listText(2, false, listed{ID: "old", Addr: old.Addr().String(), Phase: "draining", Up: 0},
 		listed{ID: "new", Addr: other.Addr().String(), Phase: "ready", Up: 0})
-	eventually(t, "the news", func() (told bool) {
+	eventually(t, "the update", func() (told bool) {
 		s.onLoop(t, func() { told = phaseOf(s, "old") == balance.Draining })
 		return told
 	})
 	close(dial)
-	// It never ran, so the module may send it on or refuse it; a node this young has earned no retry.
+	// The request never ran, so the balancer may send it elsewhere or reject it. A node that has just started has no retry budget.
 	if body := receive(t, "the answer", answered); body == "old" {
 		t.Errorf("answered %q", body)
 	}
@@ -68,7 +69,7 @@
 	close(got)
 	for name := range got {
 		if name == "old" {
-			t.Error("a request went out to a backend that drains")
+			t.Error("a draining backend received a request")
 		}
 	}
 }
--- a/internal/node/floods_test.go
+++ b/internal/node/floods_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// failing is a listener that fails so often, each time in another way, before it lets somebody in.
+// failing is a listener whose first calls of Accept fail with the given errors.
 type failing struct {
 	net.Listener
 	with []error
@@ -29,7 +29,8 @@
 	return l.Listener.Accept()
 }
 
-// A system that can let nobody in for a moment does not end the node, nor the operators' listener.
+// A temporary error of accept(2) must end neither the listener for clients nor that for operators. net/http ends its server on
+// errors that it takes for permanent.
 func TestAcceptErrorsEndNothing(t *testing.T) {
 	t.Parallel()
 	with := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPERM,
@@ -46,11 +47,11 @@
 		t.Errorf("answered %d %q", resp.StatusCode, body)
 	}
 	if resp, _ := do(t, ask(t, "http://"+n.admin.Addr().String()+"/control/ready", "read")); resp.StatusCode != 200 {
-		t.Errorf("operators are answered %d", resp.StatusCode)
+		t.Errorf("the management endpoint answered %d", resp.StatusCode)
 	}
 }
 
-// descriptors is how many this process has open.
+// descriptors returns the number of open descriptors of this process.
 func descriptors(t *testing.T) int {
 	t.Helper()
 	list, err := os.ReadDir("/proc/self/fd")
@@ -60,7 +61,8 @@
 	return len(list)
 }
 
-// A request that is cut at any byte gets no answer or an error, reaches no backend, and leaves nothing behind.
+// A request that is cut off at any byte must reach no backend and must not leave a connection or a descriptor behind. The client
+// gets a 4xx or no answer.
 func TestRequestsCutAtEveryByte(t *testing.T) {
 	var begun atomic.Int32
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -70,7 +72,7 @@
 		return ok200("{}")
 	}))
 	n := startOn(t, b.Addr().String())
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	before := descriptors(t)
 	texts := []string{
 		strings.Replace(leavesText(1), "leaves", "cut", 1),
@@ -104,7 +106,7 @@
 				c.(*net.TCPConn).CloseWrite()
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if ne, ok := err.(net.Error); ok && ne.Timeout() {
-					t.Errorf("cut after %q: neither an answer nor an end", text[:at])
+					t.Errorf("cut after %q: neither an answer nor a close", text[:at])
 				}
 				if err == nil && (resp.StatusCode < 400 || resp.StatusCode >= 500) {
 					t.Errorf("cut after %q: answered %d", text[:at], resp.StatusCode)
@@ -113,19 +115,20 @@
 		}
 	}
 	wg.Wait()
-	eventually(t, "nothing left behind", func() bool {
+	eventually(t, "the release of all requests and connections", func() bool {
 		return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0 && n.listener.Holds() == 0
 	})
-	eventually(t, "no descriptor left behind", func() bool { return descriptors(t) <= before+8 }) // probes and calls for lists come and go
+	eventually(t, "the release of all descriptors", func() bool { return descriptors(t) <= before+8 }) // probes and discovery vary
 	if got := begun.Load(); got > 0 {
 		t.Errorf("%d of %d cut requests reached a backend", got, cuts)
 	}
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
-		t.Errorf("after them: %d", resp.StatusCode)
+		t.Errorf("request after the cut ones: %d", resp.StatusCode)
 	}
 }
 
-// Clients that ask for long answers and read none hold neither the loop nor other clients up, and leave nothing when they go.
+// Clients that request long answers and don't read them must delay neither the loop nor other clients, and their requests end when
+// they disconnect. A write to such a client blocks once the socket buffers are full.
 func TestReadersThatReadNothing(t *testing.T) {
 	t.Parallel()
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -135,9 +138,9 @@
 		return ok200("x")
 	}))
 	n := startOn(t, b.Addr().String())
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	var silent []net.Conn
-	for i := range 4 { // one after the other; some may be refused: the backend is slow
+	for i := range 4 { // in sequence; some may be rejected, since the backend is slow
 		c := n.dial(t)
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		io.WriteString(c, strings.Replace(leavesText(i), "/api/x", "/api/long", 1))
@@ -152,11 +155,11 @@
 	if len(silent) == 0 {
 		t.Fatal("no answer has begun")
 	}
-	eventually(t, "their streams alone", func() bool { return int(n.front.inFlight.Load()) == len(silent) })
+	eventually(t, "only the unread answers in flight", func() bool { return int(n.front.inFlight.Load()) == len(silent) })
 	began := time.Now()
 	n.onLoop(t, func() {})
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
-		t.Errorf("beside them: %d", resp.StatusCode)
+		t.Errorf("request of another client: %d", resp.StatusCode)
 	}
 	if d := time.Since(began); d > readerSilent/4 {
 		t.Errorf("the other client waited for %v", d)
@@ -164,12 +167,13 @@
 	for _, c := range silent {
 		c.Close()
 	}
-	eventually(t, "nothing of them", func() bool {
+	eventually(t, "the release of the requests and their connections", func() bool {
 		return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
 }
 
-// A peer that floods a node whose loop is behind takes the room that it has and no more, and clients are served after it.
+// A peer that floods a node whose loop is blocked must not fill the memory. Only a bounded number of messages waits, and clients are
+// served afterwards.
 func TestPeersThatFlood(t *testing.T) {
 	t.Parallel()
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -182,22 +186,22 @@
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{peer.LocalAddr().String()}
 	n := start(t, cfg)
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	hold := make(chan struct{})
 	n.loop.Post(func() { <-hold })
 	most := int32(0)
-	eventually(t, "all room taken", func() bool {
+	eventually(t, "a full queue of peer messages", func() bool {
 		for i := range 200 {
 			peer.WriteTo([]byte(fmt.Sprintf("noise %d", i)), n.peers.conn.LocalAddr())
 		}
 		most = max(most, n.hears.Load())
 		return int(most) >= n.bounds.hear
 	})
-	if int(most) > n.bounds.hear+1 { // the one that is being turned away
-		t.Errorf("%d messages wait, %d at most", most, n.bounds.hear)
+	if int(most) > n.bounds.hear+1 { // the one that is being rejected
+		t.Errorf("%d messages wait, limit %d", most, n.bounds.hear)
 	}
 	close(hold)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
-		t.Errorf("after it: %d", resp.StatusCode)
+		t.Errorf("request after the flood: %d", resp.StatusCode)
 	}
 }
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// talk writes text to a node, in pieces of so many bytes, and returns the statuses of what it answers, until it
-// closes the connection.
+// talk writes text to a node in pieces of this many bytes. It returns the statuses of the answers up to the close of the connection.
 func talk(t *testing.T, n *started, text string, piece int) (statuses []int) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
@@ -35,7 +34,7 @@
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
 			if strings.Contains(err.Error(), "timeout") {
-				t.Error("never closed")
+				t.Error("the connection was not closed")
 			}
 			return statuses
 		}
@@ -44,8 +43,8 @@
 	}
 }
 
-// A request that gives its length in two ways may hide another in its body. It gets a 4xx and a close, whole or in
-// pieces, first on its connection or not, and neither it nor the hidden one reaches a backend.
+// A request with two conflicting lengths may hide another one in its body (request smuggling, RFC 9112, section 11.2). It gets a 4xx
+// and a close, whole or in pieces, first on its connection or not. Neither it nor the hidden request reaches a backend.
 func TestTwoLengthsAreRefused(t *testing.T) {
 	seen := make(chan string, 64)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -88,7 +87,7 @@
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(patience))
 		br := bufio.NewReader(c)
-		// The first one's body looks like a head: it must not be taken for one.
+		// The body of the first request looks like a head and must not be parsed as one.
 		body := "Transfer-Encoding: chunked\r\n\r\n"
 		for i, want := range []int{200, 400} {
 			text := head("order", "good", fmt.Sprintf("Content-Length: %d\r\n", len(body))) + body
@@ -112,12 +111,13 @@
 	close(seen)
 	for id := range seen {
 		if id != "good" {
-			t.Errorf("%q reached the backend", id)
+			t.Errorf("request %q reached the backend", id)
 		}
 	}
 }
 
-// Chunks alone are served, and end their connection: what comes behind them is not looked at.
+// A chunked request is forwarded with its whole body, and its connection closes after the answer, so that no bytes after the last
+// chunk are read as a request.
 func TestChunkedRequestIsServed(t *testing.T) {
 	got := make(chan string, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -18,7 +18,7 @@
 	"glencart/internal/standin"
 )
 
-// startAs is start for a node that is changed before it runs.
+// startAs is like start, but calls change on the node before it runs.
 func startAs(t *testing.T, cfg Config, change func(*Node)) *started {
 	t.Helper()
 	n, err := New(t.Context(), cfg, quiet())
@@ -40,7 +40,7 @@
 	return s
 }
 
-// letIn keeps the connections that a listener has let in.
+// letIn is a listener that records the connection it accepted last.
 type letIn struct {
 	net.Listener
 	mu   sync.Mutex
@@ -61,7 +61,7 @@
 	return l.last
 }
 
-// closedYet lets nobody in until its gate is open: they stand in the queue.
+// closedYet is a listener that accepts nothing until the channel gate is closed. Until then clients wait in the backlog.
 type closedYet struct {
 	net.Listener
 	gate chan struct{}
@@ -72,28 +72,29 @@
 	return l.Listener.Accept()
 }
 
-// waysToLeave are what a client does that has asked.
+// waysToLeave are the ways in which a client with an open request disconnects.
 var waysToLeave = map[string]func(c net.Conn){
-	"closes":                   func(c net.Conn) { c.Close() },
-	"a byte, and closes":       func(c net.Conn) { io.WriteString(c, "G"); c.Close() },
-	"asks again, and closes":   func(c net.Conn) { io.WriteString(c, leavesText(99)); c.Close() },
-	"sends much, and closes":   func(c net.Conn) { io.WriteString(c, strings.Repeat("x", 48<<10)); c.Close() },
-	"a byte, ends its sending": func(c net.Conn) { io.WriteString(c, "G"); c.(*net.TCPConn).CloseWrite() },
-	"a byte, and resets":       func(c net.Conn) { io.WriteString(c, "G"); reset(c) },
+	"closes":                      func(c net.Conn) { c.Close() },
+	"a byte, and closes":          func(c net.Conn) { io.WriteString(c, "G"); c.Close() },
+	"another request, and closes": func(c net.Conn) { io.WriteString(c, leavesText(99)); c.Close() },
+	"48 KiB, and closes":          func(c net.Conn) { io.WriteString(c, strings.Repeat("x", 48<<10)); c.Close() },
+	"a byte, and a half-close":    func(c net.Conn) { io.WriteString(c, "G"); c.(*net.TCPConn).CloseWrite() },
+	"a byte, and resets":          func(c net.Conn) { io.WriteString(c, "G"); reset(c) },
 }
 
+// leavesText returns a read request as text.
 func leavesText(i int) string {
 	return fmt.Sprintf("GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: leaves-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n\r\n", i)
 }
 
-// A client that has left gets no attempt begun, whatever its request waits for: the loop, a connection to a backend, or the end of
-// an attempt; and nothing of it stays.
+// No attempt begins for a client that has disconnected, since nobody would read its answer. The request may be waiting for the loop,
+// for a connection to a backend, or for the end of an attempt. Its state is released.
 func TestNothingIsBegunForAClientThatLeft(t *testing.T) {
 	for _, waits := range []string{"for the loop", "for a connection", "for its first attempt"} {
 		t.Run(waits, func(t *testing.T) {
 			t.Parallel()
 			began, dialing := make(chan string, 64), make(chan struct{}, 64)
-			var gate atomic.Value // of chan struct{}: what the request waits for ends when it is closed
+			var gate atomic.Value // a chan struct{}; closing it releases what the request waits for
 			serve := answering(func(r *http.Request) string {
 				if !strings.HasPrefix(r.URL.Path, "/api/") {
 					return ok200("{}")
@@ -117,11 +118,11 @@
 					return nil
 				}
 			})
-			eventually(t, "clients let in", n.running.Load)
+			eventually(t, "the node accepting clients", n.running.Load)
 			i := 0
 			for way, leave := range waysToLeave {
 				if waits == "for its first attempt" && way != "a byte, and closes" {
-					continue // a node to each: whose only answers were 503s sends no second attempt
+					continue // only the first case: a node that has seen nothing but 503s sends no second attempt
 				}
 				i++
 				next := make(chan struct{})
@@ -137,7 +138,7 @@
 				before := n.front.book.Left.Load()
 				c := n.dial(t)
 				io.WriteString(c, leavesText(i))
-				eventually(t, "the request taken", func() bool { return n.front.inFlight.Load() == 1 })
+				eventually(t, "the accepted request", func() bool { return n.front.inFlight.Load() == 1 })
 				switch waits {
 				case "for a connection":
 					receive(t, "a dial", dialing)
@@ -145,25 +146,26 @@
 					receive(t, "the first attempt", began)
 				}
 				leave(c)
-				eventually(t, "gone", func() bool { return sock.Gone(in.conn()) || n.front.connections() == 0 })
+				eventually(t, "the disconnect", func() bool { return sock.Gone(in.conn()) || n.front.connections() == 0 })
 				release()
-				eventually(t, "nothing of it", func() bool {
+				eventually(t, "the release of the request and its connection", func() bool {
 					return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
 				})
 				select {
 				case id := <-began:
-					t.Errorf("%s: an attempt for %s was begun after its client left", way, id)
+					t.Errorf("%s: an attempt for %s began after its client had disconnected", way, id)
 				default:
 				}
 				if left := n.front.book.Left.Load() - before; left != 1 {
-					t.Errorf("%s: left: %d", way, left)
+					t.Errorf("%s: %d clients counted as disconnected", way, left)
 				}
 			}
 		})
 	}
 }
 
-// A client that left while its request stood in the listener's queue gets no attempt either.
+// No attempt begins for a client that disconnected while its request was still in the backlog of the listener. The node reads a
+// whole request there, followed by an end of the stream.
 func TestNothingIsBegunForAClientThatLeftTheQueue(t *testing.T) {
 	t.Parallel()
 	var begun atomic.Int32
@@ -179,8 +181,8 @@
 	n := startAs(t, testConfig(t, newRegistry(t, text).Addr, text), func(n *Node) {
 		n.listener.Listener = closedYet{n.listener.Listener, gate}
 	})
-	defer open() // the node ends after it
-	eventually(t, "clients let in", n.running.Load)
+	defer open() // before the node ends
+	eventually(t, "the node accepting clients", n.running.Load)
 	const leave = 24
 	var left []net.Conn
 	for i := range leave {
@@ -193,20 +195,21 @@
 		left = append(left, c)
 	}
 	for _, c := range left {
-		eventually(t, "gone", func() bool { return standin.Acknowledged(c) })
+		eventually(t, "the disconnect", func() bool { return standin.Acknowledged(c) })
 		c.Close()
 	}
 	open()
-	eventually(t, "all let in", func() bool { return n.front.book.Taken.Load() == leave })
-	eventually(t, "nothing of them", func() bool {
+	eventually(t, "all connections accepted", func() bool { return n.front.book.Taken.Load() == leave })
+	eventually(t, "the release of the requests and their connections", func() bool {
 		return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
 	if got := begun.Load(); got > 0 {
-		t.Errorf("%d of %d had an attempt begun", got, leave)
+		t.Errorf("attempts began for %d of %d disconnected clients", got, leave)
 	}
 }
 
-// A client that leaves behind bytes that nobody reads is missed all the same: its attempt ends, and its place is free.
+// A disconnect must also be noticed where unread bytes of the client precede it, since a read returns those first. The attempt ends
+// and the request slot is free again.
 func TestWhoLeavesBehindUnreadBytesIsMissed(t *testing.T) {
 	t.Parallel()
 	begun, over := make(chan struct{}, 1), make(chan struct{}, 1)
@@ -224,10 +227,10 @@
 	at := time.Now()
 	waysToLeave["a byte, and closes"](c)
 	receive(t, "the end of the attempt", over)
-	eventually(t, "nothing of it", func() bool {
+	eventually(t, "the release of the request and its connection", func() bool {
 		return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
-	if d := time.Since(at); d > 3*time.Second { // it had 9 s
-		t.Errorf("missed after %v", d)
+	if d := time.Since(at); d > 3*time.Second { // the deadline is 9 s
+		t.Errorf("disconnect noticed only after %v", d)
 	}
 }
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -12,8 +12,8 @@
 	"glencart/internal/engine"
 )
 
-// Backends that are gone leave nothing behind, however many there were; one with something out is kept until its
-// outcome, and a number is never given twice.
+// State of removed backends must not accumulate, however many there were. A backend with an attempt in flight stays until the
+// attempt ends, and no number is assigned twice, so that its result can't be taken for that of another backend.
 func TestBackendsThatAreGoneAreForgotten(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -26,7 +26,7 @@
 	addr := b.Addr().String()
 	text := listText(1, true, listed{ID: "first", Addr: addr, Phase: "ready", Up: 0})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "discovery's own list", func() bool { return n.loop.Ready() })
+	eventually(t, "the list of discovery", func() bool { return n.loop.Ready() })
 	slow := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
@@ -50,7 +50,7 @@
 			}
 			number := numberOf(n, id)
 			if seen[number] {
-				t.Errorf("number %d was given twice", number)
+				t.Errorf("number %d was assigned twice", number)
 			}
 			seen[number] = true
 			if i%2 == 0 {
@@ -58,12 +58,12 @@
 			}
 		}
 		if !knows(n, "first") {
-			t.Error("forgotten with a request out")
+			t.Error("backend released with a request in flight")
 		}
 	})
 	close(hold)
 	if body := receive(t, "the slow answer", slow); body != "x" {
-		t.Errorf("the slow answer: %q", body)
+		t.Errorf("slow request: %q", body)
 	}
 	n.onLoop(t, func() {
 		if n.loop.Backends() > 1 {
@@ -72,8 +72,8 @@
 	})
 }
 
-// A new backend at the address of one that has gone shares no connection with it, not even one that comes back to
-// the pool later.
+// A new backend at the address of a removed one must not use its connections, also not one that returns to the pool later. Such a
+// connection may lead to the old process.
 func TestNewBackendAtAUsedAddress(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -94,7 +94,7 @@
 	}()
 	receive(t, "the slow request", held)
 	reg.Next <- listText(2, false, listed{ID: "old", Addr: addr, Phase: "gone", Up: 0}, listed{ID: "new", Addr: addr, Phase: "ready", Up: 0})
-	eventually(t, "the new one", func() (named bool) {
+	eventually(t, "the new backend", func() (named bool) {
 		n.onLoop(t, func() { named = knows(n, "new") })
 		return named
 	})
@@ -108,7 +108,7 @@
 	}
 }
 
-// What the loop keeps for requests and timers goes with them, for clients that never come twice.
+// The loop must release the state and timers of requests whose clients never come again, or its tables grow without a limit.
 func TestRequestsLeaveNothingBehind(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	n := startOn(t, b.Addr().String())
@@ -124,30 +124,32 @@
 		}
 		c.Close()
 	}
-	eventually(t, "empty tables", func() (empty bool) {
+	eventually(t, "empty tables and no timer", func() (empty bool) {
 		n.onLoop(t, func() { empty = n.loop.Open() == 0 && !ringing(n) })
 		return empty && n.front.connections() == 0
 	})
 }
 
-// knows tells whether a node's engine still keeps a backend, numberOf which number it gave it, and ringing whether
-// any timer is set.
+// knows reports whether the engine of a node still keeps a backend.
 func knows(n *started, id string) bool {
 	_, _, _, known := n.loop.Backend(id)
 	return known
 }
 
+// numberOf returns the number that the engine assigned to a backend.
 func numberOf(n *started, id string) balance.BackendID {
 	_, number, _, _ := n.loop.Backend(id)
 	return number
 }
 
+// ringing reports whether a timer is set.
 func ringing(n *started) bool {
 	_, some := n.loop.Next()
 	return some
 }
 
-// A backend whose process ended and that answers again at its address is a cold one before any list says so.
+// A backend that refuses connections and later answers again at its address is a new process. The node treats it as cold before a
+// list reports the new start time. A cold process would otherwise get the full load of a warm one.
 func TestBackendThatRefusedIsANewProcess(t *testing.T) {
 	serve := answering(func(*http.Request) string { return ok200("x") })
 	conns := make(chan net.Conn, 64)
@@ -164,7 +166,7 @@
 		return at
 	}
 	if at := launched(); at != 0 {
-		t.Fatalf("started at %v, and the list says long ago", at)
+		t.Fatalf("started at %v, but the list reports an old start", at)
 	}
 	b.Close()
 	for len(conns) > 0 {
@@ -176,6 +178,7 @@
 	eventually(t, "a new process", func() bool { request(); return launched() >= began })
 }
 
+// doubted returns the number of backends whose restart is suspected.
 func (s *started) doubted(t *testing.T) (some int) {
 	s.onLoop(t, func() { some = s.hand.InDoubt() })
 	return some
--- a/internal/node/halfway_test.go
+++ b/internal/node/halfway_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Who is within a request when its connection has to end, since the node ends or a crowd wants the place, has an answer all the same:
-// the rest may be on its way, and a request whose last byte is written has been taken.
+// A client that has sent a part of its request when the node closes the connection, at shutdown or to make room for others, still
+// gets an answer. The rest may be on its way, and a client that has written its last byte expects an answer.
 func TestWhoIsHalfwayIsAnswered(t *testing.T) {
 	head := func(length string) string {
 		return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: halfway-%d\r\nX-Qos: order\r\nX-Customer: acme\r\n%s\r\n\r\n",
@@ -25,8 +25,8 @@
 		"half a chunk": head("Transfer-Encoding: chunked") + "a\r\n12345",
 	} {
 		for why, end := range map[string]func(t *testing.T, n *started){
-			"the node ends": func(t *testing.T, n *started) { n.stop() },
-			"a crowd comes": func(t *testing.T, n *started) {
+			"shutdown": func(t *testing.T, n *started) { n.stop() },
+			"connection flood": func(t *testing.T, n *started) {
 				for range 3 * n.bounds.clients {
 					if c, err := net.Dial("tcp", n.Addr().String()); err == nil {
 						t.Cleanup(func() { c.Close() })
@@ -41,10 +41,10 @@
 				cfg := testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":400000000`)
 				cfg.Limits.Sockets = leastSockets
 				n := start(t, cfg)
-				eventually(t, "clients let in", n.running.Load)
+				eventually(t, "the node accepting clients", n.running.Load)
 				c := n.dial(t)
 				io.WriteString(c, part)
-				eventually(t, "some of it read", func() bool { return n.front.table.Counts().Begun == 1 })
+				eventually(t, "the first bytes read", func() bool { return n.front.table.Counts().Begun == 1 })
 				end(t, n)
 				c.SetReadDeadline(time.Now().Add(patience))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -52,7 +52,7 @@
 					t.Fatalf("no answer: %v", err)
 				}
 				if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-					t.Errorf("answered %d, closes: %v", resp.StatusCode, resp.Close)
+					t.Errorf("answered %d, closing: %v", resp.StatusCode, resp.Close)
 				}
 			})
 		}
--- a/internal/node/heldup_test.go
+++ b/internal/node/heldup_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// heldUpListener lets in connections whose bytes are read late, as by a process that is held up.
+// heldUpListener accepts connections whose bytes are read late, as if the process had been stalled.
 type heldUpListener struct {
 	net.Listener
 	by *atomic.Int64 // ns
@@ -30,6 +30,7 @@
 	return &heldUpConn{c.(*net.TCPConn), l.by}, nil
 }
 
+// heldUpConn is a connection whose next read is delayed.
 type heldUpConn struct {
 	*net.TCPConn
 	by *atomic.Int64
@@ -40,6 +41,7 @@
 	return heldUpRaw{raw, c.by}, err
 }
 
+// heldUpRaw sleeps once before a read that has something to return.
 type heldUpRaw struct {
 	syscall.RawConn
 	by *atomic.Int64
@@ -55,8 +57,8 @@
 	})
 }
 
-// What a backend is told of time is what its client has left and 0.15 s at the most, counted from the client's last byte: also where that
-// waited in the socket of a node that was held up, on a connection that is kept, with a body or without.
+// The deadline that a backend gets must not exceed the remaining time of the client by more than 0.15 s, counted from the client's
+// last byte. That byte may have waited in the socket of a stalled node, on a reused connection, with a body or without.
 func TestToldDeadlines(t *testing.T) {
 	const heldUp, budget, slack = 400 * time.Millisecond, 2 * time.Second, 150 * time.Millisecond
 	told := make(chan time.Duration, 8)
@@ -75,7 +77,7 @@
 	n := startAs(t, testConfig(t, newRegistry(t, text).Addr, text), func(n *Node) {
 		n.listener.Listener = heldUpListener{n.listener.Listener, by}
 	})
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	c := n.dial(t)
 	r := bufio.NewReader(c)
 	for i, part := range []struct{ head, body string }{
@@ -84,15 +86,15 @@
 		{"GET /api/x HTTP/1.1\r\nX-Qos: read", ""},
 		{"POST /api/x HTTP/1.1\r\nX-Qos: order\r\nTransfer-Encoding: chunked", "4\r\nabcd\r\n0\r\n\r\n"},
 	} {
-		time.Sleep(50 * time.Millisecond) // the connection rests
+		time.Sleep(50 * time.Millisecond) // the connection is idle
 		by.Store(int64(heldUp))
 		written := time.Now()
 		fmt.Fprintf(c, "%s\r\nHost: x\r\nX-Trace-Id: told-%d\r\nX-Customer: acme\r\nX-Expires-In: %.3f\r\n\r\n%s", part.head, lastID.Add(1), budget.Seconds(), part.body)
-		got := receive(t, "the request at its backend", told)
+		got := receive(t, "the request at the backend", told)
 		if left := budget - time.Since(written); got > left+slack {
-			t.Errorf("request %d: told of %v, and its client has %v left", i, got, left)
+			t.Errorf("request %d: deadline of %v forwarded, but the client has %v left", i, got, left)
 		} else if got < left-slack {
-			t.Errorf("request %d: told of %v only, and its client has %v left", i, got, left)
+			t.Errorf("request %d: deadline of only %v forwarded, but the client has %v left", i, got, left)
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
@@ -102,19 +104,19 @@
 	}
 }
 
-// A connection to a backend is not used so late that a node that is held up between its look at the clock and its write would
-// meet the backend's close, however short the settings' idle time is.
+// A pooled connection is not used so late that a stall of the node between reading the clock and writing the request would meet the
+// backend's close, however short the idle time in the settings is.
 func TestShortIdleTimesLeaveRoomForAHoldUp(t *testing.T) {
 	const heldUp = 150 * time.Millisecond
 	for _, idle := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond,
 		500 * time.Millisecond, time.Second, 5 * time.Second} {
 		if _, keep := poolTimes(0, idle); keep < 0 || keep > 0 && keep+heldUp >= idle {
-			t.Errorf("closed after %v: used after %v, and written %v later", idle, keep, heldUp)
+			t.Errorf("backend closes after %v: connection used after %v and written %v later", idle, keep, heldUp)
 		}
 	}
 }
 
-// A socket for datagrams that goes on failing costs next to nothing, and is heard again when it works.
+// A UDP socket whose reads keep failing must not make the reader spin, and datagrams are received again once it works.
 func TestAPeersSocketThatFails(t *testing.T) {
 	other, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -149,6 +151,6 @@
 	p.conn.SetReadDeadline(time.Time{})
 	other.WriteTo([]byte("x"), p.conn.LocalAddr())
 	if peer := receive(t, "a datagram", heard); peer != 0 {
-		t.Errorf("of peer %d", peer)
+		t.Errorf("datagram of peer %d, want 0", peer)
 	}
 }
--- a/internal/node/lastbyte_test.go
+++ b/internal/node/lastbyte_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// hardOfHearing listens with a buffer that holds a part of a request only.
+// hardOfHearing returns a listener whose receive buffer holds only a part of a request.
 func hardOfHearing(t *testing.T) net.Listener {
 	t.Helper()
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -27,8 +27,8 @@
 	return l
 }
 
-// An attempt begins when its last byte comes. What a backend that hangs, or is cut off, has not taken when its client leaves, or when
-// the time is up, never reaches it: the system would still send what it holds after a close.
+// A backend that hangs or is unreachable must not receive the rest of a request after its client has disconnected or its deadline has
+// passed. A backend runs a request when its last byte arrives, and after a plain close the system still sends what it has buffered.
 func TestNothingArrivesAfterItsClient(t *testing.T) {
 	for _, way := range []string{"leaves", "time is up"} {
 		for _, length := range []int{60 << 10, 1 << 20} {
@@ -60,7 +60,7 @@
 				}()
 				text := listText(1, true, listed{ID: "s", Addr: l.Addr().String(), Phase: "ready"})
 				n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
-				eventually(t, "clients let in", n.running.Load)
+				eventually(t, "the node accepting clients", n.running.Load)
 				c := n.dial(t)
 				fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: late-%d\r\nX-Qos: order\r\nX-Customer: acme\r\nX-Expires-In: %s\r\n"+
 					"Content-Length: %d\r\n\r\n%s", lastID.Add(1), map[string]string{"leaves": "9", "time is up": "0.4"}[way], length, strings.Repeat("x", length))
@@ -70,11 +70,11 @@
 				} else if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 					t.Fatal(err)
 				}
-				eventually(t, "nothing of it", func() bool { return n.open(t) == 0 && n.front.inFlight.Load() == 0 })
+				eventually(t, "the release of the request and its connection", func() bool { return n.open(t) == 0 && n.front.inFlight.Load() == 0 })
 				close(resume)
 				receive(t, "the end of the request at the backend", read)
 				if whole.Load() > 0 {
-					t.Error("the whole request came after its client had gone")
+					t.Error("the backend received the whole request after its client had disconnected")
 				}
 			})
 		}
--- a/internal/node/lastlook_test.go
+++ b/internal/node/lastlook_test.go
@@ -15,7 +15,7 @@
 	"glencart/internal/sock"
 )
 
-// late is a connection that has something done to it in the last call before a request is written on it.
+// late is a connection that calls then in SetDeadline, which is the last call before a request is written.
 type late struct {
 	*net.TCPConn
 	then func(c net.Conn)
@@ -29,12 +29,13 @@
 	return l.TCPConn.SetDeadline(t)
 }
 
-// stirs waits until a connection has something to read, or has ended.
+// stirs waits until a connection has something to read or has been closed.
 func stirs(t *testing.T, c net.Conn) {
 	eventually(t, "something on the connection", func() bool { return !sock.Quiet(c) })
 }
 
-// What the backend does with a kept connection between its choice and the write: the request goes on another.
+// A backend may write to a pooled connection or close it after the node has chosen it and before the node writes. The request goes
+// out on another connection. On this one it would fail, or it would get the noise as its answer.
 func TestKeptConnectionIsLookedAtBeforeTheWrite(t *testing.T) {
 	for name, stir := range map[string]func(c net.Conn){
 		"a second answer":          func(c net.Conn) { io.WriteString(c, ok200("noise")) },
@@ -49,45 +50,47 @@
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 			x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
 			if r := try(t, x, to, get("one")); r.Status != balance.Delivered {
-				t.Fatalf("the first: %v", r.Status)
+				t.Fatalf("first attempt: %v", r.Status)
 			}
 			peer := receive(t, "the connection", conns)
 			kept := x.pool.idle[to][0]
 			kept.Conn = &late{kept.Conn.(*net.TCPConn), func(c net.Conn) { stir(peer); stirs(t, c) }}
 			if r := try(t, x, to, get("two")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "two" {
-				t.Errorf("%v %q", r.Status, replyOf(r.Body).body)
+				t.Errorf("second attempt: status %v, body %q", r.Status, replyOf(r.Body).body)
 			}
 			if n := b.Accepted.Load(); n != 2 || x.pool.open != 1 {
-				t.Errorf("%d connections, %d counted", n, x.pool.open)
+				t.Errorf("%d connections accepted, %d open in the pool; want 2 and 1", n, x.pool.open)
 			}
 		})
 	}
 }
 
-// A new connection on which something comes before the request has not taken it, and what came is no answer.
+// Bytes that a new connection brings before the request is written are not its answer. The attempt is DialFailed, since the request
+// was not sent.
 func TestNewConnectionThatSpeaksFirst(t *testing.T) {
 	conns := make(chan net.Conn, 4)
 	serve := answering(func(r *http.Request) string { return ok200("x") })
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
 	if r := try(t, x, to, get("one")); r.Status != balance.Delivered {
-		t.Fatalf("the first: %v", r.Status)
+		t.Fatalf("first attempt: %v", r.Status)
 	}
 	peer := receive(t, "the connection", conns)
 	c := x.pool.idle[to][0]
-	c.kept = false // as if it had just been dialed
+	c.kept = false // as on a connection that has just been dialed
 	c.Conn = &late{c.Conn.(*net.TCPConn), func(c net.Conn) { io.WriteString(peer, ok200("noise")); stirs(t, c) }}
 	if r := try(t, x, to, get("two")); r.Status != balance.DialFailed || x.pool.open != 0 {
-		t.Errorf("%v, %d connections", r.Status, x.pool.open)
+		t.Errorf("status %v, %d connections open; want DialFailed and none", r.Status, x.pool.open)
 	}
 }
 
-// Writing a long request takes time. What comes on the connection before its last piece is no answer to it, and the request never ran.
+// Writing a long request takes time. Bytes that arrive before its last piece is written are not its answer. The last piece is then not
+// written, so that the request never ran.
 func TestNoiseBeforeTheLastByte(t *testing.T) {
 	for name, m := range map[string]*message{
-		"held in pieces": {more: [][]byte{make([]byte, 10), make([]byte, 10)}},
-		"told length":    {up: &upload{length: 20}},
-		"chunks":         {up: &upload{length: -1}},
+		"buffered in pieces": {more: [][]byte{make([]byte, 10), make([]byte, 10)}},
+		"with length":        {up: &upload{length: 20}},
+		"chunks":             {up: &upload{length: -1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,7 +114,7 @@
 			if m.up == nil {
 				noise()
 				if n, all, err := m.send(cn, []byte("head")); err != errEarly || n >= all {
-					t.Errorf("%d of %d: %v", n, all, err)
+					t.Errorf("%d of %d bytes written, error %v", n, all, err)
 				}
 				return
 			}
@@ -119,24 +122,24 @@
 			m.up.from = &patient{body: io.MultiReader(strings.NewReader("0123456789"), stirring(noise), strings.NewReader("0123456789")), rc: w}
 			m.up.within = 1000
 			if err := m.up.pass(cn, m.up.length, time.Time{}); err != errEarly {
-				t.Errorf("%v", err)
+				t.Errorf("pass returned %v", err)
 			}
 			cn.Close()
 			got, _ := io.ReadAll(peer)
 			if strings.HasSuffix(string(got), "0\r\n\r\n") || strings.Count(string(got), "9") > 1 && m.up.length > 0 {
-				t.Errorf("the last byte left: %q", got)
+				t.Errorf("the last byte was written: %q", got)
 			}
 		})
 	}
 }
 
-// stirring has something done where it is read, and is empty.
+// stirring is an empty reader that calls the function when it is read.
 type stirring func()
 
 func (s stirring) Read([]byte) (int, error) { s(); return 0, io.EOF }
 
-// An answer with no stated length that is cut by the bound on what is read has not ended; one that switches protocols leaves
-// a connection that speaks another.
+// An answer without a length that is truncated by the limit on answers must not count as complete. An answer that switches protocols
+// is Dropped, and its connection is not reused for HTTP.
 func TestAnswersThatEndElsewhere(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", answerMost-1000) + "\r\n\r\n"
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -155,10 +158,10 @@
 	})
 	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
 	if r := try(t, x, to, get("cut")); r.Status != balance.Dropped {
-		t.Errorf("cut by the bound: %v with %d bytes", r.Status, len(replyOf(r.Body).body))
+		t.Errorf("truncated by the limit: %v with %d bytes", r.Status, len(replyOf(r.Body).body))
 	}
 	if r := try(t, x, to, get("switch")); r.Status != balance.Dropped {
-		t.Errorf("switched: %v", r.Status)
+		t.Errorf("switched protocols: %v", r.Status)
 	}
 	x.pool.mu.Lock()
 	defer x.pool.mu.Unlock()
--- a/internal/node/moment_test.go
+++ b/internal/node/moment_test.go
@@ -13,7 +13,8 @@
 	"glencart/internal/engine"
 )
 
-// The addresses of a node may be taken for a moment at its start, as by a process that is just ending: it waits, and serves.
+// A node whose address is still in use by a process that is ending must not fail at its start. It tries again until the address is
+// free.
 func TestStartsWhenAnAddressComesFree(t *testing.T) {
 	const held = 300 * time.Millisecond
 	for _, which := range []string{"listen", "management"} {
@@ -32,13 +33,13 @@
 			}
 			time.AfterFunc(held, func() { before.Close() })
 			n := start(t, cfg)
-			eventually(t, "clients let in", n.running.Load)
+			eventually(t, "the node accepting clients", n.running.Load)
 		})
 	}
 }
 
-// What this machine lacks for a moment (connect(2), socket(2)) is no backend's fault: the connection is tried again, and while it
-// still can't be had, nothing is said of the backend.
+// Errors of connect(2) and socket(2) for want of local ports, descriptors or memory must not count against the backend. The dial is
+// repeated, and if it keeps failing the attempt is Unused.
 func TestLocalFailuresAreNotTheBackends(t *testing.T) {
 	for _, lack := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(lack.Error(), func(t *testing.T) {
@@ -55,25 +56,25 @@
 				return nil
 			}
 			if r := try(t, x, to, get("a moment")); r.Status != balance.Delivered {
-				t.Errorf("two failures, and then none: %v", r.Status)
+				t.Errorf("after two failed dials: %v", r.Status)
 			}
 			x.pool.drop(to)
 			calls.Store(0)
 			lasts.Store(1 << 20)
 			done := make(chan engine.Result, 1)
 			x.attempt(to, get("for long"), time.Now().Add(200*time.Millisecond), func(r engine.Result) { done <- r })
-			if r := receive(t, "the outcome", done); r.Status != balance.Unused {
-				t.Errorf("it goes on: %v", r.Status)
+			if r := receive(t, "the result of the attempt", done); r.Status != balance.Unused {
+				t.Errorf("with dials that keep failing: %v", r.Status)
 			}
 			if calls.Load() > 200 {
-				t.Errorf("%d calls in 200 ms", calls.Load())
+				t.Errorf("%d dials in 200 ms", calls.Load())
 			}
 		})
 	}
 }
 
-// A connection that carries a request and breaks may show as ETIMEDOUT or EHOSTUNREACH, and one that never comes up too: the first may
-// have run, the second never did.
+// ETIMEDOUT, EHOSTUNREACH and the like may come from a connection that breaks under a request, which may have run, or from one that was
+// never established, whose request never ran. The second kind is DialFailed, and not a refusal.
 func TestUnreachableNeverRan(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(net.Conn, *bufio.Reader) {})
 	for _, broken := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED} {
@@ -81,7 +82,7 @@
 		x.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return broken }
 		done := make(chan engine.Result, 1)
 		x.attempt(to, get("unreachable"), time.Now().Add(time.Second), func(r engine.Result) { done <- r })
-		if r := receive(t, "the outcome", done); r.Status != balance.DialFailed || r.Refused {
+		if r := receive(t, "the result of the attempt", done); r.Status != balance.DialFailed || r.Refused {
 			t.Errorf("%v: %v, refused %v", broken, r.Status, r.Refused)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,7 +19,7 @@
 	"glencart/life"
 )
 
-// What the tests of this package take from package standin.
+// Short names for the helpers of package standin.
 const patience = standin.Patience
 
 type (
@@ -60,7 +60,7 @@
  "obligations":{"drainGrace":500000000,"coldShare":0.12,"warmWithin":22000000000,"fallMultiple":3,"overloadFor":1500000000},
  "loadReport":{"source":"on_probe","columns":["active","cpu"]}}`
 
-// answering serves requests on a connection until it ends.
+// answering returns a function that serves requests on a connection until the connection ends.
 func answering(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -77,10 +77,12 @@
 	}
 }
 
+// ok200 returns a 200 answer with this body as text.
 func ok200(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// testConfig returns a configuration with testSettings. change has pairs of an old and a new text in them.
 func testConfig(t *testing.T, discovery string, known string, change ...string) Config {
 	t.Helper()
 	text := strings.NewReplacer(change...).Replace(testSettings)
@@ -107,6 +109,7 @@
 	err  chan error
 }
 
+// start runs a node until the test ends.
 func start(t *testing.T, cfg Config) *started {
 	t.Helper()
 	n, err := New(t.Context(), cfg, quiet())
@@ -127,7 +130,7 @@
 	return s
 }
 
-// startOn starts a node that knows of these backends and has no discovery.
+// startOn starts a node with these backends, which are also what its discovery lists.
 func startOn(t *testing.T, addrs ...string) *started {
 	t.Helper()
 	var members []listed
@@ -148,7 +151,7 @@
 	receive(t, "the loop", done)
 }
 
-// open counts the requests in the loop's table.
+// open returns the number of requests in the table of the loop.
 func (s *started) open(t *testing.T) (n int) {
 	s.onLoop(t, func() { n = s.loop.Open() })
 	return n
@@ -156,7 +159,7 @@
 
 var lastID atomic.Int64
 
-// ask makes a request as a client does.
+// ask returns a request of this class as a client sends it.
 func ask(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
@@ -180,6 +183,7 @@
 	return r
 }
 
+// do sends a request on a connection of its own and returns the answer and its body.
 func do(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
@@ -195,8 +199,8 @@
 	return resp, string(body)
 }
 
-// A node that is told to end serves what comes for a while yet, answers what it has taken, closes connections
-// with their answer, and ends by itself.
+// A node that shuts down must not lose requests that it has accepted, or that clients still send before they notice. It serves new
+// connections for a while, answers every request that it has read, closes each connection after an answer, and ends.
 func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 16)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -224,14 +228,14 @@
 	receive(t, "the slow request at the backend", held)
 	began := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.front.leaving.Load() })
+	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
 	if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
-		t.Errorf("readiness of a node that leaves: %d", resp.StatusCode)
+		t.Errorf("readiness during shutdown: %d", resp.StatusCode)
 	}
 	if resp, body := do(t, ask(t, n.url+"/api/late", "order")); resp.StatusCode != 200 || body != "done" || !resp.Close {
-		t.Errorf("a new connection while leaving: %d %q, closed: %t", resp.StatusCode, body, resp.Close)
+		t.Errorf("new connection during shutdown: %d %q, closed: %t", resp.StatusCode, body, resp.Close)
 	}
-	eventually(t, "end of accepting", func() bool {
+	eventually(t, "the end of accepting", func() bool {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err == nil {
 			c.Close()
@@ -239,18 +243,18 @@
 		return err != nil
 	})
 	if d := time.Since(began); d < 400*time.Millisecond {
-		t.Errorf("accepted for only %v", d)
+		t.Errorf("accepted connections for only %v", d)
 	}
 	close(hold)
 	if resp := receive(t, "the slow answer", slow); resp.StatusCode != 200 {
-		t.Errorf("the slow request: %d", resp.StatusCode)
+		t.Errorf("slow request: %d", resp.StatusCode)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
 	}
 }
 
-// A request in the backlog of a node that is full counts as taken: one that is told to end serves it yet.
+// A request in the backlog of a full node must be served although the node shuts down. Its client is connected and would see a reset.
 func TestLeavingServesTheBacklog(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 64)
 	serve := answering(func(r *http.Request) string {
@@ -260,14 +264,14 @@
 		}
 		return ok200("done")
 	})
-	text := listText(1, true, // while one has a slow request, the other is idle
+	text := listText(1, true, // one runs the slow request, the other is idle
 		listed{ID: "s-0", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0},
 		listed{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Limits.Sockets = leastSockets
 	n := start(t, cfg)
 	clients, _ := cfg.Limits.share()
-	n.front.table.KeepAll() // nobody gives way
+	n.front.table.KeepAll() // no idle connection is closed to make room
 	slow := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
@@ -294,26 +298,26 @@
 	for _, c := range silent {
 		c.Close()
 	}
-	if body := receive(t, "the answer to the one that waited", waits); body != "done" {
-		t.Errorf("the one that waited: %q", body)
+	if body := receive(t, "the answer to the request from the backlog", waits); body != "done" {
+		t.Errorf("request from the backlog: %q", body)
 	}
 	close(hold)
 	if body := receive(t, "the slow answer", slow); body != "done" {
-		t.Errorf("the slow one: %q", body)
+		t.Errorf("slow request: %q", body)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
 	}
 }
 
-// A node that knows of no backend is not ready, and becomes so when discovery names one.
+// A node without backends must not report itself ready, since it could serve nothing. It becomes ready when discovery lists one.
 func TestReadyOnlyWithBackends(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	reg := newRegistry(t, listText(1, true))
 	n := start(t, testConfig(t, reg.Addr, "null"))
 	resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
 	if resp.StatusCode != 503 {
-		t.Fatalf("no backend, and readiness says %d", resp.StatusCode)
+		t.Fatalf("readiness without backends: %d", resp.StatusCode)
 	}
 	reg.Next <- listText(2, false, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	eventually(t, "readiness", func() bool {
@@ -321,11 +325,11 @@
 		return resp.StatusCode == 200
 	})
 	if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
-		t.Fatalf("%d %q", resp.StatusCode, body)
+		t.Fatalf("after the update: answered %d %q", resp.StatusCode, body)
 	}
 }
 
-// Connections beyond the limit wait in the backlog: accepting them would run the process out of descriptors.
+// Connections beyond the limit wait in the backlog. Accepting them would run the process out of descriptors.
 func TestConnectionsAreBounded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -351,7 +355,7 @@
 		defer c.Close()
 	}
 	first := receive(t, "the first connection", got)
-	second := receive(t, "the second", got)
+	second := receive(t, "the second connection", got)
 	defer second.Close()
 	select {
 	case <-got:
@@ -359,11 +363,11 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	first.Close()
-	receive(t, "the third, once there is room", got).Close()
+	receive(t, "the third connection after one was closed", got).Close()
 }
 
-// While it can still answer in time, a node that is to end keeps the connections of its clients: with other nodes
-// out for a restart they may have no other place to go.
+// A node that shuts down keeps the connections of its clients while it can still answer in time. If it closed them at once, clients
+// might find no other node while others restart too.
 func TestLeavingKeepsConnectionsForAWhile(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
@@ -388,7 +392,7 @@
 	}
 	began := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.front.leaving.Load() })
+	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
 	for {
 		resp, err := request()
 		if err != nil {
@@ -402,20 +406,20 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	// 3 s and 0.7 s are sure, of which the longest request may need 0.5 s.
+	// The node has 3 s and 0.7 s before SIGKILL, of which the longest request may need 0.5 s.
 	if d := time.Since(began); d < 2*(life.Platform.Still+life.Late) {
-		t.Errorf("closed after %v", d)
+		t.Errorf("connections closed too early, after %v", d)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
 	}
 	if d := time.Since(began); d > 3700*time.Millisecond {
-		t.Errorf("ended after %v", d)
+		t.Errorf("the node ended too late, after %v", d)
 	}
 }
 
-// Whatever time their clients gave them, requests that are open when the node is told to end, and those that come then, have
-// their one whole answer before SIGKILL may come: on a backend that never answers, during an upload, and beside a successor.
+// Requests that are open at SIGTERM or arrive after it get one whole answer before SIGKILL, even if their deadlines end later. The
+// cases are a backend that never answers, an upload, and a node with a successor.
 func TestLeavingCutsLongDeadlines(t *testing.T) {
 	for _, follows := range []bool{false, true} {
 		t.Run(fmt.Sprintf("followed=%t", follows), func(t *testing.T) {
@@ -432,8 +436,8 @@
 			cfg := testConfig(t, newRegistry(t, text).Addr, text)
 			cfg.Shared = t.TempDir()
 			n := start(t, cfg)
-			eventually(t, "clients let in", n.running.Load)
-			n.front.held.left.Store(0) // uploads go on as they come
+			eventually(t, "the node accepting clients", n.running.Load)
+			n.front.held.left.Store(0) // uploads are streamed, not buffered
 			type answer struct {
 				what   string
 				status int
@@ -459,7 +463,7 @@
 			receive(t, "a request at the backend", held)
 			send("upload", "order", func(r *http.Request) { r.Body, r.ContentLength = body, 8<<20 })
 			writer.Write(make([]byte, 200_000))
-			go func() { // a slow client, not a silent one
+			go func() { // a slow client that keeps sending
 				for _, err := writer.Write(make([]byte, 64<<10)); err == nil; _, err = writer.Write(make([]byte, 64<<10)) {
 					time.Sleep(200 * time.Millisecond)
 				}
@@ -470,9 +474,9 @@
 			}
 			began := time.Now()
 			n.stop()
-			eventually(t, "leaving", n.front.leaving.Load)
+			eventually(t, "the start of the shutdown", n.front.leaving.Load)
 			asked := 2
-			if !follows { // else it lets nobody in any more
+			if !follows { // with a successor the node accepts no more connections
 				send("late", "order")
 				asked++
 			}
@@ -481,11 +485,11 @@
 					t.Errorf("%s: answered %d, %v", a.what, a.status, a.err)
 				}
 			}
-			if err := receive(t, "the node's end", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.err); err != nil {
 				t.Error(err)
 			}
-			if d := time.Since(began); d > 3700*time.Millisecond { // SIGKILL may come
-				t.Errorf("ended after %v", d)
+			if d := time.Since(began); d > 3700*time.Millisecond { // the time of SIGKILL
+				t.Errorf("the node ended too late, after %v", d)
 			}
 		})
 	}
--- a/internal/node/opening_test.go
+++ b/internal/node/opening_test.go
@@ -9,17 +9,17 @@
 	"glencart/internal/standin"
 )
 
-// A node that is told to end before its clients' listener is open lets nobody in.
+// A node that is stopped before its listener for clients is open must not open it. It would accept connections that nothing serves.
 func TestNobodyIsLetInAfterTheEnd(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", listText(1, true))
 	cfg.Listen = standin.ReserveAddr(t)
 	ctx, end := context.WithCancel(t.Context())
 	end()
 	if _, err := New(ctx, cfg, quiet()); !errors.Is(err, context.Canceled) {
-		t.Errorf("opened: %v", err)
+		t.Errorf("New returned %v, want context.Canceled", err)
 	}
 	if c, err := net.Dial("tcp", cfg.Listen); err == nil {
 		c.Close()
-		t.Error("a client is let in")
+		t.Error("a client could connect")
 	}
 }
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// call makes one call at a node's admin endpoint.
+// call makes one call to the management endpoint of a node.
 func (s *started) call(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.admin.Addr().String()+path, nil)
@@ -35,7 +35,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// figure reads one of the figures; -1: it is not there.
+// figure returns the value of a counter of the management endpoint, or -1 where it is missing.
 func (s *started) figure(t *testing.T, name string) int {
 	t.Helper()
 	_, text := s.call(t, "GET", "/control/counters")
@@ -51,7 +51,7 @@
 	return -1
 }
 
-// ledger is a backend that counts what it ran, by its name.
+// ledger starts a backend that counts its requests in ran, under its name, and returns its address.
 func ledger(t *testing.T, ran *sync.Map, name string) string {
 	n := new(atomic.Int64)
 	ran.Store(name, n)
@@ -66,28 +66,29 @@
 	})).Addr().String()
 }
 
+// count returns the number of requests that a backend has run.
 func count(ran *sync.Map, name string) int64 {
 	n, _ := ran.Load(name)
 	return n.(*atomic.Int64).Load()
 }
 
-// startWithAdmin starts a node with an admin endpoint and two backends, a and b.
+// startWithAdmin starts a node with a management endpoint and two backends, a and b.
 func startWithAdmin(t *testing.T, ran *sync.Map) *started {
 	text := listText(1, true, listed{ID: "a", Addr: ledger(t, ran, "a"), Phase: "ready"},
 		listed{ID: "b", Addr: ledger(t, ran, "b"), Phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Management = "127.0.0.1:0"
 	n := start(t, cfg)
-	eventually(t, "a yes", func() bool { status, _ := n.call(t, "GET", "/control/ready"); return status == 200 })
+	eventually(t, "readiness", func() bool { status, _ := n.call(t, "GET", "/control/ready"); return status == 200 })
 	return n
 }
 
-// An admin endpoint under callers that say nothing, or half a call, while the loop is held: every real call is answered within 1 s, in the
-// order of yes, no and, where the loop can't be reached, 5xx. What was called late counts all the same.
+// Callers that connect and send nothing or half a call must not block the management endpoint, and neither must a blocked loop. Every
+// whole call is answered within 1 s, with a 5xx where the loop can't be reached. A call that timed out is still applied.
 func TestAdminEndpointAnswersInTime(t *testing.T) {
 	var ran sync.Map
 	n := startWithAdmin(t, &ran)
-	var gone atomic.Int64 // callers that gave way
+	var gone atomic.Int64 // callers whose connection was closed
 	for i := range 3 * adminLast {
 		c, err := net.Dial("tcp", n.admin.Addr().String())
 		if err != nil {
@@ -118,23 +119,24 @@
 		}
 	}
 	if n := gone.Load(); n < 2*adminLast {
-		t.Errorf("%d of %d silent callers gave way", n, 3*adminLast)
+		t.Errorf("%d of %d silent callers were disconnected", n, 3*adminLast)
 	}
 	held, hold := make(chan bool), make(chan bool)
 	n.loop.Post(func() { close(held); <-hold })
 	<-held
 	began := time.Now()
 	if status, _ := n.call(t, "POST", "/control/backends/b/offline"); status != 504 || time.Since(began) > time.Second {
-		t.Errorf("with the loop held: %d after %v", status, time.Since(began))
+		t.Errorf("with the loop blocked: %d after %v", status, time.Since(began))
 	}
 	if status, _ := n.call(t, "GET", "/control/counters"); status != 200 {
-		t.Errorf("figures with the loop held: %d", status)
+		t.Errorf("counters with the loop blocked: %d", status)
 	}
 	close(hold)
-	eventually(t, "the late call", func() bool { return n.figure(t, "backends_excluded") == 1 })
+	eventually(t, "the effect of the call that timed out", func() bool { return n.figure(t, "backends_excluded") == 1 })
 }
 
-// Once all is quiet the figures are what clients and backends have seen, to the last one.
+// The counters must match exactly what clients and backends have seen once no request is in flight. A path that ends a request
+// without counting it, or counts it twice, makes them differ.
 func TestFiguresAreTrue(t *testing.T) {
 	var ran sync.Map
 	n := startWithAdmin(t, &ran)
@@ -156,7 +158,7 @@
 	}
 	wg.Wait()
 	refused := 60 - served.Load() - failed.Load()
-	eventually(t, "true figures", func() bool {
+	eventually(t, "exact counters", func() bool {
 		return n.figure(t, "requests.order.served") == int(served.Load()) && n.figure(t, "requests.order.failed") == int(failed.Load()) &&
 			n.figure(t, "requests.order.refused") == int(refused) && n.figure(t, "in_flight") == 0 &&
 			n.figure(t, "attempts") == int(count(&ran, "a")+count(&ran, "b")) && n.figure(t, "requests.read.served") == 0 &&
@@ -167,7 +169,8 @@
 	}
 }
 
-// A backend that was taken out gets nothing from the yes on, and is in use again after the call back; with all out requests are refused.
+// A backend that an operator takes out of service gets no request from the answer to the call on, and is used again after the
+// opposite call. With all backends out, requests are rejected.
 func TestOutByHand(t *testing.T) {
 	var ran sync.Map
 	n := startWithAdmin(t, &ran)
@@ -177,25 +180,25 @@
 		do(t, ask(t, n.url+"/api/x", "read"))
 	}
 	if now := count(&ran, "a"); now != before {
-		t.Errorf("%d sends to a backend that is out", now-before)
+		t.Errorf("%d requests to a backend out of service", now-before)
 	}
 	n.call(t, "POST", "/control/backends/b/offline")
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 503 {
-		t.Errorf("with all out: %d", resp.StatusCode)
+		t.Errorf("with all backends out of service: %d", resp.StatusCode)
 	}
 	if got := n.figure(t, "backends_excluded"); got != 2 {
-		t.Errorf("%d excluded", got)
+		t.Errorf("%d backends excluded, want 2", got)
 	}
 	n.call(t, "POST", "/control/backends/b/online")
 	n.call(t, "POST", "/control/backends/a/online")
-	eventually(t, "use of the one that is back", func() bool {
+	eventually(t, "a request at the backend that is in service again", func() bool {
 		do(t, ask(t, n.url+"/api/x", "read"))
 		return count(&ran, "a") > before
 	})
 }
 
-// Under load, files with other classes and broken ones come in turn. Each request is answered by one of them, a vanished class like an
-// unknown one, and a broken file changes nothing.
+// Reloads under load alternate between valid files with other classes and invalid ones. Each request is served by one version of the
+// settings, a removed class counts as unknown, and an invalid file changes nothing.
 func TestReloadUnderLoad(t *testing.T) {
 	var ran sync.Map
 	n := startWithAdmin(t, &ran)
@@ -207,7 +210,7 @@
 		t.Helper()
 		failed := n.figure(t, "reloads_failed")
 		if err := n.Reload(file(change...)); err == nil || n.figure(t, "reloads_failed") != failed+1 {
-			t.Errorf("%q: taken, %v", change, err)
+			t.Errorf("%q: applied, %v", change, err)
 		}
 	}
 	stop := make(chan bool)
@@ -242,12 +245,12 @@
 		broken(`"name":"token"`, `"name":"read"`)
 		broken(`"deadline":10000000000,"effect":"token"`, `"effect":"token"`)
 		if resp, _ := do(t, ask(t, n.url+"/api/x", "gold")); resp.StatusCode == 400 {
-			t.Error("a broken file took a class away")
+			t.Error("an invalid file removed a class")
 		}
 		if err := n.Reload(file()); err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "the end of the class", func() bool {
+		eventually(t, "the removal of the class", func() bool {
 			resp, _ := do(t, ask(t, n.url+"/api/x", "gold"))
 			return resp.StatusCode == 400
 		})
@@ -255,20 +258,20 @@
 	close(stop)
 	wg.Wait()
 	if served := n.figure(t, "requests.gold.served"); served < 5 {
-		t.Errorf("the vanished class counts %d", served)
+		t.Errorf("the removed class counts %d served requests", served)
 	}
 	if ok := n.figure(t, "reloads_ok"); ok != 10 {
-		t.Errorf("%d files taken", ok)
+		t.Errorf("%d files applied, want 10", ok)
 	}
 }
 
-// A request whose body is still coming when a file frees its class for repeats is not taken in as of that class: it is refused.
-// One whose class has become stricter goes on.
+// A request whose body is still arriving when a reload makes its class safe to retry is rejected, since its client sent it as unsafe.
+// It must not be retried under the new effect. A request whose class becomes stricter is served.
 func TestReloadDuringABody(t *testing.T) {
 	for _, tc := range []struct {
 		name, change string
 		want         int
-	}{{"freed", `"effect":"pure"`, 503}, {"stricter", `"effect":"side_effect","keyScope":"all"`, 200}} {
+	}{{"relaxed", `"effect":"pure"`, 503}, {"stricter", `"effect":"side_effect","keyScope":"all"`, 200}} {
 		t.Run(tc.name, func(t *testing.T) {
 			var ran sync.Map
 			n := startWithAdmin(t, &ran)
@@ -279,8 +282,8 @@
 			c := n.dial(t)
 			fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Qos: %s\r\nX-Customer: acme\r\nX-Expires-In: 9\r\nX-Trace-Id: half\r\n"+
 				"Idempotency-Key: k\r\nContent-Length: 6\r\n\r\nabc", class)
-			eventually(t, "the head", func() bool { return n.front.table.Counts().Begun > 0 })
-			time.Sleep(50 * time.Millisecond) // it is read under the old file
+			eventually(t, "the head of the request", func() bool { return n.front.table.Counts().Begun > 0 })
+			time.Sleep(50 * time.Millisecond) // so that the head is read under the old settings
 			if err := n.Reload(testConfig(t, n.cfg.Discovery, listText(1, true), effect, tc.change)); err != nil {
 				t.Fatal(err)
 			}
@@ -294,8 +297,8 @@
 	}
 }
 
-// Processes of one node take over from one another on one inherited socket under load, three times: each request is answered once
-// and runs once, nobody is turned away at its admin endpoint, and what was taken out by hand stays out.
+// Three handovers between processes of a node on one inherited socket, under load. Each request is answered once and runs once, the
+// management endpoint stays reachable, and a backend that an operator took out of service stays out.
 func TestTakeOver(t *testing.T) {
 	var ran sync.Map
 	text := listText(1, true, listed{ID: "a", Addr: ledger(t, &ran, "a"), Phase: "ready"},
@@ -305,7 +308,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close() // the platform's own hold on it
+	defer l.Close() // the platform keeps the socket open
 	dir := t.TempDir()
 	process := func() *started {
 		f, err := l.(*net.TCPListener).File()
@@ -320,7 +323,7 @@
 		cfg := testConfig(t, reg.Addr, text, "10000000000", "2000000000")
 		cfg.Management, cfg.AcceptFD, cfg.Shared = "127.0.0.1:0", fmt.Sprint(fd), dir
 		n := start(t, cfg)
-		eventually(t, "a yes", func() bool { status, _ := n.call(t, "GET", "/control/ready"); return status == 200 })
+		eventually(t, "readiness", func() bool { status, _ := n.call(t, "GET", "/control/ready"); return status == 200 })
 		return n
 	}
 	now := process()
@@ -356,37 +359,38 @@
 	for range 3 {
 		next := process()
 		if !next.place.Follows() {
-			t.Error("the successor does not know of the other")
+			t.Error("the successor did not find its predecessor")
 		}
 		if got := next.figure(t, "backends_excluded"); got != 1 {
-			t.Errorf("%d are out at the successor", got)
+			t.Errorf("%d backends out of service at the successor, want 1", got)
 		}
 		now.stop()
-		if err := receive(t, "the end of the old process", now.err); err != nil {
+		if err := receive(t, "the end of the predecessor", now.err); err != nil {
 			t.Error(err)
 		}
-		eventually(t, "the whole machine", func() bool { return !next.place.Follows() })
+		eventually(t, "the end of the handover at the successor", func() bool { return !next.place.Follows() })
 		now = next
 	}
-	// One that dies before its yes leaves this one serving, and a call at either binds both.
+	// A second process runs beside the current one, which isn't stopped. An operator's call to either applies to both.
 	second := process()
 	close(stop)
 	wg.Wait()
 	second.call(t, "POST", "/control/backends/a/online")
-	eventually(t, "the word of the other process", func() bool { return now.figure(t, "backends_excluded") == 0 })
+	eventually(t, "the call of the other process", func() bool { return now.figure(t, "backends_excluded") == 0 })
 	second.call(t, "POST", "/control/backends/a/offline")
 	if now.call(t, "POST", "/control/backends/a/online"); now.figure(t, "backends_excluded") != 0 {
-		t.Error("a call back at one process, just after one out at the other, was lost")
+		t.Error("an online call at one process was lost after an offline call at the other")
 	}
 	if got := count(&ran, "b") + count(&ran, "a"); got != asked.Load()-refused.Load() || refused.Load() > asked.Load()/20 {
-		t.Errorf("%d requests asked, %d refused, %d ran", asked.Load(), refused.Load(), got)
+		t.Errorf("%d requests sent, %d rejected, %d ran", asked.Load(), refused.Load(), got)
 	}
 	if count(&ran, "a") != out {
-		t.Errorf("%d sends to the one that is out", count(&ran, "a")-out)
+		t.Errorf("%d requests to the backend out of service", count(&ran, "a")-out)
 	}
 }
 
-// Long bodies and answers go both ways in pieces cut anywhere, more of them than may be held, and arrive as they were sent.
+// Large requests and answers, more than the budget for buffered bodies, must arrive unchanged in pieces of any size. A broken answer
+// must not look complete, and the whole budget must be free at the end.
 func TestBulk(t *testing.T) {
 	answer := strings.Repeat("0123456789abcdef", 1<<16) // 1 MiB
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -448,16 +452,17 @@
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("a broken answer looks whole with %d bytes", len(got))
+		t.Errorf("a broken answer looks complete with %d bytes", len(got))
 	}
 	resp.Body.Close()
 	if left := n.front.held.left.Load(); left != 1<<20 {
-		t.Errorf("%d bytes of the budget are lost", 1<<20-left)
+		t.Errorf("%d bytes of the budget were not released", 1<<20-left)
 	}
-	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.open(t) == 0 })
 }
 
-// An upload that goes on as it comes and breaks before its last byte has never run: it is refused, and never sent again.
+// A streamed upload whose backend connection breaks before the last byte never ran. The client gets a 503, and the node doesn't send
+// the upload again, since it has kept no copy of it.
 func TestBrokenUploadNeverRan(t *testing.T) {
 	var heads atomic.Int64
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -477,7 +482,7 @@
 	}
 }
 
-// dupFD returns a descriptor of its own for a file's.
+// dupFD returns a duplicate of the descriptor of a file.
 func dupFD(f *os.File) (int, error) {
 	raw, err := f.SyscallConn()
 	if err != nil {
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// A request that was read has its final answer also where its handler panics, and the panic costs only its own connection.
+// A panic in the handler of a request must not leave its client without an answer or end the node. The answer is a failure and not a
+// 503, since the request may have run.
 func TestAPanicIsAnswered(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	tuning := n.front.tuning.Load()
-	n.front.tuning.Store(nil) // what reads a request meets a nil pointer
+	n.front.tuning.Store(nil) // makes the handler panic on a nil pointer
 	resp, err := http.DefaultTransport.RoundTrip(ask(t, n.url+"/api/x", "order"))
 	n.front.tuning.Store(tuning)
 	if err != nil {
@@ -20,13 +21,13 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode < 500 || resp.StatusCode == http.StatusServiceUnavailable {
-		t.Errorf("answered %d: whether it has run is not known", resp.StatusCode)
+		t.Errorf("answered %d, want a failure since the request may have run", resp.StatusCode)
 	}
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
-		t.Errorf("the next one: %d", resp.StatusCode)
+		t.Errorf("next request: %d", resp.StatusCode)
 	}
 	book := &n.front.book
 	if book.Open() != 0 || book.Taken.Load() != 2 || book.Answered.Load() != 2 {
-		t.Errorf("taken %d, answered %d, open %d", book.Taken.Load(), book.Answered.Load(), book.Open())
+		t.Errorf("accepted %d, answered %d, open %d", book.Taken.Load(), book.Answered.Load(), book.Open())
 	}
 }
--- a/internal/node/paths_test.go
+++ b/internal/node/paths_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The request line of a client goes on byte for byte, whatever a library would write in its place.
+// The path and query of a client must reach the backend byte for byte. net/url would decode, clean or escape them.
 func TestPathsGoOnUnchanged(t *testing.T) {
 	got := make(chan string, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -32,7 +32,7 @@
 	})
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	for _, path := range []string{"/api/x", "/api/a%2Fb%7e", `/api/"quoted"|{x}^`, "//api//x/", "/api/x?", "/api/x?a=%zz&b=;c", "/api/../x/./y", "/api/\xc3\xbc?\xfc"} {
 		c := n.dial(t)
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: path-%d\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n", path, lastID.Add(1))
@@ -41,17 +41,18 @@
 			t.Errorf("%q: %v, %v", path, resp, err)
 			continue
 		}
-		if line := receive(t, "the request", got); line != "GET "+path+" HTTP/1.1\r\n" {
-			t.Errorf("%q went on as %q", path, line)
+		if line := receive(t, "the request at the backend", got); line != "GET "+path+" HTTP/1.1\r\n" {
+			t.Errorf("%q was forwarded as %q", path, line)
 		}
 	}
 }
 
-// No answer is made here that a backend should have made.
+// The node must not answer a request in place of a backend. net/http answers some by itself, such as OPTIONS *. None of these
+// requests can run, so each gets an error or a close.
 func TestNobodyIsServedByTheLibrary(t *testing.T) {
 	text := listText(1, true, listed{ID: "s", Addr: "127.0.0.1:1", Phase: "ready"})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	for _, line := range []string{"OPTIONS * HTTP/1.1", "OPTIONS /api/x HTTP/1.1", "TRACE /api/x HTTP/1.1", "CONNECT x:1 HTTP/1.1", "PRI * HTTP/2.0", "HEAD /api/x HTTP/1.1"} {
 		c := n.dial(t)
 		fmt.Fprintf(c, "%s\r\nHost: x\r\nX-Trace-Id: odd-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n", line, lastID.Add(1))
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -12,6 +12,7 @@
 	"glencart/internal/engine"
 )
 
+// udp returns a UDP socket on loopback.
 func udp(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -22,6 +23,8 @@
 	return c
 }
 
+// Datagrams of unknown senders and oversized datagrams must be ignored, and oversized ones must not be sent. Each ignored one would
+// otherwise reach the loop or, cut off, a peer. The log line about them is rate-limited.
 func TestPeers(t *testing.T) {
 	peer, stranger := udp(t), udp(t)
 	var logged bytes.Buffer // read when run has ended
@@ -42,14 +45,14 @@
 		close(ended)
 	}()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
-	// Neither a stranger nor a datagram that is too long is heard; datagrams on loopback keep their order.
+	// Datagrams of strangers and oversized ones are ignored. Datagrams on loopback keep their order.
 	stranger.WriteToUDP([]byte("stranger"), to)
 	peer.WriteToUDP([]byte(strings.Repeat("x", datagramMost+1)), to)
 	peer.WriteToUDP([]byte("hello"), to)
 	if got := receive(t, "a datagram", heard); got != (said{1, "hello"}) {
-		t.Errorf("heard %+v", got)
+		t.Errorf("received %+v", got)
 	}
-	// Nor is one that is too long, or for nobody, sent.
+	// Oversized datagrams and those for an unknown peer are not sent.
 	p.tell(1, make([]byte, datagramMost+1))
 	p.tell(7, []byte("nobody"))
 	p.tell(1, []byte("one"))
@@ -62,19 +65,19 @@
 		}
 	}
 	cancel()
-	receive(t, "the end", ended)
-	if n := strings.Count(logged.String(), "datagram ignored"); n != 1 { // two within a second
-		t.Errorf("%d lines: %s", n, logged.String())
+	receive(t, "the end of the reader", ended)
+	if n := strings.Count(logged.String(), "datagram ignored"); n != 1 { // for two datagrams within a second
+		t.Errorf("%d log lines, want 1: %s", n, logged.String())
 	}
 }
 
-// A peer that floods, or a loop that is behind, must not fill the memory with messages.
+// A peer that floods the node, or a loop that falls behind, must not fill the memory with queued messages.
 func TestMessagesThatWaitAreBounded(t *testing.T) {
-	n := &Node{loop: engine.New(engine.Config{}), bounds: boundsOf(Limits{}, 40)} // nobody runs it
+	n := &Node{loop: engine.New(engine.Config{}), bounds: boundsOf(Limits{}, 40)} // its loop doesn't run
 	for range 3 * n.bounds.hear {
 		n.hear(1, nil)
 	}
 	if got := n.hears.Load(); int(got) != n.bounds.hear {
-		t.Errorf("%d messages wait", got)
+		t.Errorf("%d messages wait, want the limit", got)
 	}
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,8 +15,8 @@
 	"glencart/internal/engine"
 )
 
-// A configuration that names another discovery moves the node there at once, twice in a row too, and disturbs
-// nothing in flight. The watch at the old one ends, and what it says late is not taken in.
+// A reload with another discovery address takes effect at once, also twice in a row, and doesn't disturb requests in flight. The watch
+// at the old discovery is cancelled, and its late answer must not replace the new list.
 func TestReloadMovesDiscovery(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	serve := func(name string) string {
@@ -30,7 +30,7 @@
 	}
 	watched, left, late := make(chan struct{}, 4), make(chan struct{}, 4), make(chan struct{})
 	text := listText(900, true, listed{ID: "one", Addr: serve("one"), Phase: "ready", Up: 0})
-	var later string // what the old discovery would still say
+	var later string // the late answer of the old discovery
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			io.WriteString(w, text)
@@ -43,7 +43,7 @@
 		io.WriteString(w, later)
 	}))
 	defer old.Close()
-	// Versions of two discoveries do not compare: these are older.
+	// Revisions of different discoveries are not comparable. These are lower.
 	second := newRegistry(t, listText(7, true, listed{ID: "two", Addr: serve("two"), Phase: "ready", Up: 0}))
 	third := newRegistry(t, listText(3, true, listed{ID: "three", Addr: serve("three"), Phase: "ready", Up: 0}))
 	later = listText(901, true)
@@ -68,7 +68,7 @@
 	})
 	close(hold)
 	if body := receive(t, "the slow answer", slow); body != "one" {
-		t.Errorf("in flight over the reload: %q", body)
+		t.Errorf("request in flight during the reload: %q", body)
 	}
 	cfg.Discovery = second.Addr
 	n.Reload(cfg)
@@ -78,7 +78,8 @@
 	})
 }
 
-// Where the new discovery can't be reached the last good list holds, and a further move waits for no backoff.
+// While the new discovery can't be reached, the last list stays in use, since a node without a list rejects everything. A further
+// reload calls the next discovery at once, without the backoff of the failed one.
 func TestReloadKeepsTheLastGoodList(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("old") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
@@ -90,7 +91,7 @@
 	n.Reload(cfg)
 	for range 3 {
 		if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "old" {
-			t.Errorf("%d %q", resp.StatusCode, body)
+			t.Errorf("answered %d %q", resp.StatusCode, body)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -100,7 +101,8 @@
 	eventually(t, "a call to the discovery that is up", func() bool { return len(reg.Asked()) > 0 })
 }
 
-// What can't change while the node runs is told.
+// A changed value that a running node can't apply must be logged, with the need for a restart. Operators would otherwise take it as
+// applied.
 func TestReloadTellsWhatNeedsARestart(t *testing.T) {
 	text := listText(1, true)
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
@@ -112,17 +114,17 @@
 	defer n.listener.Close()
 	n.Reload(cfg)
 	if strings.Contains(log.String(), "restart") {
-		t.Errorf("nothing has changed, and the log says %s", &log)
+		t.Errorf("nothing has changed, but the log has %s", &log)
 	}
 	cfg.Seed, cfg.Limits.MemoryMB = 7, 48
 	n.Reload(cfg)
 	if want := fmt.Sprintf("keys=%q", "seed limits"); !strings.Contains(log.String(), want) {
-		t.Errorf("no %s in %s", want, &log)
+		t.Errorf("no %s in the log: %s", want, &log)
 	}
 }
 
-// Of two files in a row the second holds, also where the loop has not come to the first one yet: back to what was in use is a
-// change, and a class that the first brought goes. Numbers that the first gave are not given again.
+// Of several reloads in a row the last one applies, also if the loop has not yet processed the earlier ones. A file equal to the
+// settings in use still removes classes of an earlier file. Their class numbers are not assigned again.
 func TestTheLastOfTwoReloadsHolds(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
@@ -137,7 +139,7 @@
 	}
 	free, held := make(chan struct{}), make(chan struct{})
 	n.loop.Post(func() { close(held); <-free })
-	receive(t, "the held loop", held)
+	receive(t, "the blocked loop", held)
 	for _, name := range []string{"gold", "silver", ""} {
 		if err := n.Reload(file(name)); err != nil {
 			t.Fatal(err)
@@ -147,7 +149,7 @@
 	n.onLoop(t, func() {})
 	tuned := n.front.tuning.Load()
 	if got := strings.Join(tuned.inUse(), " "); got != "read order token" || len(tuned.Classes) != 5 {
-		t.Errorf("in use: %q of %q", got, tuned.Classes)
+		t.Errorf("classes in use: %q of %q", got, tuned.Classes)
 	}
 	for _, class := range []string{"gold", "silver"} {
 		if resp, _ := do(t, ask(t, n.url+"/api/x", class)); resp.StatusCode != 400 {
@@ -156,8 +158,8 @@
 	}
 }
 
-// A file that shortens idleClose holds for connections that are idle already: backends close them sooner now, and a request that
-// crosses that may have run.
+// A reload that shortens idleClose also applies to connections that are already idle. Backends now close them sooner, and a request
+// sent during such a close fails and may have run.
 func TestReloadShortensHowLongConnectionsAreKept(t *testing.T) {
 	text := listText(1, true)
 	cfg := testConfig(t, "127.0.0.1:1", text)
@@ -172,7 +174,7 @@
 		t.Fatal(err)
 	}
 	n.pool.put(kept)
-	kept.idleAt = kept.idleAt.Add(-time.Second) // in use under 5 s, too old under 1 s
+	kept.idleAt = kept.idleAt.Add(-time.Second) // usable with an idleClose of 5 s, too old with 1 s
 	if err := n.Reload(testConfig(t, "127.0.0.1:1", text, `"idleClose":5000000000`, `"idleClose":1000000000`, `"connectTimeout":2000000000`, `"connectTimeout":300000000`)); err != nil {
 		t.Fatal(err)
 	}
@@ -183,12 +185,12 @@
 	}
 	defer n.pool.discard(next)
 	if next == kept || n.pool.dialer.Timeout != 300*time.Millisecond {
-		t.Errorf("the old connection: %t; dials end after %v", next == kept, n.pool.dialer.Timeout)
+		t.Errorf("old connection reused: %t; dial timeout %v", next == kept, n.pool.dialer.Timeout)
 	}
 }
 
-// Requests that were read under the old file and come to the loop after the new one: of a class that may now be repeated more freely
-// than its client was told, it is refused and nothing runs; of a class that has become stricter, or has gone, it is served.
+// Requests may be read under the old settings and reach the loop after a reload. If their class may now be retried more freely than
+// the client expects, they are rejected and don't run. If the class has become stricter or was removed, they are served.
 func TestRequestsBetweenTheirReadingAndAReload(t *testing.T) {
 	var ran atomic.Int64
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { ran.Add(1); return ok200("x") }))
@@ -197,7 +199,7 @@
 	n := start(t, testConfig(t, reg.Addr, text))
 	free, held := make(chan struct{}), make(chan struct{})
 	n.loop.Post(func() { close(held); <-free })
-	receive(t, "the held loop", held)
+	receive(t, "the blocked loop", held)
 	if err := n.Reload(testConfig(t, reg.Addr, text, `"effect":"pure"`, `"effect":"side_effect"`, `"effect":"side_effect"`, `"effect":"pure"`,
 		`"name":"token"`, `"name":"other"`)); err != nil {
 		t.Fatal(err)
@@ -214,7 +216,7 @@
 			answers <- answer{class, resp.StatusCode}
 		}()
 	}
-	eventually(t, "all read and waiting", func() bool { return n.front.inFlight.Load() == int64(len(want)) })
+	eventually(t, "all requests read and waiting", func() bool { return n.front.inFlight.Load() == int64(len(want)) })
 	close(free)
 	for range want {
 		if a := receive(t, "an answer", answers); a.status != want[a.class] {
@@ -222,14 +224,15 @@
 		}
 	}
 	if ran.Load() != 2 {
-		t.Errorf("%d ran, want 2", ran.Load())
+		t.Errorf("%d requests ran, want 2", ran.Load())
 	}
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "token")); resp.StatusCode != 400 {
-		t.Errorf("the class that has gone: %d", resp.StatusCode)
+		t.Errorf("removed class: %d", resp.StatusCode)
 	}
 }
 
-// A file that shortens the drain grace has the agent called as often as that wants: watches ask for half of it.
+// A reload that shortens the drain grace also shortens the wait of watches to half of it. With the old wait, a drain could arrive
+// after the grace.
 func TestReloadShortensHowLongWatchesWait(t *testing.T) {
 	waits := make(chan string, 64)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
@@ -249,10 +252,10 @@
 	addr := strings.TrimPrefix(agent.URL, "http://")
 	n := start(t, testConfig(t, addr, text))
 	if got := receive(t, "a watch", waits); got != "250" {
-		t.Errorf("a watch waits for %s ms", got)
+		t.Errorf("a watch waits %s ms, want 250", got)
 	}
 	if err := n.Reload(testConfig(t, addr, text, `"drainGrace":500000000`, `"drainGrace":120000000`)); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a watch of the shorter grace", func() bool { return receive(t, "a watch", waits) == "60" })
+	eventually(t, "a watch with the shorter wait", func() bool { return receive(t, "a watch", waits) == "60" })
 }
--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -16,7 +16,7 @@
 	"glencart/internal/engine"
 )
 
-// pair is an engine over exchanges, with two backends and a clock that the test may put forward.
+// pair is an engine that sends over exchanges to two backends. The test can advance its clock.
 type pair struct {
 	x     *exchanges
 	e     *engine.Engine
@@ -46,13 +46,15 @@
 	return p
 }
 
+// ask places a request with this message.
 func (p *pair) ask(m *message) *engine.Request {
 	r := &engine.Request{ID: "x", Deadline: p.e.Now().Add(patience), Message: m, Reply: make(chan engine.Answer, 1)}
 	p.e.Place(r)
 	return r
 }
 
-// The window in which backends drop repeats may end while a repeat is dialed. It is looked at again before the write.
+// The window in which backends recognize a repeated key may end while a retry is still dialing. After it the request could run twice,
+// so the window is checked again before the write.
 func TestNoRepeatIsWrittenAfterTheWindow(t *testing.T) {
 	for name, late := range map[string]bool{"in the window": false, "after the window": true} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +64,7 @@
 					return
 				}
 				if ran.Add(1) == 1 {
-					reset(c) // it may have run
+					reset(c) // so that the request may have run
 					return
 				}
 				io.WriteString(c, ok200("again"))
@@ -79,8 +81,8 @@
 				return nil
 			}
 			r := p.ask(get("x"))
-			if got := receive(t, "the first outcome", p.saw); got.Status != balance.Dropped {
-				t.Fatalf("the first: %v", got.Status)
+			if got := receive(t, "the result of the first attempt", p.saw); got.Status != balance.Dropped {
+				t.Fatalf("first attempt: %v", got.Status)
 			}
 			receive(t, "the second dial", dialing)
 			if late {
@@ -89,16 +91,17 @@
 			close(proceed)
 			ans := receive(t, "the answer", r.Reply)
 			if late && (ans.Kind != engine.Failed || ran.Load() != 1) || !late && (ans.Kind != engine.Served || ran.Load() != 2) {
-				t.Errorf("answer %v, ran %d times", ans.Kind, ran.Load())
+				t.Errorf("answer %v, %d runs", ans.Kind, ran.Load())
 			}
-			if got := receive(t, "the second outcome", p.saw); late && got.Status != balance.Unused {
-				t.Errorf("the second: %v", got.Status)
+			if got := receive(t, "the result of the second attempt", p.saw); late && got.Status != balance.Unused {
+				t.Errorf("second attempt: %v", got.Status)
 			}
 		})
 	}
 }
 
-// A repeat is sent with its last byte: one that a backend is slow to take ends with the window, and never ran.
+// The key window may also end while a retry is being written to a backend that reads slowly. The last byte must not be sent after
+// it, so the write ends with the window and the retry never ran.
 func TestRepeatIsNotWrittenOnPastTheWindow(t *testing.T) {
 	small := func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
@@ -107,7 +110,7 @@
 		})
 	}
 	for name, grow := range map[string]func(m *message){
-		"held":      func(m *message) { m.body = make([]byte, bodyMost) },
+		"one piece": func(m *message) { m.body = make([]byte, bodyMost) },
 		"in pieces": func(m *message) { m.body = make([]byte, 1); m.more = [][]byte{make([]byte, bodyMost)} },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -144,14 +147,14 @@
 			m.method = "POST"
 			grow(m)
 			r := p.ask(m)
-			if got := receive(t, "the first outcome", p.saw); got.Status != balance.Dropped {
-				t.Fatalf("the first: %v", got.Status)
+			if got := receive(t, "the result of the first attempt", p.saw); got.Status != balance.Dropped {
+				t.Fatalf("first attempt: %v", got.Status)
 			}
-			if got := receive(t, "the second outcome", p.saw); got.Status != balance.DialFailed {
-				t.Errorf("the second: %v", got.Status)
+			if got := receive(t, "the result of the second attempt", p.saw); got.Status != balance.DialFailed {
+				t.Errorf("second attempt: %v", got.Status)
 			}
 			if left := time.Until(r.Deadline); left < patience/4 {
-				t.Errorf("it was written on until %v before the deadline", left)
+				t.Errorf("the write ended only %v before the deadline", left)
 			}
 			if ans := receive(t, "the answer", r.Reply); ans.Kind != engine.Failed {
 				t.Errorf("answer %v", ans.Kind)
@@ -160,8 +163,8 @@
 	}
 }
 
-// A drain meets an upload whose attempt is still dialing. The next attempt has the body, though the first one's goroutine has not
-// come back yet, and that one does not take it when it does.
+// An upload whose attempt is still dialing when its backend begins to drain moves to another backend. The next attempt gets the body
+// although the goroutine of the first one is still in its dial, and that goroutine must not read from the body when it returns.
 func TestUploadGoesOnWhileABarredDialLasts(t *testing.T) {
 	const body = "0123456789"
 	got := make(chan string, 2)
--- a/internal/node/room_test.go
+++ b/internal/node/room_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// BenchmarkRoom tells what lists of backends and peers take: bytes of heap and stacks in use, and goroutines, of a node at rest.
+// BenchmarkRoom measures the cost of lists of backends and peers in an idle node: bytes of heap and stacks in use, and goroutines.
 func BenchmarkRoom(b *testing.B) {
 	for _, many := range []int{20, 200, 1024} {
 		b.Run(fmt.Sprintf("backends=%d", many), func(b *testing.B) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// BenchmarkRoomUnderLoad tells what a node takes, in bytes of heap and stacks, goroutines and descriptors, while its places are in
-// use: 64 clients ask without a pause, each answer takes 20 ms. Backends and clients are in a process of their own.
+// BenchmarkRoomUnderLoad measures the heap and stacks, goroutines and answers of a node whose request slots are in use. 64 clients send
+// without a pause, and each answer takes 20 ms. Backends and clients run in a process of their own.
 func BenchmarkRoomUnderLoad(b *testing.B) {
 	for _, many := range []int{20, 200, 1024} {
 		b.Run(fmt.Sprintf("backends=%d", many), func(b *testing.B) {
@@ -88,7 +88,7 @@
 				go func() { ended <- n.Run(ctx) }()
 				fmt.Fprintln(in, n.Addr())
 				var heap, most, served uint64
-				for told.Scan() { // some times a second, then the number of answers
+				for told.Scan() { // the number of answers, ten times a second
 					runtime.ReadMemStats(&now)
 					heap = max(heap, now.HeapAlloc+now.StackInuse)
 					most = max(most, uint64(runtime.NumGoroutine()-goroutines))
@@ -106,8 +106,8 @@
 	}
 }
 
-// surroundings names the variable by which a process of the tests is so many backends, and 64 clients of the node whose address it
-// is told, for two seconds.
+// surroundings names the environment variable with which the test binary runs as this many backends, and as 64 clients of a node for
+// two seconds. It reads the address of the node from standard input.
 const surroundings = "GLENCART_TEST_SURROUNDINGS"
 
 func init() {
--- a/internal/node/rude_test.go
+++ b/internal/node/rude_test.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// dial returns a connection to the node.
 func (s *started) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
@@ -23,9 +24,11 @@
 	return c
 }
 
+// orderHead is the head of an order request, without its id, its length and its end.
 const orderHead = "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Qos: order\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n"
 
-// Whatever a client sends or leaves out, it gets an error or a close soon, and nothing of it reaches a backend.
+// A client that sends an invalid, incomplete or endless request must not hold a connection for long or reach a backend. It gets an
+// error or a close within the limits for a head and a body.
 func TestBadClientsAreEnded(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	n := startOn(t, b.Addr().String())
@@ -51,33 +54,33 @@
 	id := "X-Trace-Id: rude\r\n"
 	var wg sync.WaitGroup
 	for name, send := range map[string]func(net.Conn){
-		"says nothing":          then("", nil),
-		"half a line":           then("POST /api", nil),
-		"half a head":           then(orderHead, nil),
-		"noise":                 then("\x00\xff\x01 \r\n\r\n", nil),
-		"noise without end":     forever("\x9c\x01\x00\xfe", 0),
-		"head without end":      then(orderHead, forever("X-A: a\r\n", 0)),
-		"slow head without end": then(orderHead, forever("X-A: a\r\n", 20*time.Millisecond)),
-		"line without end":      then(orderHead+"X-A: ", forever("aaaa", 0)),
-		"half a body":           then(orderHead+id+"Content-Length: 100\r\n\r\nabc", nil),
+		"nothing":           then("", nil),
+		"half a line":       then("POST /api", nil),
+		"half a head":       then(orderHead, nil),
+		"noise":             then("\x00\xff\x01 \r\n\r\n", nil),
+		"endless noise":     forever("\x9c\x01\x00\xfe", 0),
+		"endless head":      then(orderHead, forever("X-A: a\r\n", 0)),
+		"slow endless head": then(orderHead, forever("X-A: a\r\n", 20*time.Millisecond)),
+		"endless line":      then(orderHead+"X-A: ", forever("aaaa", 0)),
+		"half a body":       then(orderHead+id+"Content-Length: 100\r\n\r\nabc", nil),
 		"slow body after a pause": func(c net.Conn) {
 			time.Sleep(1200 * time.Millisecond)
 			then(orderHead+id+"Content-Length: 60000\r\n\r\n", forever("a", 20*time.Millisecond))(c)
 		},
 		"half a body and a close": then(orderHead+id+"Content-Length: 100\r\n\r\nabc", func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }),
 		"negative length":         then(orderHead+id+"Content-Length: -1\r\n\r\n", nil),
-		"length too large to be":  then(orderHead+id+"Content-Length: 99999999999999999999999\r\n\r\n", nil),
-		"length that is none":     then(orderHead+id+"Content-Length: abc\r\n\r\n", nil),
+		"length out of range":     then(orderHead+id+"Content-Length: 99999999999999999999999\r\n\r\n", nil),
+		"length not a number":     then(orderHead+id+"Content-Length: abc\r\n\r\n", nil),
 		"60 MB":                   then(orderHead+id+"Content-Length: 62914560\r\n\r\n", forever(strings.Repeat("x", 64<<10), 0)),
 		"60 MB and a close":       then(orderHead+id+"Connection: close\r\nContent-Length: 62914560\r\n\r\n", forever(strings.Repeat("x", 64<<10), 0)),
 		"60 MB never sent":        then(orderHead+id+"Content-Length: 62914560\r\n\r\n", nil),
-		"asks before 60 MB":       then(orderHead+id+"Expect: 100-continue\r\nContent-Length: 62914560\r\n\r\n", nil),
-		"chunks without end":      then(orderHead+id+"Transfer-Encoding: chunked\r\n\r\n", forever("4\r\naaaa\r\n", 0)),
-		"chunks that are none":    then(orderHead+id+"Transfer-Encoding: chunked\r\n\r\nzz\r\n", nil),
+		"100-continue and 60 MB":  then(orderHead+id+"Expect: 100-continue\r\nContent-Length: 62914560\r\n\r\n", nil),
+		"endless chunks":          then(orderHead+id+"Transfer-Encoding: chunked\r\n\r\n", forever("4\r\naaaa\r\n", 0)),
+		"invalid chunks":          then(orderHead+id+"Transfer-Encoding: chunked\r\n\r\nzz\r\n", nil),
 		"unknown class":           then(strings.Replace(orderHead, "order", "gold", 1)+id+"Content-Length: 0\r\n\r\n", nil),
-		"deadline that is none":   then(strings.Replace(orderHead, ": 9\r\n", ": soon\r\n", 1)+id+"Content-Length: 0\r\n\r\n", nil),
+		"deadline not a number":   then(strings.Replace(orderHead, ": 9\r\n", ": soon\r\n", 1)+id+"Content-Length: 0\r\n\r\n", nil),
 		"no id":                   then(orderHead+"Content-Length: 0\r\n\r\n", nil),
-		"the same for ever":       forever(orderHead+"Content-Length: 0\r\n\r\n", 0),
+		"endless repetition":      forever(orderHead+"Content-Length: 0\r\n\r\n", 0),
 		"hundreds at once":        then(strings.Repeat(orderHead+"Content-Length: 0\r\n\r\n", 300), nil),
 	} {
 		wg.Go(func() {
@@ -97,7 +100,7 @@
 			if err == nil && resp.StatusCode < 400 {
 				t.Errorf("%s: answered %d", name, resp.StatusCode)
 			}
-			// The bound is 3 s for a head, and as much for a body that does not keep its pace.
+			// The limit is 3 s for a head, and as much for a body that is sent too slowly.
 			if d := time.Since(began); d > headWithin+silentMost+time.Second {
 				t.Errorf("%s: took %v", name, d)
 			}
@@ -109,8 +112,8 @@
 	}
 }
 
-// Clients that say nothing, or send slowly, give way when they fill the node, and one with an open request never
-// does.
+// Clients that send nothing or send slowly must not keep others out of a full node. Their connections are closed to make room, but
+// never one with an open request.
 func TestSilentClientsGiveWay(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -142,32 +145,32 @@
 		}
 	}
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
-		t.Errorf("the usual client: %d", resp.StatusCode)
+		t.Errorf("normal client: %d", resp.StatusCode)
 	}
-	// Without giving way they hold all places until their time is up.
+	// If they were not disconnected, they would hold all connections until their timeout.
 	if d := time.Since(began); d > headWithin-300*time.Millisecond {
-		t.Errorf("the usual client waited %v", d)
+		t.Errorf("normal client waited %v", d)
 	}
 	close(hold)
-	if status := receive(t, "the open request's answer", slow); status != 200 {
-		t.Errorf("the open request: %d", status)
+	if status := receive(t, "the answer to the open request", slow); status != 200 {
+		t.Errorf("open request: %d", status)
 	}
-	eventually(t, "an empty table", func() bool { return n.front.connections() == 0 && n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.front.connections() == 0 && n.open(t) == 0 })
 	if c := n.front.table.Counts(); c.Waiting != 0 {
 		t.Errorf("counted as waiting: %d", c.Waiting)
 	}
 }
 
-// Bodies that never end take none of the places for requests.
+// Requests whose bodies arrive slowly must not occupy the slots for open requests. A few such clients could block a node.
 func TestSlowBodiesTakeNoPlaces(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	n := startOn(t, b.Addr().String())
 	n.onLoop(t, func() {})
-	n.front.inFlight.Store(n.front.most.Load() - 1) // all places but one are taken
+	n.front.inFlight.Store(n.front.most.Load() - 1) // one request below the limit
 	for i := range 8 {
 		fmt.Fprintf(n.dial(t), "%sX-Trace-Id: slow-%d\r\nContent-Length: 10\r\n\r\nabc", orderHead, i)
 	}
-	eventually(t, "the slow ones", func() bool { return n.front.connections() == 8 })
+	eventually(t, "the connections of the slow clients", func() bool { return n.front.connections() == 8 })
 	time.Sleep(20 * time.Millisecond)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
--- a/internal/node/shutdown_behind_test.go
+++ b/internal/node/shutdown_behind_test.go
@@ -8,12 +8,13 @@
 	"testing"
 )
 
-// A request that was read with the one before it is answered, also where answers close their connections: only the last one does.
+// A pipelined request that was read together with the one before it must be answered, also when answers close their connections.
+// Only the last answer closes it. Closing with the first would lose a request that the node has read.
 func TestWhatIsReadBehindIsAnswered(t *testing.T) {
 	for name, c := range map[string]struct{ before, within func(*front) }{
-		"closing since before":     {before: func(f *front) { f.closing.Store(true) }},
-		"closing while it is open": {within: func(f *front) { f.closing.Store(true) }},
-		"more than may be open":    {before: func(f *front) { f.most.Store(0) }},
+		"closing before":     {before: func(f *front) { f.closing.Store(true) }},
+		"closing while open": {within: func(f *front) { f.closing.Store(true) }},
+		"above the limit":    {before: func(f *front) { f.most.Store(0) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -24,7 +25,7 @@
 				return ok200("x")
 			}))
 			n := startOn(t, b.Addr().String())
-			eventually(t, "clients let in", n.running.Load)
+			eventually(t, "the node accepting clients", n.running.Load)
 			n.onLoop(t, func() {})
 			if c.before != nil {
 				c.before(n.front)
@@ -33,7 +34,7 @@
 			post := orderHead + "X-Trace-Id: ID\r\nContent-Length: 3\r\n\r\nabc"
 			io.WriteString(conn, strings.Replace(post, "ID", "first", 1)+strings.Replace(post, "ID", "behind", 1))
 			if n.front.most.Load() > 0 {
-				receive(t, "the first at the backend", came)
+				receive(t, "the first request at the backend", came)
 			}
 			if c.within != nil {
 				c.within(n.front)
@@ -46,11 +47,11 @@
 					t.Fatal(err)
 				}
 				if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close != last {
-					t.Errorf("answered %d, %v, closes: %t", resp.StatusCode, err, resp.Close)
+					t.Errorf("answered %d, %v, closing: %t", resp.StatusCode, err, resp.Close)
 				}
 			}
 			if _, err := r.ReadByte(); err != io.EOF {
-				t.Errorf("after the last: %v", err)
+				t.Errorf("after the last answer: %v", err)
 			}
 		})
 	}
--- a/internal/node/shutdown_ready_test.go
+++ b/internal/node/shutdown_ready_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// A node that was restarted is ready within 10 s wherever it could serve: with a list that it remembers whatever discovery does, and else
-// soon after discovery has told its own.
+// A restarted node must be ready within 10 s whenever it could serve. With a cached endpoint list it becomes ready whatever discovery
+// does. Without one it becomes ready soon after discovery has sent its list.
 func TestReadyAfterARestart(t *testing.T) {
 	const bound = 10 * time.Second
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	list := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // it lets calls wait
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // never answers
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,11 +37,11 @@
 	began := time.Now()
 	comesUp := serving(func(w http.ResponseWriter, _ *http.Request) {
 		if time.Since(began) < time.Second {
-			panic(http.ErrAbortHandler) // a reset or an end
+			panic(http.ErrAbortHandler) // closes the connection without an answer
 		}
 		io.WriteString(w, list)
 	})
-	slow := serving(func(w http.ResponseWriter, _ *http.Request) { // half of what a call may take: an agent answers at once
+	slow := serving(func(w http.ResponseWriter, _ *http.Request) { // half of the time that a call may take
 		time.Sleep(500 * time.Millisecond)
 		io.WriteString(w, list)
 	})
@@ -49,15 +49,15 @@
 		name      string
 		discovery func(*testing.T) string
 		known     bool
-		shared    bool // processes of the node share a socket: the longest wait of all
+		shared    bool // processes of the node share a socket, which has the longest wait
 	}{
-		{"a list, and discovery is up", up, true, false},
-		{"a list, and discovery fails", failing, true, false},
-		{"a list, and discovery fails, shared", failing, true, true},
-		{"a list, and discovery is silent", func(*testing.T) string { return silent.Addr().String() }, true, false},
-		{"no list, and discovery is up", up, false, false},
-		{"no list, and discovery comes up", comesUp, false, false},
-		{"no list, and discovery is slow", slow, false, false},
+		{"cached list, discovery up", up, true, false},
+		{"cached list, discovery fails", failing, true, false},
+		{"cached list, discovery fails, shared socket", failing, true, true},
+		{"cached list, discovery silent", func(*testing.T) string { return silent.Addr().String() }, true, false},
+		{"no list, discovery up", up, false, false},
+		{"no list, discovery comes up", comesUp, false, false},
+		{"no list, discovery slow", slow, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/node/stopped_test.go
+++ b/internal/node/stopped_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// A client that stops in the middle of a request and stays is owed an error or a close within 3 s, wherever it stops, on a new
-// connection or on one that has carried requests. A machine that is slow takes part of that.
+// A client that stops in the middle of a request and stays connected must get an error or a close within 3 s, wherever it stops, on a
+// new or a reused connection. A phase of reading without a timeout would leave it waiting. The margin is for a slow machine.
 func TestStoppedRequestsEndInTime(t *testing.T) {
 	const owed, margin = 3 * time.Second, 250 * time.Millisecond
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	order := func(length string) string {
 		return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: stops-%d\r\nX-Qos: order\r\nX-Customer: acme\r\n%s\r\n\r\n",
 			lastID.Add(1), length)
 	}
-	var stopped sync.WaitGroup // all at once: parallel tests are as many as there are cores
+	var stopped sync.WaitGroup // goroutines, since only as many parallel tests run as there are cores
 	defer stopped.Wait()
 	for name, part := range map[string]string{
 		"nothing":               "",
@@ -38,7 +38,7 @@
 	} {
 		for _, kept := range []bool{false, true} {
 			if kept && part == "" {
-				continue // it rests
+				continue // an idle connection
 			}
 			c := n.dial(t)
 			stopped.Go(func() {
@@ -51,17 +51,17 @@
 				c.SetReadDeadline(began.Add(2 * owed))
 				got := make([]byte, 1)
 				if _, err := io.ReadFull(c, got); err != nil && err != io.EOF {
-					t.Errorf("%s, kept %v: neither an answer nor a close: %v", name, kept, err)
+					t.Errorf("%s, reused %v: neither an answer nor a close: %v", name, kept, err)
 				}
 				if d := time.Since(began); d > owed-margin {
-					t.Errorf("%s, kept %v: ended after %v", name, kept, d)
+					t.Errorf("%s, reused %v: ended after %v", name, kept, d)
 				}
 			})
 		}
 	}
 }
 
-// askOn has a whole request answered on a connection.
+// askOn sends a whole request on a connection and waits for its answer.
 func askOn(t *testing.T, c net.Conn) {
 	t.Helper()
 	fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: whole-%d\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n", lastID.Add(1))
--- a/internal/node/taken_test.go
+++ b/internal/node/taken_test.go
@@ -14,7 +14,8 @@
 	"glencart/internal/sock"
 )
 
-// A node that has lists of 1,024 peers and 1,024 backends drops nothing of either.
+// A node must keep a list of 1,024 backends whole, and accept an operator's call for each even after all have left the list at once.
+// A limit below that would drop backends or calls.
 func TestListsOfAThousand(t *testing.T) {
 	const many = 1024
 	var members []listed
@@ -28,21 +29,22 @@
 		return known
 	}
 	if got := count(); got != many {
-		t.Errorf("%d backends of %d are known", got, many)
+		t.Errorf("%d of %d backends known", got, many)
 	}
-	// All leave at once: a call on each is still a word on somebody.
+	// All backends leave the list at once. A call for each of them still names a known backend.
 	n.onLoop(t, func() {
 		n.hand.Take(nil, true, n.loop.Clock())
 		for _, m := range members {
 			if _, _, known := n.hand.Say(m.ID, true, n.loop.Clock()); !known {
-				t.Errorf("%s has left the list a moment ago, and nobody knows it", m.ID)
+				t.Errorf("%s is unknown right after it left the list", m.ID)
 				return
 			}
 		}
 	})
 }
 
-// Every peer of 1,024 may be told something at once, and may speak at once.
+// A node with 1,024 peers must have room to send one datagram to each at once and to receive one from each at once. Smaller queues
+// would drop datagrams of a single round.
 func TestAThousandPeers(t *testing.T) {
 	const many = 1024
 	cfg := Config{PeerListen: "127.0.0.1:0"}
@@ -61,28 +63,28 @@
 	if got := len(p.out); got != many {
 		t.Errorf("%d of %d datagrams wait to be sent", got, many)
 	}
-	n := &Node{cfg: cfg, bounds: b, loop: engine.New(engine.Config{})} // nobody runs it
+	n := &Node{cfg: cfg, bounds: b, loop: engine.New(engine.Config{})} // its loop doesn't run
 	for i := range many {
 		n.hear(i, nil)
 	}
 	if got := n.hears.Load(); got != many {
-		t.Errorf("%d messages of %d peers wait", got, many)
+		t.Errorf("%d of %d received messages wait", got, many)
 	}
 }
 
-// A request's time begins with its last byte, also where that stood in the queue of a full listener: counted from when there
-// was room for it, its answer would be late by as much.
+// The deadline of a request counts from its last byte, also where that byte waited in the backlog of a full listener. Counted from the
+// accept, the answer would be late by the time in the backlog.
 func TestTimeInTheQueueCounts(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, _ *bufio.Reader) { io.Copy(io.Discard, c) }) // it never answers
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Limits.Sockets = leastSockets
 	n := start(t, cfg)
-	n.front.table.KeepAll() // nobody gives way
+	n.front.table.KeepAll() // no idle connection is closed to make room
 	var silent []net.Conn
 	for !n.listener.Full() {
 		silent = append(silent, n.dial(t))
-		eventually(t, "a connection let in", func() bool { return n.listener.Holds() >= len(silent) })
+		eventually(t, "an accepted connection", func() bool { return n.listener.Holds() >= len(silent) })
 	}
 	c := n.dial(t)
 	began := time.Now()
@@ -98,12 +100,12 @@
 	}
 }
 
-// Settings that change while the node leaves make its end sooner, never later; all that is open has its answer, and so has
-// what comes on the connections that it keeps.
+// A reload during the shutdown may make the node end sooner but never later, since the time of SIGKILL doesn't move. All open requests
+// are answered, and so are those that arrive on connections that the node keeps.
 func TestSettingsChangeWhileLeaving(t *testing.T) {
 	for _, c := range []struct {
 		deadline string
-		most     time.Duration // SIGKILL by the sooner reckoning
+		most     time.Duration // the earlier time of SIGKILL
 	}{{`"deadline":300000000`, 2400 * time.Millisecond}, {`"deadline":12000000000`, 3700 * time.Millisecond}} {
 		t.Run(c.deadline, func(t *testing.T) {
 			t.Parallel()
@@ -129,27 +131,27 @@
 			receive(t, "a request at the backend", held)
 			began := time.Now()
 			n.stop()
-			eventually(t, "leaving", n.front.leaving.Load)
+			eventually(t, "the start of the shutdown", n.front.leaving.Load)
 			if err := n.Reload(testConfig(t, reg, text, `"deadline":10000000000`, c.deadline)); err != nil {
 				t.Fatal(err)
 			}
 			if err := receive(t, "the answer", open); err != nil {
 				t.Error(err)
 			}
-			if err := receive(t, "the node's end", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.err); err != nil {
 				t.Error(err)
 			}
 			if d := time.Since(began); d > c.most {
-				t.Errorf("ended after %v", d)
+				t.Errorf("the node ended too late, after %v", d)
 			}
 			if b := &n.front.book; b.Taken.Load() != 1 || b.Answered.Load() != 1 || b.Open() != 0 {
-				t.Errorf("taken %d, answered %d, open %d", b.Taken.Load(), b.Answered.Load(), b.Open())
+				t.Errorf("accepted %d, answered %d, open %d", b.Taken.Load(), b.Answered.Load(), b.Open())
 			}
 		})
 	}
 }
 
-// A node that is told to end before it serves has let somebody in all the same: the listener was open.
+// A node that is stopped between opening its listener and serving must answer the clients that have connected in between.
 func TestToldToEndBeforeItServes(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("done") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
@@ -162,7 +164,7 @@
 		_, body := do(t, ask(t, "http://"+n.Addr().String()+"/api/x", "order"))
 		answer <- body
 	}()
-	eventually(t, "one in the queue", func() bool { some, _ := sock.Waiting(n.listener.Listener); return some })
+	eventually(t, "a connection in the backlog", func() bool { some, _ := sock.Waiting(n.listener.Listener); return some })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := n.Run(ctx); err != nil {
--- a/internal/node/underway_test.go
+++ b/internal/node/underway_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// What is under way when a node is told to end has its whole answer, or its client can tell that it never ran; then the node ends.
-// The longest deadline is 2 s: connections close as they are answered from 1.6 s on, all is answered by 2.35 s.
+// A request in flight at SIGTERM gets its whole answer, or its client can see that it never ran, and then the node ends. The longest
+// deadline is 2 s. From 1.6 s on, connections close with their answers, and all requests are answered by 2.35 s.
 func TestUnderWayAtTheEnd(t *testing.T) {
 	const large = 32 << 20
 	post := func(id string, length int) string {
@@ -34,7 +34,7 @@
 		"half a head": func(t *testing.T, n *started, c net.Conn, told func()) {
 			text := post("half", 0)
 			io.WriteString(c, text[:30])
-			eventually(t, "the half", func() bool { return n.front.table.Counts().Begun == 1 })
+			eventually(t, "the half head", func() bool { return n.front.table.Counts().Begun == 1 })
 			told()
 			time.Sleep(1800 * time.Millisecond)
 			io.WriteString(c, text[30:])
@@ -42,7 +42,7 @@
 		},
 		"an upload in chunks": func(t *testing.T, n *started, c net.Conn, told func()) {
 			io.WriteString(c, orderHead+"X-Trace-Id: chunks\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
-			eventually(t, "the head", func() bool { return n.front.table.Counts().Open == 1 })
+			eventually(t, "the head of the request", func() bool { return n.front.table.Counts().Open == 1 })
 			told()
 			time.Sleep(1800 * time.Millisecond)
 			io.WriteString(c, "1\r\nc\r\n0\r\n\r\n")
@@ -66,19 +66,19 @@
 				t.Errorf("%d bytes", got)
 			}
 		},
-		"a second request behind the first": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a pipelined request": func(t *testing.T, n *started, c net.Conn, told func()) {
 			io.WriteString(c, strings.Replace(post("first", 0), "/api/x", "/api/slow", 1)+post("second", 0))
-			eventually(t, "the first", func() bool { return n.open(t) == 1 })
+			eventually(t, "the first request", func() bool { return n.open(t) == 1 })
 			told()
 			r := bufio.NewReader(c)
 			if resp, _ := answer(t, r); !resp.Close {
-				answer(t, r) // it was read, too: it is answered
+				answer(t, r) // the second request was read too, so it is answered
 			}
 		},
-		"discovery that moves": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a reload with another discovery": func(t *testing.T, n *started, c net.Conn, told func()) {
 			told()
 			moved := n.cfg
-			moved.Discovery = newRegistry(t, listText(7, true)).Addr // which lists nobody any more
+			moved.Discovery = newRegistry(t, listText(7, true)).Addr // its list is empty
 			if err := n.Reload(moved); err != nil {
 				t.Fatal(err)
 			}
@@ -115,13 +115,13 @@
 			c.SetDeadline(time.Now().Add(patience))
 			do(t, n, c, func() {
 				n.stop()
-				eventually(t, "leaving", n.front.leaving.Load)
+				eventually(t, "the start of the shutdown", n.front.leaving.Load)
 			})
-			if err := receive(t, "the node's end", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.err); err != nil {
 				t.Error(err)
 			}
 			if b := &n.front.book; b.Open() != 0 || b.Taken.Load() != b.Answered.Load() {
-				t.Errorf("taken %d, answered %d, client left %d", b.Taken.Load(), b.Answered.Load(), b.Left.Load())
+				t.Errorf("accepted %d, answered %d, client left %d", b.Taken.Load(), b.Answered.Load(), b.Left.Load())
 			}
 		})
 	}
--- a/internal/node/unnamed_test.go
+++ b/internal/node/unnamed_test.go
@@ -9,13 +9,13 @@
 	"glencart/internal/standin"
 )
 
-// unnamed is a listener whose address the system has not told.
+// unnamed is a listener without an address.
 type unnamed struct{ net.Listener }
 
 func (unnamed) Addr() net.Addr { return nil }
 
-// getsockname may fail for a moment, and then a listener has no address: the node serves all the same. It ended in a panic at its
-// start, seen with every third call failing.
+// A listener has no address when getsockname(2) fails. A node must serve all the same. It panicked at its start when every third
+// system call failed.
 func TestServesWhereTheSystemTellsNoAddress(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	list := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
@@ -34,7 +34,7 @@
 		return resp.StatusCode == http.StatusOK
 	})
 	cancel()
-	if err := standin.Receive(t, "the node's end", ended); err != nil {
+	if err := standin.Receive(t, "the end of the node", ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/node/untilend_test.go
+++ b/internal/node/untilend_test.go
@@ -15,8 +15,9 @@
 	"glencart/life"
 )
 
-// tally is what became of the requests of clients that go on until a node ends. A kept connection that closes under a request tells
-// that this was not read, and its client asks again elsewhere; on a new one it counts as refused. Times are since it began.
+// tally counts the results of requests that clients send until a node ends. A reused connection that closes under a request tells its
+// client that the request was not read, so that the client can send it to another node. On a new connection such a close counts as a
+// refusal. Times are since began.
 type tally struct {
 	mu                                   sync.Mutex
 	written, answered, served, bare      int
@@ -25,7 +26,7 @@
 	lastWritten, lastAnswered, lastLetIn time.Duration // of those that were answered
 }
 
-// keepAsking has a client send one request after another on a connection for as long as that is open.
+// keepAsking sends one request after another on a connection until the connection closes.
 func (y *tally) keepAsking(c net.Conn, seed uint64) {
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -42,7 +43,7 @@
 			text += "abc"
 		}
 		if !first && !sock.Quiet(c) {
-			return // it has been closed between two requests, and its client has seen so
+			return // closed between two requests, which the client sees before it writes
 		}
 		at := time.Since(y.began)
 		_, err := io.WriteString(c, text)
@@ -70,7 +71,7 @@
 				y.lastLetIn = max(y.lastLetIn, at)
 			}
 		case got:
-			y.lost = append(y.lost, fmt.Sprintf("%s: %v, in its answer", id, err))
+			y.lost = append(y.lost, fmt.Sprintf("%s: %v during its answer", id, err))
 		default:
 			y.crossing = append(y.crossing, id)
 			if first {
@@ -85,19 +86,19 @@
 	}
 }
 
-// After SIGTERM clients send on every connection that stays open, as long as it does, and new ones come for 0.4 s. All that the node has
-// read has its whole answer in time; what crosses a close was not read, never reaches a backend, and is never on a new connection.
+// After SIGTERM clients keep sending on every open connection, and new ones connect for 0.4 s. Each request that the node has read gets
+// its whole answer in time. A request that a close crosses was not read, reaches no backend, and is never the first on its connection.
 func TestClientsSendUntilTheEnd(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			if faults, late := untilTheEnd(t, deadline); len(faults) > 0 {
-				t.Errorf("%q; the machine was late by %v", faults, late)
+				t.Errorf("%q; timers of the machine were late by %v", faults, late)
 			}
 		})
 	}
 }
 
-// untilTheEnd plays the end of one node. late is how long its machine had timers wait at the most.
+// untilTheEnd runs the shutdown of one node under load. late is the largest delay of a timer on this machine.
 func untilTheEnd(t *testing.T, deadline time.Duration) (faults []string, late time.Duration) {
 	ran := sync.Map{}
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -112,10 +113,10 @@
 	}))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline)))
-	eventually(t, "clients let in", n.running.Load)
+	eventually(t, "the node accepting clients", n.running.Load)
 	y := &tally{began: time.Now()}
 	var clients sync.WaitGroup
-	come := func() { // who finds no connection has asked for nothing
+	come := func() { // a client that can't connect sends nothing
 		if c, err := net.Dial("tcp", n.Addr().String()); err == nil {
 			c.SetDeadline(time.Now().Add(patience))
 			clients.Go(func() { y.keepAsking(c, uint64(lastID.Add(1))) })
@@ -144,7 +145,7 @@
 		come()
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
 	}
 	ended := time.Since(y.began) - told
@@ -157,18 +158,18 @@
 	}
 	for _, id := range y.crossing {
 		_, is := ran.Load(id)
-		fault(is, "%s: closed without an answer, and it has run", id)
+		fault(is, "%s: closed without an answer, but it ran", id)
 	}
 	letIn, written, answered, kill := y.lastLetIn-told, y.lastWritten-told, y.lastAnswered-told, deadline+life.Platform.Grace
 	book := &n.front.book
 	taken, open, left := int(book.Taken.Load()), book.Open(), book.Left.Load()
-	t.Logf("%d written, %d answered (%d served), %d crossed a close; the last one let in after %v, written %v, answered %v, ended %v of %v; late by %v",
+	t.Logf("%d written, %d answered (%d served), %d crossed by a close; last connection after %v, last write %v, last answer %v, end %v of %v; timers late by %v",
 		y.written, y.answered, y.served, len(y.crossing), letIn, written, answered, ended, kill, late)
 	fault(len(y.lost) > 0, "lost: %q", y.lost)
-	fault(y.bare > 0, "%d closed without an answer on a new connection", y.bare)
-	fault(taken != y.answered || open != 0 || left != 0, "taken %d, open %d, left %d; clients have %d answers", taken, open, left, y.answered)
-	// A machine whose timers are late is so for the node's too.
-	fault(answered > kill-life.Late/2+late || ended >= kill+late, "the last answer after %v, ended after %v, and SIGKILL may come after %v", answered, ended, kill)
-	fault(letIn < life.Platform.Still/2-late || y.served == 0 || len(y.crossing) > y.written/20, "let in for %v, %d served, %d crossed a close", letIn, y.served, len(y.crossing))
+	fault(y.bare > 0, "%d new connections closed without an answer", y.bare)
+	fault(taken != y.answered || open != 0 || left != 0, "accepted %d, open %d, left %d; clients have %d answers", taken, open, left, y.answered)
+	// Late timers of the machine delay the node too.
+	fault(answered > kill-life.Late/2+late || ended >= kill+late, "last answer after %v, end after %v, SIGKILL after %v", answered, ended, kill)
+	fault(letIn < life.Platform.Still/2-late || y.served == 0 || len(y.crossing) > y.written/20, "accepted connections for %v, %d served, %d crossed by a close", letIn, y.served, len(y.crossing))
 	return faults, late
 }
--- a/internal/node/wear_test.go
+++ b/internal/node/wear_test.go
@@ -12,8 +12,8 @@
 	"glencart/internal/engine"
 )
 
-// Where connections that were idle for a while break under the next request, and fresh ones do not, requests come
-// to go out on fresh ones. A kept connection that was used just before goes on being used.
+// Something on the way, or a backend with a shorter idle time than configured, may drop idle connections silently. The next request on
+// one breaks and may have run. The node learns this and dials new connections instead, but still reuses one that was used just before.
 func TestWornConnectionsCarryNoRequests(t *testing.T) {
 	const life = 60 * time.Millisecond
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -30,7 +30,7 @@
 	})
 	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
 	row := 0
-	eventually(t, "no broken request, ten times", func() bool {
+	eventually(t, "ten delivered requests in a row", func() bool {
 		if row++; try(t, x, to, get("id")).Status != balance.Delivered {
 			row = 0
 		}
@@ -41,11 +41,12 @@
 	}
 	n := b.Accepted.Load()
 	if try(t, x, to, get("id")).Status != balance.Delivered || b.Accepted.Load() > n+1 {
-		t.Errorf("a connection used just before: %d dialed", b.Accepted.Load()-n)
+		t.Errorf("after a connection used just before: %d dialed", b.Accepted.Load()-n)
 	}
 }
 
-// Breaks that fresh connections suffer too are no reason to dial, and nor is what was seen long ago.
+// Breaks that new connections suffer as often, or that happened long ago, must not make the node stop reusing connections. Dialing
+// costs round trips and work at the backend.
 func TestWearIsJudgedAgainstFreshConnections(t *testing.T) {
 	var w wear
 	for i := range 400 {
@@ -53,16 +54,16 @@
 		w.note(400*time.Millisecond, i%10 == 0)
 	}
 	if w.worn(400 * time.Millisecond) {
-		t.Error("worn, though fresh ones break as often")
+		t.Error("idle connections rejected although new ones break as often")
 	}
 	for i := range 100 {
 		w.note(400*time.Millisecond, i%2 == 0)
 	}
 	if !w.worn(400*time.Millisecond) || !w.worn(3*time.Second) || w.worn(200*time.Millisecond) || w.worn(0) {
-		t.Error("half of those idle for 400 ms broke, and it is not held against just these and older ones")
+		t.Error("half of the connections idle for 400 ms broke, but not exactly these and older ones are rejected")
 	}
 	w.aged[w.class(400*time.Millisecond)].at = time.Now().Add(-time.Minute)
 	if w.worn(400 * time.Millisecond) {
-		t.Error("never forgotten")
+		t.Error("breaks of a minute ago still count")
 	}
 }
