--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -125,13 +125,13 @@
 	}
 
 	// The socket buffers are far smaller than the body, and the backend resets the connection after reading a part of it.
-	small := func(_, _ string, rc syscall.RawConn) error {
+	smallBuffers := func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
 		})
 	}
-	lc := net.ListenConfig{Control: small}
+	lc := net.ListenConfig{Control: smallBuffers}
 	l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 		reset(c)
 	}()
 	x := exchangesFor(t)
-	x.pool.dialer.Control = small
+	x.pool.dialer.Control = smallBuffers
 	m := get("partial")
 	m.method, m.body = "POST", make([]byte, bodyMost)
 	if r := try(t, x, engine.Endpoint{Addr: l.Addr().String()}, m); r.Status != balance.DialFailed {
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -55,10 +55,10 @@
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
 	for name, tc := range map[string]struct {
-		class  string
-		change func(*http.Request)
-		want   int
-		words  string // the header at fault and what to do
+		class    string
+		change   func(*http.Request)
+		want     int
+		wantText string // the header at fault and what to do
 	}{
 		"no id":             {"read", set("X-Trace-Id", ""), 400, "X-Trace-Id: missing"},
 		"unknown class":     {"read", set("X-Qos", "gold"), 400, "X-Qos: no such class: name"},
@@ -82,8 +82,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			resp, body := do(t, ask(t, n.url+"/api/x", tc.class, tc.change))
-			if resp.StatusCode != tc.want || !strings.Contains(body, tc.words) {
-				t.Errorf("answered %d %q, want %d %q", resp.StatusCode, body, tc.want, tc.words)
+			if resp.StatusCode != tc.want || !strings.Contains(body, tc.wantText) {
+				t.Errorf("answered %d %q, want %d %q", resp.StatusCode, body, tc.want, tc.wantText)
 			}
 			if allow := resp.Header.Get("Allow"); (allow != "") != (tc.want == http.StatusMethodNotAllowed) {
 				t.Errorf("Allow: %q with %d", allow, tc.want)
@@ -161,10 +161,10 @@
 	}
 	fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: gone-1\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n\r\n")
 	receive(t, "the request at the backend", begun)
-	left := time.Now()
+	disconnectedAt := time.Now()
 	c.(*net.TCPConn).CloseWrite()
 	receive(t, "the end of the attempt's connection", ended)
-	if d := time.Since(left); d > 5*time.Second {
+	if d := time.Since(disconnectedAt); d > 5*time.Second {
 		t.Errorf("the attempt went on for %v", d)
 	}
 	// No backend has answered, so the client must read nothing, not even an empty answer of net/http.
@@ -181,10 +181,10 @@
 
 // A request with the id of an open one gets a 409. A backend could not distinguish two open requests with the same id.
 func TestIDOfAnOpenRequestIsTurnedAway(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 4)
+	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
-		held <- struct{}{}
-		<-hold
+		arrived <- struct{}{}
+		<-release
 		return ok200("once")
 	}))
 	n := startOn(t, b.Addr().String())
@@ -194,11 +194,11 @@
 		_, body := do(t, ask(t, n.url+"/api/x", "order", same))
 		first <- body
 	}()
-	receive(t, "the first request at the backend", held)
+	receive(t, "the first request at the backend", arrived)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "order", same)); resp.StatusCode != http.StatusConflict {
 		t.Errorf("second request: %d", resp.StatusCode)
 	}
-	close(hold)
+	close(release)
 	if body := receive(t, "the first answer", first); body != "once" {
 		t.Errorf("first request: %q", body)
 	}
@@ -206,10 +206,10 @@
 
 // A node at its limit of open requests rejects a new one with 503 and Retry-After, and still serves those that it has accepted.
 func TestFullNodeRefuses(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 4)
+	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
-		held <- struct{}{}
-		<-hold
+		arrived <- struct{}{}
+		<-release
 		return ok200("x")
 	}))
 	n := startOn(t, b.Addr().String())
@@ -220,12 +220,12 @@
 		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 		first <- resp.StatusCode
 	}()
-	receive(t, "the last accepted request at the backend", held)
+	receive(t, "the last accepted request at the backend", arrived)
 	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	close(hold)
+	close(release)
 	if status := receive(t, "the answer to the accepted request", first); status != 200 {
 		t.Errorf("accepted request: %d", status)
 	}
--- a/internal/node/clockstep_test.go
+++ b/internal/node/clockstep_test.go
@@ -13,21 +13,21 @@
 // A wall clock that is an hour off must not change the age of a backend, whether it is in the first list or in an update. A backend
 // that has just started would count as warm, or would stay cold for an hour.
 func TestStartsByAClockThatIsAnHourOff(t *testing.T) {
-	const off = time.Hour
+	const offset = time.Hour
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
 	addr := b.Addr().String()
-	for name, step := range map[string]time.Duration{"right": 0, "ahead": off, "behind": -off} {
+	for name, clockOffset := range map[string]time.Duration{"right": 0, "ahead": offset, "behind": -offset} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			trueNow := time.Now()
-			up := func(ago time.Duration) int64 { return trueNow.Add(-ago).UnixMilli() }
+			realNow := time.Now()
+			startedAt := func(ago time.Duration) int64 { return realNow.Add(-ago).UnixMilli() }
 			text := listText(1, true, listed{ID: "old", Addr: addr, Phase: "ready"},
-				listed{ID: "first", Addr: addr, Phase: "ready", Up: up(time.Second)})
+				listed{ID: "first", Addr: addr, Phase: "ready", Up: startedAt(time.Second)})
 			reg := newRegistry(t, text)
 			cfg := testConfig(t, reg.Addr, listText(0, true, listed{ID: "old", Addr: addr, Phase: "ready"}))
-			cfg.origin = time.Duration(trueNow.Add(step).UnixNano())
+			cfg.origin = time.Duration(realNow.Add(clockOffset).UnixNano())
 			n := start(t, cfg)
-			reg.Next <- listText(2, false, listed{ID: "change", Addr: addr, Phase: "ready", Up: up(0)})
+			reg.Next <- listText(2, false, listed{ID: "change", Addr: addr, Phase: "ready", Up: startedAt(0)})
 			age := func(id string) (age time.Duration, known bool) {
 				n.onLoop(t, func() {
 					to, _, _, is := n.loop.Backend(id)
@@ -41,7 +41,7 @@
 					t.Errorf("%s has just started, but has the age %v", id, got)
 				}
 			}
-			if got, _ := age("old"); got < off {
+			if got, _ := age("old"); got < offset {
 				t.Errorf("old started long ago, but has the age %v", got)
 			}
 		})
@@ -54,7 +54,7 @@
 	allowed := map[string]string{
 		"internal/engine/engine.go": "the origin of the engine's clock, read once",
 	}
-	wall := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|time\.Unix(Milli|Micro)?\(|\.Round\(0\)`)
+	wallClockRead := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|time\.Unix(Milli|Micro)?\(|\.Round\(0\)`)
 	root := "../.."
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
 	if err != nil {
@@ -70,8 +70,8 @@
 			t.Errorf("no files in %s", folder)
 		}
 		for _, name := range files {
-			short, _ := filepath.Rel(root, name)
-			if strings.HasSuffix(name, "_test.go") || allowed[short] != "" {
+			relPath, _ := filepath.Rel(root, name)
+			if strings.HasSuffix(name, "_test.go") || allowed[relPath] != "" {
 				continue
 			}
 			text, err := os.ReadFile(name)
@@ -79,8 +79,8 @@
 				t.Fatal(err)
 			}
 			for i, line := range strings.Split(string(text), "\n") {
-				if wall.MatchString(line) {
-					t.Errorf("%s:%d reads the wall clock: %s", short, i+1, strings.TrimSpace(line))
+				if wallClockRead.MatchString(line) {
+					t.Errorf("%s:%d reads the wall clock: %s", relPath, i+1, strings.TrimSpace(line))
 				}
 			}
 		}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -61,11 +61,11 @@
 // unwrap returns the innermost error.
 func unwrap(err error) error {
 	for {
-		u, ok := err.(interface{ Unwrap() error })
+		wrapped, ok := err.(interface{ Unwrap() error })
 		if !ok {
 			return err
 		}
-		err = u.Unwrap()
+		err = wrapped.Unwrap()
 	}
 }
 
@@ -94,8 +94,8 @@
 		if n != nil {
 			n.close()
 		}
-		in := testConfig(t, "127.0.0.1:1", listText(1, true))
-		if n, err = New(t.Context(), in, quiet()); err != nil {
+		valid := testConfig(t, "127.0.0.1:1", listText(1, true))
+		if n, err = New(t.Context(), valid, quiet()); err != nil {
 			t.Fatal(err)
 		}
 		before := n.front.tuning.Load()
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -28,32 +28,32 @@
 	if text == "" {
 		return
 	}
-	fail := func(err error) {
+	exitOnError := func(err error) {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "cramped:", err)
 			os.Exit(1)
 		}
 	}
 	cfg, err := ParseConfig([]byte(text))
-	fail(err)
-	fail(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: leastSockets, Max: leastSockets}))
+	exitOnError(err)
+	exitOnError(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: leastSockets, Max: leastSockets}))
 	n, err := New(context.Background(), cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	fail(err)
+	exitOnError(err)
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		io.Copy(io.Discard, os.Stdin)
 		stop()
 	}()
-	most := atomic.Int64{}
+	peak := atomic.Int64{}
 	go every(ctx, 3*time.Millisecond, func() {
 		if list, err := os.ReadDir("/proc/self/fd"); err == nil {
-			most.Store(max(most.Load(), int64(len(list)-1))) // without the one that reads the folder
+			peak.Store(max(peak.Load(), int64(len(list)-1))) // without the one that reads the folder
 		}
 	})
 	go every(ctx, 20*time.Millisecond, func() { n.peers.tell(0, []byte("word")) })
 	fmt.Println(n.Addr(), n.admin.Addr())
-	fail(n.Run(ctx))
-	fmt.Println(most.Load())
+	exitOnError(n.Run(ctx))
+	fmt.Println(peak.Load())
 	os.Exit(0)
 }
 
@@ -67,31 +67,31 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	words := make(chan struct{}, 1)
+	datagrams := make(chan struct{}, 1)
 	go func() {
 		for b := make([]byte, 512); ; {
 			if _, _, err := peer.ReadFrom(b); err != nil {
 				return
 			}
 			select {
-			case words <- struct{}{}:
+			case datagrams <- struct{}{}:
 			default:
 			}
 		}
 	}()
-	hold, held := make(chan struct{}), make(chan struct{}, 64)
-	var oldLast atomic.Int64 // when an old backend last received a request
+	release, arrived := make(chan struct{}), make(chan struct{}, 64)
+	var oldLastAt atomic.Int64 // when an old backend last received a request
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
 		return answering(func(r *http.Request) string {
 			if !strings.HasPrefix(r.URL.Path, "/api/") {
 				return ok200("{}")
 			}
 			if name == "old" {
-				oldLast.Store(time.Now().UnixNano())
+				oldLastAt.Store(time.Now().UnixNano())
 			}
 			if r.URL.Path == "/api/slow" {
-				held <- struct{}{}
-				<-hold
+				arrived <- struct{}{}
+				<-release
 			}
 			return ok200(name)
 		})
@@ -104,13 +104,13 @@
 		old.Phase = "draining"
 		drained = append(drained, old)
 	}
-	after := newRawBackend(t, "127.0.0.1:0", serve("new"))
+	newBackend := newRawBackend(t, "127.0.0.1:0", serve("new"))
 	var mode atomic.Value
 	mode.Store("refuses")
-	changed := make(chan struct{})
-	var toldAt atomic.Int64
+	resumed := make(chan struct{})
+	var listSentAt atomic.Int64
 	calls := atomic.Int32{}
-	disco := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+	discovery := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -122,20 +122,20 @@
 				reset(c)
 				return
 			case "hangs":
-				<-changed
+				<-resumed
 				return
 			}
-			text := listText(2, true, append(drained, listed{ID: "s-new", Addr: after.Addr().String(), Phase: "ready"})...)
-			if r.URL.RawQuery != "" && toldAt.Load() != 0 {
+			text := listText(2, true, append(drained, listed{ID: "s-new", Addr: newBackend.Addr().String(), Phase: "ready"})...)
+			if r.URL.RawQuery != "" && listSentAt.Load() != 0 {
 				time.Sleep(100 * time.Millisecond)
 				text = listText(2, false)
 			}
-			toldAt.CompareAndSwap(0, time.Now().UnixNano())
+			listSentAt.CompareAndSwap(0, time.Now().UnixNano())
 			io.WriteString(c, ok200(text))
 		}
 	})
 	raw, err := json.Marshal(map[string]any{
-		"name": "n1", "listen": "127.0.0.1:0", "discovery": disco.Addr().String(), "seed": "8c1f30d27a5be964",
+		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.Addr().String(), "seed": "8c1f30d27a5be964",
 		"management": "127.0.0.1:0", "shared": t.TempDir(), "peer_listen": "127.0.0.1:0", "peers": []string{peer.LocalAddr().String()},
 		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: leastSockets}, "settings": json.RawMessage(testSettings),
 		"known": json.RawMessage(listText(1, true, known...)),
@@ -147,19 +147,19 @@
 	child.Env = append(os.Environ(), cramped+"="+string(raw))
 	var log strings.Builder
 	child.Stderr = &log
-	in, _ := child.StdinPipe()
-	out, _ := child.StdoutPipe()
+	stdin, _ := child.StdinPipe()
+	stdout, _ := child.StdoutPipe()
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := sync.OnceValue(func() error { in.Close(); return child.Wait() })
-	defer ended()
-	said := bufio.NewScanner(out)
+	waitForEnd := sync.OnceValue(func() error { stdin.Close(); return child.Wait() })
+	defer waitForEnd()
+	output := bufio.NewScanner(stdout)
 	var addr, admin string
-	if !said.Scan() {
-		t.Fatalf("the node did not start: %v %s", ended(), log.String())
+	if !output.Scan() {
+		t.Fatalf("the node did not start: %v %s", waitForEnd(), log.String())
 	}
-	fmt.Sscan(said.Text(), &addr, &admin)
+	fmt.Sscan(output.Text(), &addr, &admin)
 	call := func(to, path string) (status int, body string) {
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, "http://"+to+path, "read"))
 		if err != nil {
@@ -181,8 +181,8 @@
 			}
 		})
 	}
-	receive(t, "a request at the backend", held)
-	crowd := func(to string, many int) {
+	receive(t, "a request at the backend", arrived)
+	flood := func(to string, many int) {
 		for i := range many {
 			c, err := net.Dial("tcp", to)
 			if err != nil {
@@ -197,14 +197,14 @@
 	for _, m := range []string{"refuses", "hangs", "returns"} {
 		mode.Store(m)
 		if m == "returns" {
-			close(changed)
+			close(resumed)
 		}
-		crowd(addr, 3*b.clients)
-		crowd(admin, 2*adminLast)
+		flood(addr, 3*b.clients)
+		flood(admin, 2*adminLast)
 		for range many {
 			call(addr, "/api/x") // probes run in between
 		}
-		had := calls.Load()
+		callsBefore := calls.Load()
 		began := time.Now()
 		if status, body := call(addr, "/api/x"); status != 200 {
 			t.Errorf("discovery %s: answered %d %s", m, status, body)
@@ -215,35 +215,35 @@
 		if status, body := call(admin, "/control/ready"); status != 200 {
 			t.Errorf("discovery %s: the management endpoint answered %d %s", m, status, body)
 		}
-		eventually(t, "a call to discovery, which "+m, func() bool { return calls.Load() > had })
+		eventually(t, "a call to discovery, which "+m, func() bool { return calls.Load() > callsBefore })
 		select {
-		case <-words:
+		case <-datagrams:
 		default:
 		}
-		receive(t, "a datagram at the peer", words)
+		receive(t, "a datagram at the peer", datagrams)
 	}
 	eventually(t, "the new backend", func() bool { _, body := call(addr, "/api/x"); return body == "new" })
 	for range 20 {
 		call(addr, "/api/x")
 	}
-	if d := time.Duration(oldLast.Load() - toldAt.Load()); d > 500*time.Millisecond {
+	if d := time.Duration(oldLastAt.Load() - listSentAt.Load()); d > 500*time.Millisecond {
 		t.Errorf("a draining backend received a request %v after the update", d)
 	}
-	close(hold)
+	close(release)
 	slow.Wait()
 	if got := int(answered.Load()); got != b.requests-1 {
 		t.Errorf("%d of %d open requests were answered", got, b.requests-1)
 	}
-	in.Close()
-	most := 0
-	if said.Scan() {
-		fmt.Sscan(said.Text(), &most)
+	stdin.Close()
+	peak := 0
+	if output.Scan() {
+		fmt.Sscan(output.Text(), &peak)
 	}
-	if err := ended(); err != nil {
+	if err := waitForEnd(); err != nil {
 		t.Errorf("the node ended with %v", err)
 	}
-	t.Logf("peak of open descriptors: %d of %d; clients %d, backends %d, others %d", most, leastSockets, b.clients, b.backends, otherSockets)
-	if most == 0 || most >= leastSockets || strings.Contains(log.String(), "too many open files") {
-		t.Errorf("%d of %d descriptors were open; the node's log: %s", most, leastSockets, log.String())
+	t.Logf("peak of open descriptors: %d of %d; clients %d, backends %d, others %d", peak, leastSockets, b.clients, b.backends, otherSockets)
+	if peak == 0 || peak >= leastSockets || strings.Contains(log.String(), "too many open files") {
+		t.Errorf("%d of %d descriptors were open; the node's log: %s", peak, leastSockets, log.String())
 	}
 }
--- a/internal/node/disk_test.go
+++ b/internal/node/disk_test.go
@@ -38,13 +38,13 @@
 	if err := os.RemoveAll(blocked); err != nil {
 		t.Fatal(err)
 	}
-	next, err := handover.Open(cfg.Shared, cfg.Name, quiet())
+	successor, err := handover.Open(cfg.Shared, cfg.Name, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
+	defer successor.Close()
 	eventually(t, "the stored call", func() bool {
-		calls := next.Calls()
+		calls := successor.Calls()
 		return len(calls) == 1 && calls[0].ID == "s" && calls[0].Out
 	})
 	if status, _ := n.call(t, "POST", "/control/backends/s/offline"); status != http.StatusOK {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -26,11 +26,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dialing, dial := make(chan struct{}, 8), make(chan struct{})
+	dialing, proceed := make(chan struct{}, 8), make(chan struct{})
 	n.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 		if addr == old.Addr().String() {
 			dialing <- struct{}{}
-			<-dial
+			<-proceed
 		}
 		return nil
 	}
@@ -47,11 +47,11 @@
 	receive(t, "a dial", dialing)
 	reg.Next <- listText(2, false, listed{ID: "old", Addr: old.Addr().String(), Phase: "draining", Up: 0},
 		listed{ID: "new", Addr: other.Addr().String(), Phase: "ready", Up: 0})
-	eventually(t, "the update", func() (told bool) {
-		s.onLoop(t, func() { told = phaseOf(s, "old") == balance.Draining })
-		return told
+	eventually(t, "the update", func() (applied bool) {
+		s.onLoop(t, func() { applied = phaseOf(s, "old") == balance.Draining })
+		return applied
 	})
-	close(dial)
+	close(proceed)
 	// The request never ran, so the balancer may send it elsewhere or reject it. A node that has just started has no retry budget.
 	if body := receive(t, "the answer", answered); body == "old" {
 		t.Errorf("answered %q", body)
--- a/internal/node/emptylist_test.go
+++ b/internal/node/emptylist_test.go
@@ -18,16 +18,16 @@
 		t.Fatalf("before the empty list: %d", resp.StatusCode)
 	}
 	reg.Next <- listText(2, true)
-	told := time.Now()
-	refused := func() bool {
+	sentAt := time.Now()
+	isRejected := func() bool {
 		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 		return resp.StatusCode == http.StatusServiceUnavailable
 	}
-	eventually(t, "a rejected request", refused)
-	if d := time.Since(told); d > 500*time.Millisecond {
+	eventually(t, "a rejected request", isRejected)
+	if d := time.Since(sentAt); d > 500*time.Millisecond {
 		t.Errorf("requests were rejected only %v after the list", d)
 	}
-	if !refused() {
+	if !isRejected() {
 		t.Error("a request was served without a backend")
 	}
 	reg.Next <- listText(3, false, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
--- a/internal/node/floods_test.go
+++ b/internal/node/floods_test.go
@@ -33,15 +33,15 @@
 // errors that it takes for permanent.
 func TestAcceptErrorsEndNothing(t *testing.T) {
 	t.Parallel()
-	with := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPERM,
+	errs := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPERM,
 		syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH}
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Management = "127.0.0.1:0"
 	n := startAs(t, cfg, func(n *Node) {
-		n.listener.Listener = &failing{Listener: n.listener.Listener, with: with}
-		n.admin = &failing{Listener: n.admin, with: with}
+		n.listener.Listener = &failing{Listener: n.listener.Listener, with: errs}
+		n.admin = &failing{Listener: n.admin, with: errs}
 	})
 	if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
 		t.Errorf("answered %d %q", resp.StatusCode, body)
@@ -64,10 +64,10 @@
 // A request that is cut off at any byte must reach no backend and must not leave a connection or a descriptor behind. The client
 // gets a 4xx or no answer.
 func TestRequestsCutAtEveryByte(t *testing.T) {
-	var begun atomic.Int32
+	var attempts atomic.Int32
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if strings.HasPrefix(r.URL.Path, "/api/") {
-			begun.Add(1)
+			attempts.Add(1)
 		}
 		return ok200("{}")
 	}))
@@ -80,14 +80,14 @@
 		orderHead + "X-Trace-Id: cut-3\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n1234\r\n0\r\n\r\n",
 	}
 	var wg sync.WaitGroup
-	some := make(chan struct{}, 16)
+	slots := make(chan struct{}, 16)
 	cuts := 0
 	for _, text := range texts {
-		for at := range len(text) {
+		for cutAt := range len(text) {
 			cuts++
-			some <- struct{}{}
+			slots <- struct{}{}
 			wg.Go(func() {
-				defer func() { <-some }()
+				defer func() { <-slots }()
 				c, err := net.Dial("tcp", n.Addr().String())
 				if err != nil {
 					t.Error(err)
@@ -95,8 +95,8 @@
 				}
 				defer c.Close()
 				c.SetDeadline(time.Now().Add(patience))
-				io.WriteString(c, text[:at])
-				switch at % 3 {
+				io.WriteString(c, text[:cutAt])
+				switch cutAt % 3 {
 				case 0:
 					return // closes
 				case 1:
@@ -106,10 +106,10 @@
 				c.(*net.TCPConn).CloseWrite()
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if ne, ok := err.(net.Error); ok && ne.Timeout() {
-					t.Errorf("cut after %q: neither an answer nor a close", text[:at])
+					t.Errorf("cut after %q: neither an answer nor a close", text[:cutAt])
 				}
 				if err == nil && (resp.StatusCode < 400 || resp.StatusCode >= 500) {
-					t.Errorf("cut after %q: answered %d", text[:at], resp.StatusCode)
+					t.Errorf("cut after %q: answered %d", text[:cutAt], resp.StatusCode)
 				}
 			})
 		}
@@ -119,7 +119,7 @@
 		return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0 && n.listener.Holds() == 0
 	})
 	eventually(t, "the release of all descriptors", func() bool { return descriptors(t) <= before+8 }) // probes and discovery vary
-	if got := begun.Load(); got > 0 {
+	if got := attempts.Load(); got > 0 {
 		t.Errorf("%d of %d cut requests reached a backend", got, cuts)
 	}
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
@@ -139,7 +139,7 @@
 	}))
 	n := startOn(t, b.Addr().String())
 	eventually(t, "the node accepting clients", n.running.Load)
-	var silent []net.Conn
+	var unread []net.Conn
 	for i := range 4 { // in sequence; some may be rejected, since the backend is slow
 		c := n.dial(t)
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -149,13 +149,13 @@
 			t.Fatal(err)
 		}
 		if string(line) == "HTTP/1.1 200" { // the answer has begun
-			silent = append(silent, c)
+			unread = append(unread, c)
 		}
 	}
-	if len(silent) == 0 {
+	if len(unread) == 0 {
 		t.Fatal("no answer has begun")
 	}
-	eventually(t, "only the unread answers in flight", func() bool { return int(n.front.inFlight.Load()) == len(silent) })
+	eventually(t, "only the unread answers in flight", func() bool { return int(n.front.inFlight.Load()) == len(unread) })
 	began := time.Now()
 	n.onLoop(t, func() {})
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
@@ -164,7 +164,7 @@
 	if d := time.Since(began); d > readerSilent/4 {
 		t.Errorf("the other client waited for %v", d)
 	}
-	for _, c := range silent {
+	for _, c := range unread {
 		c.Close()
 	}
 	eventually(t, "the release of the requests and their connections", func() bool {
@@ -187,20 +187,20 @@
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{peer.LocalAddr().String()}
 	n := start(t, cfg)
 	eventually(t, "the node accepting clients", n.running.Load)
-	hold := make(chan struct{})
-	n.loop.Post(func() { <-hold })
-	most := int32(0)
+	release := make(chan struct{})
+	n.loop.Post(func() { <-release })
+	peak := int32(0)
 	eventually(t, "a full queue of peer messages", func() bool {
 		for i := range 200 {
 			peer.WriteTo([]byte(fmt.Sprintf("noise %d", i)), n.peers.conn.LocalAddr())
 		}
-		most = max(most, n.hears.Load())
-		return int(most) >= n.bounds.hear
+		peak = max(peak, n.hears.Load())
+		return int(peak) >= n.bounds.hear
 	})
-	if int(most) > n.bounds.hear+1 { // the one that is being rejected
-		t.Errorf("%d messages wait, limit %d", most, n.bounds.hear)
+	if int(peak) > n.bounds.hear+1 { // the one that is being rejected
+		t.Errorf("%d messages wait, limit %d", peak, n.bounds.hear)
 	}
-	close(hold)
+	close(release)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
 		t.Errorf("request after the flood: %d", resp.StatusCode)
 	}
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -90,8 +90,8 @@
 // No attempt begins for a client that has disconnected, since nobody would read its answer. The request may be waiting for the loop,
 // for a connection to a backend, or for the end of an attempt. Its state is released.
 func TestNothingIsBegunForAClientThatLeft(t *testing.T) {
-	for _, waits := range []string{"for the loop", "for a connection", "for its first attempt"} {
-		t.Run(waits, func(t *testing.T) {
+	for _, waitsFor := range []string{"for the loop", "for a connection", "for its first attempt"} {
+		t.Run(waitsFor, func(t *testing.T) {
 			t.Parallel()
 			began, dialing := make(chan string, 64), make(chan struct{}, 64)
 			var gate atomic.Value // a chan struct{}; closing it releases what the request waits for
@@ -107,12 +107,12 @@
 				listed{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready"})
 			cfg := testConfig(t, newRegistry(t, text).Addr, text)
 			cfg.Settings.Config.Limits.FreeRetries = 20
-			in := &letIn{}
+			accepted := &letIn{}
 			n := startAs(t, cfg, func(n *Node) {
-				in.Listener, n.listener.Listener = n.listener.Listener, in
+				accepted.Listener, n.listener.Listener = n.listener.Listener, accepted
 				n.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 					dialing <- struct{}{}
-					if waits == "for a connection" {
+					if waitsFor == "for a connection" {
 						<-gate.Load().(chan struct{})
 					}
 					return nil
@@ -121,7 +121,7 @@
 			eventually(t, "the node accepting clients", n.running.Load)
 			i := 0
 			for way, leave := range waysToLeave {
-				if waits == "for its first attempt" && way != "a byte, and closes" {
+				if waitsFor == "for its first attempt" && way != "a byte, and closes" {
 					continue // only the first case: a node that has seen nothing but 503s sends no second attempt
 				}
 				i++
@@ -132,21 +132,21 @@
 				for len(dialing) > 0 {
 					<-dialing
 				}
-				if waits == "for the loop" {
+				if waitsFor == "for the loop" {
 					n.loop.Post(func() { <-next })
 				}
 				before := n.front.book.Left.Load()
 				c := n.dial(t)
 				io.WriteString(c, leavesText(i))
 				eventually(t, "the accepted request", func() bool { return n.front.inFlight.Load() == 1 })
-				switch waits {
+				switch waitsFor {
 				case "for a connection":
 					receive(t, "a dial", dialing)
 				case "for its first attempt":
 					receive(t, "the first attempt", began)
 				}
 				leave(c)
-				eventually(t, "the disconnect", func() bool { return sock.Gone(in.conn()) || n.front.connections() == 0 })
+				eventually(t, "the disconnect", func() bool { return sock.Gone(accepted.conn()) || n.front.connections() == 0 })
 				release()
 				eventually(t, "the release of the request and its connection", func() bool {
 					return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
@@ -168,43 +168,43 @@
 // whole request there, followed by an end of the stream.
 func TestNothingIsBegunForAClientThatLeftTheQueue(t *testing.T) {
 	t.Parallel()
-	var begun atomic.Int32
+	var attempts atomic.Int32
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if strings.HasPrefix(r.URL.Path, "/api/") {
-			begun.Add(1)
+			attempts.Add(1)
 		}
 		return ok200("{}")
 	}))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	gate := make(chan struct{})
-	open := sync.OnceFunc(func() { close(gate) })
+	openGate := sync.OnceFunc(func() { close(gate) })
 	n := startAs(t, testConfig(t, newRegistry(t, text).Addr, text), func(n *Node) {
 		n.listener.Listener = closedYet{n.listener.Listener, gate}
 	})
-	defer open() // before the node ends
+	defer openGate() // before the node ends
 	eventually(t, "the node accepting clients", n.running.Load)
-	const leave = 24
-	var left []net.Conn
-	for i := range leave {
+	const clientCount = 24
+	var conns []net.Conn
+	for i := range clientCount {
 		c := n.dial(t)
 		io.WriteString(c, leavesText(i))
 		if i%2 == 0 {
 			io.WriteString(c, "GET /")
 		}
 		c.(*net.TCPConn).CloseWrite()
-		left = append(left, c)
+		conns = append(conns, c)
 	}
-	for _, c := range left {
+	for _, c := range conns {
 		eventually(t, "the disconnect", func() bool { return standin.Acknowledged(c) })
 		c.Close()
 	}
-	open()
-	eventually(t, "all connections accepted", func() bool { return n.front.book.Taken.Load() == leave })
+	openGate()
+	eventually(t, "all connections accepted", func() bool { return n.front.book.Taken.Load() == clientCount })
 	eventually(t, "the release of the requests and their connections", func() bool {
 		return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
-	if got := begun.Load(); got > 0 {
-		t.Errorf("attempts began for %d of %d disconnected clients", got, leave)
+	if got := attempts.Load(); got > 0 {
+		t.Errorf("attempts began for %d of %d disconnected clients", got, clientCount)
 	}
 }
 
@@ -212,25 +212,25 @@
 // and the request slot is free again.
 func TestWhoLeavesBehindUnreadBytesIsMissed(t *testing.T) {
 	t.Parallel()
-	begun, over := make(chan struct{}, 1), make(chan struct{}, 1)
+	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if r, err := http.ReadRequest(br); err == nil && strings.HasPrefix(r.URL.Path, "/api/") {
 			begun <- struct{}{}
 			io.Copy(io.Discard, br)
-			over <- struct{}{}
+			ended <- struct{}{}
 		}
 	})
 	n := startOn(t, b.Addr().String())
 	c := n.dial(t)
 	io.WriteString(c, leavesText(1))
 	receive(t, "the attempt", begun)
-	at := time.Now()
+	disconnectedAt := time.Now()
 	waysToLeave["a byte, and closes"](c)
-	receive(t, "the end of the attempt", over)
+	receive(t, "the end of the attempt", ended)
 	eventually(t, "the release of the request and its connection", func() bool {
 		return n.open(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
-	if d := time.Since(at); d > 3*time.Second { // the deadline is 9 s
+	if d := time.Since(disconnectedAt); d > 3*time.Second { // the deadline is 9 s
 		t.Errorf("disconnect noticed only after %v", d)
 	}
 }
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -15,11 +15,11 @@
 // State of removed backends must not accumulate, however many there were. A backend with an attempt in flight stays until the
 // attempt ends, and no number is assigned twice, so that its result can't be taken for that of another backend.
 func TestBackendsThatAreGoneAreForgotten(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 4)
+	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return ok200("x")
 	}))
@@ -32,7 +32,7 @@
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
-	receive(t, "the slow request", held)
+	receive(t, "the slow request", arrived)
 	member := func(id string, phase balance.Phase) engine.Member {
 		return engine.Member{ID: id, Addr: addr, Member: balance.Member{Phase: phase, Weight: 1}}
 	}
@@ -61,7 +61,7 @@
 			t.Error("backend released with a request in flight")
 		}
 	})
-	close(hold)
+	close(release)
 	if body := receive(t, "the slow answer", slow); body != "x" {
 		t.Errorf("slow request: %q", body)
 	}
@@ -75,11 +75,11 @@
 // A new backend at the address of a removed one must not use its connections, also not one that returns to the pool later. Such a
 // connection may lead to the old process.
 func TestNewBackendAtAUsedAddress(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 4)
+	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return ok200("x")
 	}))
@@ -92,13 +92,13 @@
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
-	receive(t, "the slow request", held)
+	receive(t, "the slow request", arrived)
 	reg.Next <- listText(2, false, listed{ID: "old", Addr: addr, Phase: "gone", Up: 0}, listed{ID: "new", Addr: addr, Phase: "ready", Up: 0})
-	eventually(t, "the new backend", func() (named bool) {
-		n.onLoop(t, func() { named = knows(n, "new") })
-		return named
+	eventually(t, "the new backend", func() (isListed bool) {
+		n.onLoop(t, func() { isListed = knows(n, "new") })
+		return isListed
 	})
-	close(hold)
+	close(release)
 	receive(t, "the slow answer", slow)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
@@ -132,8 +132,8 @@
 
 // knows reports whether the engine of a node still keeps a backend.
 func knows(n *started, id string) bool {
-	_, _, _, known := n.loop.Backend(id)
-	return known
+	_, _, _, isKnown := n.loop.Backend(id)
+	return isKnown
 }
 
 // numberOf returns the number that the engine assigned to a backend.
@@ -144,8 +144,8 @@
 
 // ringing reports whether a timer is set.
 func ringing(n *started) bool {
-	_, some := n.loop.Next()
-	return some
+	_, isSet := n.loop.Next()
+	return isSet
 }
 
 // A backend that refuses connections and later answers again at its address is a new process. The node treats it as cold before a
@@ -179,7 +179,7 @@
 }
 
 // doubted returns the number of backends whose restart is suspected.
-func (s *started) doubted(t *testing.T) (some int) {
-	s.onLoop(t, func() { some = s.hand.InDoubt() })
-	return some
+func (s *started) doubted(t *testing.T) (count int) {
+	s.onLoop(t, func() { count = s.hand.InDoubt() })
+	return count
 }
--- a/internal/node/halfway_test.go
+++ b/internal/node/halfway_test.go
@@ -17,14 +17,14 @@
 		return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: halfway-%d\r\nX-Qos: order\r\nX-Customer: acme\r\n%s\r\n\r\n",
 			lastID.Add(1), length)
 	}
-	for name, part := range map[string]string{
+	for name, sent := range map[string]string{
 		"a byte":       "P",
 		"half a head":  "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace",
 		"a head":       head("Content-Length: 10"),
 		"half a body":  head("Content-Length: 10") + "12345",
 		"half a chunk": head("Transfer-Encoding: chunked") + "a\r\n12345",
 	} {
-		for why, end := range map[string]func(t *testing.T, n *started){
+		for cause, forceClose := range map[string]func(t *testing.T, n *started){
 			"shutdown": func(t *testing.T, n *started) { n.stop() },
 			"connection flood": func(t *testing.T, n *started) {
 				for range 3 * n.bounds.clients {
@@ -34,7 +34,7 @@
 				}
 			},
 		} {
-			t.Run(why+", "+name, func(t *testing.T) {
+			t.Run(cause+", "+name, func(t *testing.T) {
 				t.Parallel()
 				b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
 				text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
@@ -43,9 +43,9 @@
 				n := start(t, cfg)
 				eventually(t, "the node accepting clients", n.running.Load)
 				c := n.dial(t)
-				io.WriteString(c, part)
+				io.WriteString(c, sent)
 				eventually(t, "the first bytes read", func() bool { return n.front.table.Counts().Begun == 1 })
-				end(t, n)
+				forceClose(t, n)
 				c.SetReadDeadline(time.Now().Add(patience))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
--- a/internal/node/heldup_test.go
+++ b/internal/node/heldup_test.go
@@ -60,22 +60,22 @@
 // The deadline that a backend gets must not exceed the remaining time of the client by more than 0.15 s, counted from the client's
 // last byte. That byte may have waited in the socket of a stalled node, on a reused connection, with a body or without.
 func TestToldDeadlines(t *testing.T) {
-	const heldUp, budget, slack = 400 * time.Millisecond, 2 * time.Second, 150 * time.Millisecond
-	told := make(chan time.Duration, 8)
+	const stall, timeLeft, slack = 400 * time.Millisecond, 2 * time.Second, 150 * time.Millisecond
+	forwarded := make(chan time.Duration, 8)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if strings.HasPrefix(r.URL.Path, "/api/") {
 			s, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
 			if err != nil {
 				t.Error(err)
 			}
-			told <- time.Duration(s * float64(time.Second))
+			forwarded <- time.Duration(s * float64(time.Second))
 		}
 		return ok200("x")
 	}))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	by := new(atomic.Int64)
+	delay := new(atomic.Int64)
 	n := startAs(t, testConfig(t, newRegistry(t, text).Addr, text), func(n *Node) {
-		n.listener.Listener = heldUpListener{n.listener.Listener, by}
+		n.listener.Listener = heldUpListener{n.listener.Listener, delay}
 	})
 	eventually(t, "the node accepting clients", n.running.Load)
 	c := n.dial(t)
@@ -87,11 +87,11 @@
 		{"POST /api/x HTTP/1.1\r\nX-Qos: order\r\nTransfer-Encoding: chunked", "4\r\nabcd\r\n0\r\n\r\n"},
 	} {
 		time.Sleep(50 * time.Millisecond) // the connection is idle
-		by.Store(int64(heldUp))
+		delay.Store(int64(stall))
 		written := time.Now()
-		fmt.Fprintf(c, "%s\r\nHost: x\r\nX-Trace-Id: told-%d\r\nX-Customer: acme\r\nX-Expires-In: %.3f\r\n\r\n%s", part.head, lastID.Add(1), budget.Seconds(), part.body)
-		got := receive(t, "the request at the backend", told)
-		if left := budget - time.Since(written); got > left+slack {
+		fmt.Fprintf(c, "%s\r\nHost: x\r\nX-Trace-Id: told-%d\r\nX-Customer: acme\r\nX-Expires-In: %.3f\r\n\r\n%s", part.head, lastID.Add(1), timeLeft.Seconds(), part.body)
+		got := receive(t, "the request at the backend", forwarded)
+		if left := timeLeft - time.Since(written); got > left+slack {
 			t.Errorf("request %d: deadline of %v forwarded, but the client has %v left", i, got, left)
 		} else if got < left-slack {
 			t.Errorf("request %d: deadline of only %v forwarded, but the client has %v left", i, got, left)
@@ -107,50 +107,50 @@
 // A pooled connection is not used so late that a stall of the node between reading the clock and writing the request would meet the
 // backend's close, however short the idle time in the settings is.
 func TestShortIdleTimesLeaveRoomForAHoldUp(t *testing.T) {
-	const heldUp = 150 * time.Millisecond
+	const stall = 150 * time.Millisecond
 	for _, idle := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond,
 		500 * time.Millisecond, time.Second, 5 * time.Second} {
-		if _, keep := poolTimes(0, idle); keep < 0 || keep > 0 && keep+heldUp >= idle {
-			t.Errorf("backend closes after %v: connection used after %v and written %v later", idle, keep, heldUp)
+		if _, keep := poolTimes(0, idle); keep < 0 || keep > 0 && keep+stall >= idle {
+			t.Errorf("backend closes after %v: connection used after %v and written %v later", idle, keep, stall)
 		}
 	}
 }
 
 // A UDP socket whose reads keep failing must not make the reader spin, and datagrams are received again once it works.
 func TestAPeersSocketThatFails(t *testing.T) {
-	other, err := net.ListenPacket("udp", "127.0.0.1:0")
+	sender, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	p, err := listenPeers(t.Context(), &Config{PeerListen: "127.0.0.1:0", Peers: []string{other.LocalAddr().String()}}, 8, quiet())
+	defer sender.Close()
+	p, err := listenPeers(t.Context(), &Config{PeerListen: "127.0.0.1:0", Peers: []string{sender.LocalAddr().String()}}, 8, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.conn.SetReadDeadline(time.Unix(1, 0)) // each read fails
-	heard := make(chan int, 8)
+	received := make(chan int, 8)
 	ended := make(chan struct{})
 	go func() {
-		p.run(t.Context(), func(peer int, _ []byte) { heard <- peer })
+		p.run(t.Context(), func(peer int, _ []byte) { received <- peer })
 		close(ended)
 	}()
 	t.Cleanup(func() { <-ended })
-	used := func() time.Duration {
+	cpuTime := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			t.Fatal(err)
 		}
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
-	const watched = 300 * time.Millisecond
-	before := used()
-	time.Sleep(watched)
-	if d := used() - before; d > watched/2 {
-		t.Errorf("%v of processor time in %v", d, watched)
+	const interval = 300 * time.Millisecond
+	before := cpuTime()
+	time.Sleep(interval)
+	if d := cpuTime() - before; d > interval/2 {
+		t.Errorf("%v of processor time in %v", d, interval)
 	}
 	p.conn.SetReadDeadline(time.Time{})
-	other.WriteTo([]byte("x"), p.conn.LocalAddr())
-	if peer := receive(t, "a datagram", heard); peer != 0 {
+	sender.WriteTo([]byte("x"), p.conn.LocalAddr())
+	if peer := receive(t, "a datagram", received); peer != 0 {
 		t.Errorf("datagram of peer %d, want 0", peer)
 	}
 }
--- a/internal/node/lastbyte_test.go
+++ b/internal/node/lastbyte_test.go
@@ -30,13 +30,13 @@
 // A backend that hangs or is unreachable must not receive the rest of a request after its client has disconnected or its deadline has
 // passed. A backend runs a request when its last byte arrives, and after a plain close the system still sends what it has buffered.
 func TestNothingArrivesAfterItsClient(t *testing.T) {
-	for _, way := range []string{"leaves", "time is up"} {
+	for _, ending := range []string{"leaves", "time is up"} {
 		for _, length := range []int{60 << 10, 1 << 20} {
-			t.Run(fmt.Sprintf("%s, %d bytes", way, length), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d bytes", ending, length), func(t *testing.T) {
 				t.Parallel()
 				l := hardOfHearing(t)
-				var whole atomic.Int32
-				heads, resume, read := make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
+				var wholeBodies atomic.Int32
+				headsRead, resume, bodiesRead := make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
 				go func() {
 					for {
 						c, err := l.Accept()
@@ -49,12 +49,12 @@
 							if err != nil || !strings.HasPrefix(r.URL.Path, "/api/") {
 								return
 							}
-							heads <- struct{}{}
+							headsRead <- struct{}{}
 							<-resume
 							if n, _ := io.Copy(io.Discard, r.Body); n == int64(length) {
-								whole.Add(1)
+								wholeBodies.Add(1)
 							}
-							read <- struct{}{}
+							bodiesRead <- struct{}{}
 						}()
 					}
 				}()
@@ -63,17 +63,17 @@
 				eventually(t, "the node accepting clients", n.running.Load)
 				c := n.dial(t)
 				fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: late-%d\r\nX-Qos: order\r\nX-Customer: acme\r\nX-Expires-In: %s\r\n"+
-					"Content-Length: %d\r\n\r\n%s", lastID.Add(1), map[string]string{"leaves": "9", "time is up": "0.4"}[way], length, strings.Repeat("x", length))
-				receive(t, "the head at the backend", heads)
-				if way == "leaves" {
+					"Content-Length: %d\r\n\r\n%s", lastID.Add(1), map[string]string{"leaves": "9", "time is up": "0.4"}[ending], length, strings.Repeat("x", length))
+				receive(t, "the head at the backend", headsRead)
+				if ending == "leaves" {
 					c.Close()
 				} else if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 					t.Fatal(err)
 				}
 				eventually(t, "the release of the request and its connection", func() bool { return n.open(t) == 0 && n.front.inFlight.Load() == 0 })
 				close(resume)
-				receive(t, "the end of the request at the backend", read)
-				if whole.Load() > 0 {
+				receive(t, "the end of the request at the backend", bodiesRead)
+				if wholeBodies.Load() > 0 {
 					t.Error("the backend received the whole request after its client had disconnected")
 				}
 			})
--- a/internal/node/lastlook_test.go
+++ b/internal/node/lastlook_test.go
@@ -37,7 +37,7 @@
 // A backend may write to a pooled connection or close it after the node has chosen it and before the node writes. The request goes
 // out on another connection. On this one it would fail, or it would get the noise as its answer.
 func TestKeptConnectionIsLookedAtBeforeTheWrite(t *testing.T) {
-	for name, stir := range map[string]func(c net.Conn){
+	for name, disturb := range map[string]func(c net.Conn){
 		"a second answer":          func(c net.Conn) { io.WriteString(c, ok200("noise")) },
 		"half a line":              func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
 		"closed":                   func(c net.Conn) { c.Close() },
@@ -53,8 +53,8 @@
 				t.Fatalf("first attempt: %v", r.Status)
 			}
 			peer := receive(t, "the connection", conns)
-			kept := x.pool.idle[to][0]
-			kept.Conn = &late{kept.Conn.(*net.TCPConn), func(c net.Conn) { stir(peer); stirs(t, c) }}
+			pooled := x.pool.idle[to][0]
+			pooled.Conn = &late{pooled.Conn.(*net.TCPConn), func(c net.Conn) { disturb(peer); stirs(t, c) }}
 			if r := try(t, x, to, get("two")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "two" {
 				t.Errorf("second attempt: status %v, body %q", r.Status, replyOf(r.Body).body)
 			}
@@ -98,19 +98,19 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			nc, err := net.Dial("tcp", l.Addr().String())
+			netConn, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer nc.Close()
+			defer netConn.Close()
 			peer, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer peer.Close()
-			cn := &conn{Conn: nc}
-			cn.read = bufio.NewReader(nc)
-			noise := func() { io.WriteString(peer, ok200("noise")); stirs(t, nc) }
+			cn := &conn{Conn: netConn}
+			cn.read = bufio.NewReader(netConn)
+			noise := func() { io.WriteString(peer, ok200("noise")); stirs(t, netConn) }
 			if m.up == nil {
 				noise()
 				if n, all, err := m.send(cn, []byte("head")); err != errEarly || n >= all {
--- a/internal/node/moment_test.go
+++ b/internal/node/moment_test.go
@@ -16,22 +16,22 @@
 // A node whose address is still in use by a process that is ending must not fail at its start. It tries again until the address is
 // free.
 func TestStartsWhenAnAddressComesFree(t *testing.T) {
-	const held = 300 * time.Millisecond
+	const heldFor = 300 * time.Millisecond
 	for _, which := range []string{"listen", "management"} {
 		t.Run(which, func(t *testing.T) {
 			t.Parallel()
-			before, err := net.Listen("tcp", "127.0.0.1:0")
+			occupant, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			text := listText(1, true, listed{ID: "s", Addr: "127.0.0.1:1", Phase: "ready"})
 			cfg := testConfig(t, newRegistry(t, text).Addr, text)
 			if which == "listen" {
-				cfg.Listen = before.Addr().String()
+				cfg.Listen = occupant.Addr().String()
 			} else {
-				cfg.Management = before.Addr().String()
+				cfg.Management = occupant.Addr().String()
 			}
-			time.AfterFunc(held, func() { before.Close() })
+			time.AfterFunc(heldFor, func() { occupant.Close() })
 			n := start(t, cfg)
 			eventually(t, "the node accepting clients", n.running.Load)
 		})
@@ -41,17 +41,17 @@
 // Errors of connect(2) and socket(2) for want of local ports, descriptors or memory must not count against the backend. The dial is
 // repeated, and if it keeps failing the attempt is Unused.
 func TestLocalFailuresAreNotTheBackends(t *testing.T) {
-	for _, lack := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		t.Run(lack.Error(), func(t *testing.T) {
+	for _, localErr := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		t.Run(localErr.Error(), func(t *testing.T) {
 			t.Parallel()
 			b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
 			x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
-			var calls atomic.Int32
-			lasts := atomic.Int32{}
-			lasts.Store(2)
+			var dials atomic.Int32
+			maxFailures := atomic.Int32{}
+			maxFailures.Store(2)
 			x.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
-				if calls.Add(1) <= lasts.Load() {
-					return lack
+				if dials.Add(1) <= maxFailures.Load() {
+					return localErr
 				}
 				return nil
 			}
@@ -59,15 +59,15 @@
 				t.Errorf("after two failed dials: %v", r.Status)
 			}
 			x.pool.drop(to)
-			calls.Store(0)
-			lasts.Store(1 << 20)
+			dials.Store(0)
+			maxFailures.Store(1 << 20)
 			done := make(chan engine.Result, 1)
 			x.attempt(to, get("for long"), time.Now().Add(200*time.Millisecond), func(r engine.Result) { done <- r })
 			if r := receive(t, "the result of the attempt", done); r.Status != balance.Unused {
 				t.Errorf("with dials that keep failing: %v", r.Status)
 			}
-			if calls.Load() > 200 {
-				t.Errorf("%d dials in 200 ms", calls.Load())
+			if dials.Load() > 200 {
+				t.Errorf("%d dials in 200 ms", dials.Load())
 			}
 		})
 	}
@@ -77,13 +77,13 @@
 // never established, whose request never ran. The second kind is DialFailed, and not a refusal.
 func TestUnreachableNeverRan(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(net.Conn, *bufio.Reader) {})
-	for _, broken := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED} {
+	for _, dialErr := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED} {
 		x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
-		x.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return broken }
+		x.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return dialErr }
 		done := make(chan engine.Result, 1)
 		x.attempt(to, get("unreachable"), time.Now().Add(time.Second), func(r engine.Result) { done <- r })
 		if r := receive(t, "the result of the attempt", done); r.Status != balance.DialFailed || r.Refused {
-			t.Errorf("%v: %v, refused %v", broken, r.Status, r.Refused)
+			t.Errorf("%v: %v, refused %v", dialErr, r.Status, r.Refused)
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -83,9 +83,9 @@
 }
 
 // testConfig returns a configuration with testSettings. change has pairs of an old and a new text in them.
-func testConfig(t *testing.T, discovery string, known string, change ...string) Config {
+func testConfig(t *testing.T, discovery string, known string, replacements ...string) Config {
 	t.Helper()
-	text := strings.NewReplacer(change...).Replace(testSettings)
+	text := strings.NewReplacer(replacements...).Replace(testSettings)
 	raw, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, "known": json.RawMessage(known),
@@ -202,11 +202,11 @@
 // A node that shuts down must not lose requests that it has accepted, or that clients still send before they notice. It serves new
 // connections for a while, answers every request that it has read, closes each connection after an answer, and ends.
 func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 16)
+	release, arrived := make(chan struct{}), make(chan struct{}, 16)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return ok200("done")
 	}))
@@ -225,7 +225,7 @@
 		}
 		slow <- resp
 	}()
-	receive(t, "the slow request at the backend", held)
+	receive(t, "the slow request at the backend", arrived)
 	began := time.Now()
 	n.stop()
 	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
@@ -245,7 +245,7 @@
 	if d := time.Since(began); d < 400*time.Millisecond {
 		t.Errorf("accepted connections for only %v", d)
 	}
-	close(hold)
+	close(release)
 	if resp := receive(t, "the slow answer", slow); resp.StatusCode != 200 {
 		t.Errorf("slow request: %d", resp.StatusCode)
 	}
@@ -256,11 +256,11 @@
 
 // A request in the backlog of a full node must be served although the node shuts down. Its client is connected and would see a reset.
 func TestLeavingServesTheBacklog(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 64)
+	release, arrived := make(chan struct{}), make(chan struct{}, 64)
 	serve := answering(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return ok200("done")
 	})
@@ -277,7 +277,7 @@
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
-	receive(t, "the slow request at the backend", held)
+	receive(t, "the slow request at the backend", arrived)
 	var silent []net.Conn
 	for range clients - 1 {
 		c, err := net.Dial("tcp", n.Addr().String())
@@ -288,20 +288,20 @@
 		silent = append(silent, c)
 	}
 	eventually(t, "a full node", n.listener.Full)
-	waits := make(chan string, 1)
+	queued := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, n.url+"/api/waits", "order"))
-		waits <- body
+		queued <- body
 	}()
 	n.stop()
 	time.Sleep(life.Platform.Still + life.Late + 100*time.Millisecond)
 	for _, c := range silent {
 		c.Close()
 	}
-	if body := receive(t, "the answer to the request from the backlog", waits); body != "done" {
+	if body := receive(t, "the answer to the request from the backlog", queued); body != "done" {
 		t.Errorf("request from the backlog: %q", body)
 	}
-	close(hold)
+	close(release)
 	if body := receive(t, "the slow answer", slow); body != "done" {
 		t.Errorf("slow request: %q", body)
 	}
@@ -421,15 +421,15 @@
 // Requests that are open at SIGTERM or arrive after it get one whole answer before SIGKILL, even if their deadlines end later. The
 // cases are a backend that never answers, an upload, and a node with a successor.
 func TestLeavingCutsLongDeadlines(t *testing.T) {
-	for _, follows := range []bool{false, true} {
-		t.Run(fmt.Sprintf("followed=%t", follows), func(t *testing.T) {
+	for _, hasSuccessor := range []bool{false, true} {
+		t.Run(fmt.Sprintf("followed=%t", hasSuccessor), func(t *testing.T) {
 			t.Parallel()
-			held := make(chan struct{}, 16)
+			arrived := make(chan struct{}, 16)
 			b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 				if r.URL.Path == "/stats" {
 					return ok200("{}")
 				}
-				held <- struct{}{}
+				arrived <- struct{}{}
 				select {} // it never answers
 			}))
 			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
@@ -460,7 +460,7 @@
 			body, writer := io.Pipe()
 			defer writer.Close()
 			send("open", "order")
-			receive(t, "a request at the backend", held)
+			receive(t, "a request at the backend", arrived)
 			send("upload", "order", func(r *http.Request) { r.Body, r.ContentLength = body, 8<<20 })
 			writer.Write(make([]byte, 200_000))
 			go func() { // a slow client that keeps sending
@@ -468,19 +468,19 @@
 					time.Sleep(200 * time.Millisecond)
 				}
 			}()
-			if follows {
+			if hasSuccessor {
 				start(t, cfg)
 				eventually(t, "a successor", n.place.Followed)
 			}
 			began := time.Now()
 			n.stop()
 			eventually(t, "the start of the shutdown", n.front.leaving.Load)
-			asked := 2
-			if !follows { // with a successor the node accepts no more connections
+			sent := 2
+			if !hasSuccessor { // with a successor the node accepts no more connections
 				send("late", "order")
-				asked++
+				sent++
 			}
-			for range asked {
+			for range sent {
 				if a := receive(t, "an answer", answers); a.err != nil || a.status < 500 {
 					t.Errorf("%s: answered %d, %v", a.what, a.status, a.err)
 				}
--- a/internal/node/odd_test.go
+++ b/internal/node/odd_test.go
@@ -12,9 +12,9 @@
 func TestOddSettingsStartAndAnswer(t *testing.T) {
 	const huge = "9223372036854775807"
 	for name, c := range map[string]struct {
-		class  string
-		change []string
-		want   int
+		class        string
+		replacements []string
+		want         int
 	}{
 		"deadline 0: a minute":                   {"read", []string{`"deadline":10000000000,"effect":"pure"`, `"deadline":0,"effect":"pure"`}, 200},
 		"deadline absent: a minute":              {"read", []string{`"deadline":10000000000,"effect":"pure"`, `"effect":"pure"`}, 200},
@@ -43,18 +43,18 @@
 		t.Run(name, func(t *testing.T) {
 			b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
-			n, err := New(t.Context(), testConfig(t, newRegistry(t, text).Addr, text, c.change...), quiet())
+			n, err := New(t.Context(), testConfig(t, newRegistry(t, text).Addr, text, c.replacements...), quiet())
 			if err != nil {
 				t.Fatal(err)
 			}
 			ctx, stop := context.WithCancel(context.Background()) // like Run, without the time that a shutdown takes
 			srv := n.front.server()
-			var all sync.WaitGroup
-			all.Go(func() { n.loop.Run(ctx.Done()) })
-			all.Go(func() { n.pool.run(ctx) })
-			all.Go(func() { n.disco.Run(ctx) })
-			all.Go(func() { srv.Serve(n.listener) })
-			defer all.Wait()
+			var wg sync.WaitGroup
+			wg.Go(func() { n.loop.Run(ctx.Done()) })
+			wg.Go(func() { n.pool.run(ctx) })
+			wg.Go(func() { n.disco.Run(ctx) })
+			wg.Go(func() { srv.Serve(n.listener) })
+			defer wg.Wait()
 			defer srv.Close()
 			defer stop()
 			if resp, _ := do(t, ask(t, "http://"+n.Addr().String()+"/api/x", c.class, func(r *http.Request) { r.Header.Del("X-Expires-In") })); resp.StatusCode != c.want {
--- a/internal/node/opening_test.go
+++ b/internal/node/opening_test.go
@@ -13,8 +13,8 @@
 func TestNobodyIsLetInAfterTheEnd(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", listText(1, true))
 	cfg.Listen = standin.ReserveAddr(t)
-	ctx, end := context.WithCancel(t.Context())
-	end()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	if _, err := New(ctx, cfg, quiet()); !errors.Is(err, context.Canceled) {
 		t.Errorf("New returned %v, want context.Canceled", err)
 	}
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -88,7 +88,7 @@
 func TestAdminEndpointAnswersInTime(t *testing.T) {
 	var ran sync.Map
 	n := startWithAdmin(t, &ran)
-	var gone atomic.Int64 // callers whose connection was closed
+	var closedCallers atomic.Int64 // callers whose connection was closed
 	for i := range 3 * adminLast {
 		c, err := net.Dial("tcp", n.admin.Addr().String())
 		if err != nil {
@@ -100,7 +100,7 @@
 		}
 		go func() {
 			c.Read(make([]byte, 1))
-			gone.Add(1)
+			closedCallers.Add(1)
 		}()
 	}
 	for _, tc := range []struct {
@@ -118,12 +118,12 @@
 			t.Errorf("%s %.40s: %d after %v, want %d", tc.method, tc.path, status, time.Since(began), tc.want)
 		}
 	}
-	if n := gone.Load(); n < 2*adminLast {
+	if n := closedCallers.Load(); n < 2*adminLast {
 		t.Errorf("%d of %d silent callers were disconnected", n, 3*adminLast)
 	}
-	held, hold := make(chan bool), make(chan bool)
-	n.loop.Post(func() { close(held); <-hold })
-	<-held
+	blocked, unblock := make(chan bool), make(chan bool)
+	n.loop.Post(func() { close(blocked); <-unblock })
+	<-blocked
 	began := time.Now()
 	if status, _ := n.call(t, "POST", "/control/backends/b/offline"); status != 504 || time.Since(began) > time.Second {
 		t.Errorf("with the loop blocked: %d after %v", status, time.Since(began))
@@ -131,7 +131,7 @@
 	if status, _ := n.call(t, "GET", "/control/counters"); status != 200 {
 		t.Errorf("counters with the loop blocked: %d", status)
 	}
-	close(hold)
+	close(unblock)
 	eventually(t, "the effect of the call that timed out", func() bool { return n.figure(t, "backends_excluded") == 1 })
 }
 
@@ -157,10 +157,10 @@
 		})
 	}
 	wg.Wait()
-	refused := 60 - served.Load() - failed.Load()
+	rejected := 60 - served.Load() - failed.Load()
 	eventually(t, "exact counters", func() bool {
 		return n.figure(t, "requests.order.served") == int(served.Load()) && n.figure(t, "requests.order.failed") == int(failed.Load()) &&
-			n.figure(t, "requests.order.refused") == int(refused) && n.figure(t, "in_flight") == 0 &&
+			n.figure(t, "requests.order.refused") == int(rejected) && n.figure(t, "in_flight") == 0 &&
 			n.figure(t, "attempts") == int(count(&ran, "a")+count(&ran, "b")) && n.figure(t, "requests.read.served") == 0 &&
 			n.figure(t, "backends_known") == 2
 	})
@@ -202,15 +202,15 @@
 func TestReloadUnderLoad(t *testing.T) {
 	var ran sync.Map
 	n := startWithAdmin(t, &ran)
-	file := func(change ...string) Config {
-		cfg := testConfig(t, n.cfg.Discovery, listText(1, true), change...)
+	configWith := func(replacements ...string) Config {
+		cfg := testConfig(t, n.cfg.Discovery, listText(1, true), replacements...)
 		return cfg
 	}
-	broken := func(change ...string) {
+	reloadInvalid := func(replacements ...string) {
 		t.Helper()
 		failed := n.figure(t, "reloads_failed")
-		if err := n.Reload(file(change...)); err == nil || n.figure(t, "reloads_failed") != failed+1 {
-			t.Errorf("%q: applied, %v", change, err)
+		if err := n.Reload(configWith(replacements...)); err == nil || n.figure(t, "reloads_failed") != failed+1 {
+			t.Errorf("%q: applied, %v", replacements, err)
 		}
 	}
 	stop := make(chan bool)
@@ -230,24 +230,24 @@
 			}
 		})
 	}
-	gold := []string{`"classes":[`, `"classes":[{"name":"gold","aim":1000000000,"deadline":9000000000,"effect":"side_effect","points":1},`}
+	withGold := []string{`"classes":[`, `"classes":[{"name":"gold","aim":1000000000,"deadline":9000000000,"effect":"side_effect","points":1},`}
 	for range 5 {
-		if err := n.Reload(file(gold...)); err != nil {
+		if err := n.Reload(configWith(withGold...)); err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, "the new class", func() bool {
 			resp, _ := do(t, ask(t, n.url+"/api/x", "gold"))
 			return resp.StatusCode == 200
 		})
-		broken(`"deadline":10000000000,"effect":"pure"`, `"deadline":0,"effect":"pure"`)
-		broken(`"maxAttempts":3,`, "")
-		broken(`"maxAttempts":3`, `"maxAttempts":0`)
-		broken(`"name":"token"`, `"name":"read"`)
-		broken(`"deadline":10000000000,"effect":"token"`, `"effect":"token"`)
+		reloadInvalid(`"deadline":10000000000,"effect":"pure"`, `"deadline":0,"effect":"pure"`)
+		reloadInvalid(`"maxAttempts":3,`, "")
+		reloadInvalid(`"maxAttempts":3`, `"maxAttempts":0`)
+		reloadInvalid(`"name":"token"`, `"name":"read"`)
+		reloadInvalid(`"deadline":10000000000,"effect":"token"`, `"effect":"token"`)
 		if resp, _ := do(t, ask(t, n.url+"/api/x", "gold")); resp.StatusCode == 400 {
 			t.Error("an invalid file removed a class")
 		}
-		if err := n.Reload(file()); err != nil {
+		if err := n.Reload(configWith()); err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, "the removal of the class", func() bool {
@@ -310,7 +310,7 @@
 	}
 	defer l.Close() // the platform keeps the socket open
 	dir := t.TempDir()
-	process := func() *started {
+	startProcess := func() *started {
 		f, err := l.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
@@ -326,11 +326,11 @@
 		eventually(t, "readiness", func() bool { status, _ := n.call(t, "GET", "/control/ready"); return status == 200 })
 		return n
 	}
-	now := process()
-	now.call(t, "POST", "/control/backends/a/offline")
-	out := count(&ran, "a")
+	current := startProcess()
+	current.call(t, "POST", "/control/backends/a/offline")
+	ranBefore := count(&ran, "a")
 	stop := make(chan bool)
-	var asked, refused atomic.Int64
+	var sent, rejected atomic.Int64
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
@@ -342,14 +342,14 @@
 					return
 				default:
 				}
-				asked.Add(1)
+				sent.Add(1)
 				resp, err := tr.RoundTrip(ask(t, "http://"+l.Addr().String()+"/api/x", "order"))
 				if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
 					t.Errorf("answered %v, %v", resp, err)
 					return
 				}
 				if resp.StatusCode == 503 {
-					refused.Add(1)
+					rejected.Add(1)
 				}
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
@@ -357,35 +357,35 @@
 		})
 	}
 	for range 3 {
-		next := process()
-		if !next.place.Follows() {
+		successor := startProcess()
+		if !successor.place.Follows() {
 			t.Error("the successor did not find its predecessor")
 		}
-		if got := next.figure(t, "backends_excluded"); got != 1 {
+		if got := successor.figure(t, "backends_excluded"); got != 1 {
 			t.Errorf("%d backends out of service at the successor, want 1", got)
 		}
-		now.stop()
-		if err := receive(t, "the end of the predecessor", now.err); err != nil {
+		current.stop()
+		if err := receive(t, "the end of the predecessor", current.err); err != nil {
 			t.Error(err)
 		}
-		eventually(t, "the end of the handover at the successor", func() bool { return !next.place.Follows() })
-		now = next
+		eventually(t, "the end of the handover at the successor", func() bool { return !successor.place.Follows() })
+		current = successor
 	}
 	// A second process runs beside the current one, which isn't stopped. An operator's call to either applies to both.
-	second := process()
+	second := startProcess()
 	close(stop)
 	wg.Wait()
 	second.call(t, "POST", "/control/backends/a/online")
-	eventually(t, "the call of the other process", func() bool { return now.figure(t, "backends_excluded") == 0 })
+	eventually(t, "the call of the other process", func() bool { return current.figure(t, "backends_excluded") == 0 })
 	second.call(t, "POST", "/control/backends/a/offline")
-	if now.call(t, "POST", "/control/backends/a/online"); now.figure(t, "backends_excluded") != 0 {
+	if current.call(t, "POST", "/control/backends/a/online"); current.figure(t, "backends_excluded") != 0 {
 		t.Error("an online call at one process was lost after an offline call at the other")
 	}
-	if got := count(&ran, "b") + count(&ran, "a"); got != asked.Load()-refused.Load() || refused.Load() > asked.Load()/20 {
-		t.Errorf("%d requests sent, %d rejected, %d ran", asked.Load(), refused.Load(), got)
+	if got := count(&ran, "b") + count(&ran, "a"); got != sent.Load()-rejected.Load() || rejected.Load() > sent.Load()/20 {
+		t.Errorf("%d requests sent, %d rejected, %d ran", sent.Load(), rejected.Load(), got)
 	}
-	if count(&ran, "a") != out {
-		t.Errorf("%d requests to the backend out of service", count(&ran, "a")-out)
+	if count(&ran, "a") != ranBefore {
+		t.Errorf("%d requests to the backend out of service", count(&ran, "a")-ranBefore)
 	}
 }
 
@@ -489,10 +489,10 @@
 		return 0, err
 	}
 	var fd int
-	var failed error
-	err = raw.Control(func(old uintptr) { fd, failed = syscall.Dup(int(old)) })
+	var dupErr error
+	err = raw.Control(func(old uintptr) { fd, dupErr = syscall.Dup(int(old)) })
 	if err == nil {
-		err = failed
+		err = dupErr
 	}
 	return fd, err
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -33,15 +33,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	type said struct {
+	type delivery struct {
 		peer int
 		text string
 	}
-	heard := make(chan said, 16)
+	deliveries := make(chan delivery, 16)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		p.run(ctx, func(peer int, payload []byte) { heard <- said{peer, string(payload)} })
+		p.run(ctx, func(peer int, payload []byte) { deliveries <- delivery{peer, string(payload)} })
 		close(ended)
 	}()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
@@ -49,7 +49,7 @@
 	stranger.WriteToUDP([]byte("stranger"), to)
 	peer.WriteToUDP([]byte(strings.Repeat("x", datagramMost+1)), to)
 	peer.WriteToUDP([]byte("hello"), to)
-	if got := receive(t, "a datagram", heard); got != (said{1, "hello"}) {
+	if got := receive(t, "a datagram", deliveries); got != (delivery{1, "hello"}) {
 		t.Errorf("received %+v", got)
 	}
 	// Oversized datagrams and those for an unknown peer are not sent.
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -18,19 +18,19 @@
 // A reload with another discovery address takes effect at once, also twice in a row, and doesn't disturb requests in flight. The watch
 // at the old discovery is cancelled, and its late answer must not replace the new list.
 func TestReloadMovesDiscovery(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 4)
+	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	serve := func(name string) string {
 		return newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 			if r.URL.Path == "/api/slow" {
-				held <- struct{}{}
-				<-hold
+				arrived <- struct{}{}
+				<-release
 			}
 			return ok200(name)
 		})).Addr().String()
 	}
-	watched, left, late := make(chan struct{}, 4), make(chan struct{}, 4), make(chan struct{})
+	watched, cancelled, sendLate := make(chan struct{}, 4), make(chan struct{}, 4), make(chan struct{})
 	text := listText(900, true, listed{ID: "one", Addr: serve("one"), Phase: "ready", Up: 0})
-	var later string // the late answer of the old discovery
+	var lateList string // the late answer of the old discovery
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			io.WriteString(w, text)
@@ -38,15 +38,15 @@
 		}
 		watched <- struct{}{}
 		<-r.Context().Done()
-		left <- struct{}{}
-		<-late
-		io.WriteString(w, later)
+		cancelled <- struct{}{}
+		<-sendLate
+		io.WriteString(w, lateList)
 	}))
 	defer old.Close()
 	// Revisions of different discoveries are not comparable. These are lower.
 	second := newRegistry(t, listText(7, true, listed{ID: "two", Addr: serve("two"), Phase: "ready", Up: 0}))
 	third := newRegistry(t, listText(3, true, listed{ID: "three", Addr: serve("three"), Phase: "ready", Up: 0}))
-	later = listText(901, true)
+	lateList = listText(901, true)
 	cfg := testConfig(t, strings.TrimPrefix(old.URL, "http://"), text)
 	n := start(t, cfg)
 	slow := make(chan string, 1)
@@ -54,19 +54,19 @@
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
-	receive(t, "the slow request at the backend", held)
+	receive(t, "the slow request at the backend", arrived)
 	receive(t, "the watch", watched)
 	for _, to := range []*scripted{second, third} {
 		cfg.Discovery = to.Addr
 		n.Reload(cfg)
 	}
-	receive(t, "the end of the old watch", left)
-	close(late)
+	receive(t, "the end of the old watch", cancelled)
+	close(sendLate)
 	eventually(t, "an answer by a backend of the last discovery", func() bool {
 		_, body := do(t, ask(t, n.url+"/api/x", "read"))
 		return body == "three"
 	})
-	close(hold)
+	close(release)
 	if body := receive(t, "the slow answer", slow); body != "one" {
 		t.Errorf("request in flight during the reload: %q", body)
 	}
@@ -130,26 +130,26 @@
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	reg := newRegistry(t, text)
 	n := start(t, testConfig(t, reg.Addr, text))
-	file := func(name string) Config {
-		more := []string{}
+	configWith := func(name string) Config {
+		replacements := []string{}
 		if name != "" {
-			more = []string{`"classes":[`, `"classes":[{"name":"` + name + `","aim":1000000000,"deadline":9000000000,"effect":"side_effect","points":1},`}
+			replacements = []string{`"classes":[`, `"classes":[{"name":"` + name + `","aim":1000000000,"deadline":9000000000,"effect":"side_effect","points":1},`}
 		}
-		return testConfig(t, reg.Addr, text, more...)
+		return testConfig(t, reg.Addr, text, replacements...)
 	}
-	free, held := make(chan struct{}), make(chan struct{})
-	n.loop.Post(func() { close(held); <-free })
-	receive(t, "the blocked loop", held)
+	unblock, blocked := make(chan struct{}), make(chan struct{})
+	n.loop.Post(func() { close(blocked); <-unblock })
+	receive(t, "the blocked loop", blocked)
 	for _, name := range []string{"gold", "silver", ""} {
-		if err := n.Reload(file(name)); err != nil {
+		if err := n.Reload(configWith(name)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	close(free)
+	close(unblock)
 	n.onLoop(t, func() {})
-	tuned := n.front.tuning.Load()
-	if got := strings.Join(tuned.inUse(), " "); got != "read order token" || len(tuned.Classes) != 5 {
-		t.Errorf("classes in use: %q of %q", got, tuned.Classes)
+	current := n.front.tuning.Load()
+	if got := strings.Join(current.inUse(), " "); got != "read order token" || len(current.Classes) != 5 {
+		t.Errorf("classes in use: %q of %q", got, current.Classes)
 	}
 	for _, class := range []string{"gold", "silver"} {
 		if resp, _ := do(t, ask(t, n.url+"/api/x", class)); resp.StatusCode != 400 {
@@ -169,12 +169,12 @@
 	}
 	defer n.close()
 	to := engine.Endpoint{ID: "s", Addr: newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") })).Addr().String()}
-	kept, err := n.pool.get(t.Context(), to, false)
+	pooled, err := n.pool.get(t.Context(), to, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.pool.put(kept)
-	kept.idleAt = kept.idleAt.Add(-time.Second) // usable with an idleClose of 5 s, too old with 1 s
+	n.pool.put(pooled)
+	pooled.idleAt = pooled.idleAt.Add(-time.Second) // usable with an idleClose of 5 s, too old with 1 s
 	if err := n.Reload(testConfig(t, "127.0.0.1:1", text, `"idleClose":5000000000`, `"idleClose":1000000000`, `"connectTimeout":2000000000`, `"connectTimeout":300000000`)); err != nil {
 		t.Fatal(err)
 	}
@@ -184,8 +184,8 @@
 		t.Fatal(err)
 	}
 	defer n.pool.discard(next)
-	if next == kept || n.pool.dialer.Timeout != 300*time.Millisecond {
-		t.Errorf("old connection reused: %t; dial timeout %v", next == kept, n.pool.dialer.Timeout)
+	if next == pooled || n.pool.dialer.Timeout != 300*time.Millisecond {
+		t.Errorf("old connection reused: %t; dial timeout %v", next == pooled, n.pool.dialer.Timeout)
 	}
 }
 
@@ -197,9 +197,9 @@
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	reg := newRegistry(t, text)
 	n := start(t, testConfig(t, reg.Addr, text))
-	free, held := make(chan struct{}), make(chan struct{})
-	n.loop.Post(func() { close(held); <-free })
-	receive(t, "the blocked loop", held)
+	unblock, blocked := make(chan struct{}), make(chan struct{})
+	n.loop.Post(func() { close(blocked); <-unblock })
+	receive(t, "the blocked loop", blocked)
 	if err := n.Reload(testConfig(t, reg.Addr, text, `"effect":"pure"`, `"effect":"side_effect"`, `"effect":"side_effect"`, `"effect":"pure"`,
 		`"name":"token"`, `"name":"other"`)); err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 		}()
 	}
 	eventually(t, "all requests read and waiting", func() bool { return n.front.inFlight.Load() == int64(len(want)) })
-	close(free)
+	close(unblock)
 	for range want {
 		if a := receive(t, "an answer", answers); a.status != want[a.class] {
 			t.Errorf("%s: %d, want %d", a.class, a.status, want[a.class])
--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -56,7 +56,7 @@
 // The window in which backends recognize a repeated key may end while a retry is still dialing. After it the request could run twice,
 // so the window is checked again before the write.
 func TestNoRepeatIsWrittenAfterTheWindow(t *testing.T) {
-	for name, late := range map[string]bool{"in the window": false, "after the window": true} {
+	for name, afterWindow := range map[string]bool{"in the window": false, "after the window": true} {
 		t.Run(name, func(t *testing.T) {
 			var ran atomic.Int32
 			serve := func(c net.Conn, br *bufio.Reader) {
@@ -85,15 +85,15 @@
 				t.Fatalf("first attempt: %v", got.Status)
 			}
 			receive(t, "the second dial", dialing)
-			if late {
+			if afterWindow {
 				p.ahead.Store(int64(patience / 2))
 			}
 			close(proceed)
 			ans := receive(t, "the answer", r.Reply)
-			if late && (ans.Kind != engine.Failed || ran.Load() != 1) || !late && (ans.Kind != engine.Served || ran.Load() != 2) {
+			if afterWindow && (ans.Kind != engine.Failed || ran.Load() != 1) || !afterWindow && (ans.Kind != engine.Served || ran.Load() != 2) {
 				t.Errorf("answer %v, %d runs", ans.Kind, ran.Load())
 			}
-			if got := receive(t, "the result of the second attempt", p.saw); late && got.Status != balance.Unused {
+			if got := receive(t, "the result of the second attempt", p.saw); afterWindow && got.Status != balance.Unused {
 				t.Errorf("second attempt: %v", got.Status)
 			}
 		})
@@ -103,22 +103,22 @@
 // The key window may also end while a retry is being written to a backend that reads slowly. The last byte must not be sent after
 // it, so the write ends with the window and the retry never ran.
 func TestRepeatIsNotWrittenOnPastTheWindow(t *testing.T) {
-	small := func(_, _ string, rc syscall.RawConn) error {
+	smallBuffers := func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
 		})
 	}
-	for name, grow := range map[string]func(m *message){
+	for name, addBody := range map[string]func(m *message){
 		"one piece": func(m *message) { m.body = make([]byte, bodyMost) },
 		"in pieces": func(m *message) { m.body = make([]byte, 1); m.more = [][]byte{make([]byte, bodyMost)} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var met atomic.Int32
-			end := make(chan struct{})
+			var accepted atomic.Int32
+			testEnded := make(chan struct{})
 			var addrs []string
 			for range 2 {
-				l, err := (&net.ListenConfig{Control: small}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+				l, err := (&net.ListenConfig{Control: smallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -129,23 +129,23 @@
 						return
 					}
 					defer c.Close()
-					if met.Add(1) == 1 {
+					if accepted.Add(1) == 1 {
 						if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 							io.Copy(io.Discard, r.Body)
 						}
 						reset(c)
 						return
 					}
-					<-end // reads nothing
+					<-testEnded // reads nothing
 				}()
 				addrs = append(addrs, l.Addr().String())
 			}
-			defer close(end)
+			defer close(testEnded)
 			p := newPair(t, patience/80, addrs...)
-			p.x.pool.dialer.Control = small
+			p.x.pool.dialer.Control = smallBuffers
 			m := get("x")
 			m.method = "POST"
-			grow(m)
+			addBody(m)
 			r := p.ask(m)
 			if got := receive(t, "the result of the first attempt", p.saw); got.Status != balance.Dropped {
 				t.Fatalf("first attempt: %v", got.Status)
@@ -153,8 +153,8 @@
 			if got := receive(t, "the result of the second attempt", p.saw); got.Status != balance.DialFailed {
 				t.Errorf("second attempt: %v", got.Status)
 			}
-			if left := time.Until(r.Deadline); left < patience/4 {
-				t.Errorf("the write ended only %v before the deadline", left)
+			if remaining := time.Until(r.Deadline); remaining < patience/4 {
+				t.Errorf("the write ended only %v before the deadline", remaining)
 			}
 			if ans := receive(t, "the answer", r.Reply); ans.Kind != engine.Failed {
 				t.Errorf("answer %v", ans.Kind)
--- a/internal/node/room_test.go
+++ b/internal/node/room_test.go
@@ -18,10 +18,10 @@
 
 // BenchmarkRoom measures the cost of lists of backends and peers in an idle node: bytes of heap and stacks in use, and goroutines.
 func BenchmarkRoom(b *testing.B) {
-	for _, many := range []int{20, 200, 1024} {
-		b.Run(fmt.Sprintf("backends=%d", many), func(b *testing.B) {
+	for _, backends := range []int{20, 200, 1024} {
+		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
 			var members []listed
-			for i := range many {
+			for i := range backends {
 				members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i), Phase: "ready"})
 			}
 			text := listText(1, true, members...)
@@ -34,7 +34,7 @@
 				t := &testing.T{}
 				cfg := testConfig(t, "127.0.0.1:1", text)
 				cfg.Limits = Limits{Cores: 1, MemoryMB: 32, Sockets: 256}
-				for i := range many {
+				for i := range backends {
 					cfg.Peers = append(cfg.Peers, fmt.Sprintf("127.0.0.1:%d", 1000+i))
 				}
 				cfg.PeerListen = "127.0.0.1:0"
@@ -58,20 +58,20 @@
 // BenchmarkRoomUnderLoad measures the heap and stacks, goroutines and answers of a node whose request slots are in use. 64 clients send
 // without a pause, and each answer takes 20 ms. Backends and clients run in a process of their own.
 func BenchmarkRoomUnderLoad(b *testing.B) {
-	for _, many := range []int{20, 200, 1024} {
-		b.Run(fmt.Sprintf("backends=%d", many), func(b *testing.B) {
+	for _, backends := range []int{20, 200, 1024} {
+		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
 			for b.Loop() {
 				helper := exec.Command(os.Args[0], "-test.run=^$")
-				helper.Env = append(os.Environ(), fmt.Sprintf("%s=%d", surroundings, many))
-				in, _ := helper.StdinPipe()
-				out, _ := helper.StdoutPipe()
+				helper.Env = append(os.Environ(), fmt.Sprintf("%s=%d", surroundings, backends))
+				stdin, _ := helper.StdinPipe()
+				stdout, _ := helper.StdoutPipe()
 				if err := helper.Start(); err != nil {
 					b.Fatal(err)
 				}
-				told := bufio.NewScanner(out)
+				output := bufio.NewScanner(stdout)
 				var members []listed
-				for i := 0; i < many && told.Scan(); i++ {
-					members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: told.Text(), Phase: "ready"})
+				for i := 0; i < backends && output.Scan(); i++ {
+					members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: output.Text(), Phase: "ready"})
 				}
 				var before, now runtime.MemStats
 				runtime.GC()
@@ -86,20 +86,20 @@
 				ctx, end := context.WithCancel(context.Background())
 				ended := make(chan error, 1)
 				go func() { ended <- n.Run(ctx) }()
-				fmt.Fprintln(in, n.Addr())
-				var heap, most, served uint64
-				for told.Scan() { // the number of answers, ten times a second
+				fmt.Fprintln(stdin, n.Addr())
+				var peakHeap, peakGoroutines, served uint64
+				for output.Scan() { // the number of answers, ten times a second
 					runtime.ReadMemStats(&now)
-					heap = max(heap, now.HeapAlloc+now.StackInuse)
-					most = max(most, uint64(runtime.NumGoroutine()-goroutines))
-					fmt.Sscan(told.Text(), &served)
+					peakHeap = max(peakHeap, now.HeapAlloc+now.StackInuse)
+					peakGoroutines = max(peakGoroutines, uint64(runtime.NumGoroutine()-goroutines))
+					fmt.Sscan(output.Text(), &served)
 				}
 				end()
 				<-ended
-				in.Close()
+				stdin.Close()
 				helper.Wait()
-				b.ReportMetric(float64(int64(heap)-int64(before.HeapAlloc+before.StackInuse)), "B-held")
-				b.ReportMetric(float64(most), "goroutines")
+				b.ReportMetric(float64(int64(peakHeap)-int64(before.HeapAlloc+before.StackInuse)), "B-held")
+				b.ReportMetric(float64(peakGoroutines), "goroutines")
 				b.ReportMetric(float64(served), "answers")
 			}
 		})
@@ -111,11 +111,11 @@
 const surroundings = "GLENCART_TEST_SURROUNDINGS"
 
 func init() {
-	many, _ := strconv.Atoi(os.Getenv(surroundings))
-	if many == 0 {
+	backends, _ := strconv.Atoi(os.Getenv(surroundings))
+	if backends == 0 {
 		return
 	}
-	for range many {
+	for range backends {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			os.Exit(1)
--- a/internal/node/rude_test.go
+++ b/internal/node/rude_test.go
@@ -33,7 +33,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	n := startOn(t, b.Addr().String())
 	n.front.bodyMost.Store(1 << 20)
-	forever := func(piece string, pause time.Duration) func(net.Conn) {
+	repeat := func(piece string, pause time.Duration) func(net.Conn) {
 		return func(c net.Conn) {
 			for {
 				if _, err := io.WriteString(c, piece); err != nil {
@@ -43,45 +43,45 @@
 			}
 		}
 	}
-	then := func(text string, more func(net.Conn)) func(net.Conn) {
+	sendThen := func(text string, next func(net.Conn)) func(net.Conn) {
 		return func(c net.Conn) {
 			io.WriteString(c, text)
-			if more != nil {
-				more(c)
+			if next != nil {
+				next(c)
 			}
 		}
 	}
-	id := "X-Trace-Id: rude\r\n"
+	idHeader := "X-Trace-Id: rude\r\n"
 	var wg sync.WaitGroup
 	for name, send := range map[string]func(net.Conn){
-		"nothing":           then("", nil),
-		"half a line":       then("POST /api", nil),
-		"half a head":       then(orderHead, nil),
-		"noise":             then("\x00\xff\x01 \r\n\r\n", nil),
-		"endless noise":     forever("\x9c\x01\x00\xfe", 0),
-		"endless head":      then(orderHead, forever("X-A: a\r\n", 0)),
-		"slow endless head": then(orderHead, forever("X-A: a\r\n", 20*time.Millisecond)),
-		"endless line":      then(orderHead+"X-A: ", forever("aaaa", 0)),
-		"half a body":       then(orderHead+id+"Content-Length: 100\r\n\r\nabc", nil),
+		"nothing":           sendThen("", nil),
+		"half a line":       sendThen("POST /api", nil),
+		"half a head":       sendThen(orderHead, nil),
+		"noise":             sendThen("\x00\xff\x01 \r\n\r\n", nil),
+		"endless noise":     repeat("\x9c\x01\x00\xfe", 0),
+		"endless head":      sendThen(orderHead, repeat("X-A: a\r\n", 0)),
+		"slow endless head": sendThen(orderHead, repeat("X-A: a\r\n", 20*time.Millisecond)),
+		"endless line":      sendThen(orderHead+"X-A: ", repeat("aaaa", 0)),
+		"half a body":       sendThen(orderHead+idHeader+"Content-Length: 100\r\n\r\nabc", nil),
 		"slow body after a pause": func(c net.Conn) {
 			time.Sleep(1200 * time.Millisecond)
-			then(orderHead+id+"Content-Length: 60000\r\n\r\n", forever("a", 20*time.Millisecond))(c)
+			sendThen(orderHead+idHeader+"Content-Length: 60000\r\n\r\n", repeat("a", 20*time.Millisecond))(c)
 		},
-		"half a body and a close": then(orderHead+id+"Content-Length: 100\r\n\r\nabc", func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }),
-		"negative length":         then(orderHead+id+"Content-Length: -1\r\n\r\n", nil),
-		"length out of range":     then(orderHead+id+"Content-Length: 99999999999999999999999\r\n\r\n", nil),
-		"length not a number":     then(orderHead+id+"Content-Length: abc\r\n\r\n", nil),
-		"60 MB":                   then(orderHead+id+"Content-Length: 62914560\r\n\r\n", forever(strings.Repeat("x", 64<<10), 0)),
-		"60 MB and a close":       then(orderHead+id+"Connection: close\r\nContent-Length: 62914560\r\n\r\n", forever(strings.Repeat("x", 64<<10), 0)),
-		"60 MB never sent":        then(orderHead+id+"Content-Length: 62914560\r\n\r\n", nil),
-		"100-continue and 60 MB":  then(orderHead+id+"Expect: 100-continue\r\nContent-Length: 62914560\r\n\r\n", nil),
-		"endless chunks":          then(orderHead+id+"Transfer-Encoding: chunked\r\n\r\n", forever("4\r\naaaa\r\n", 0)),
-		"invalid chunks":          then(orderHead+id+"Transfer-Encoding: chunked\r\n\r\nzz\r\n", nil),
-		"unknown class":           then(strings.Replace(orderHead, "order", "gold", 1)+id+"Content-Length: 0\r\n\r\n", nil),
-		"deadline not a number":   then(strings.Replace(orderHead, ": 9\r\n", ": soon\r\n", 1)+id+"Content-Length: 0\r\n\r\n", nil),
-		"no id":                   then(orderHead+"Content-Length: 0\r\n\r\n", nil),
-		"endless repetition":      forever(orderHead+"Content-Length: 0\r\n\r\n", 0),
-		"hundreds at once":        then(strings.Repeat(orderHead+"Content-Length: 0\r\n\r\n", 300), nil),
+		"half a body and a close": sendThen(orderHead+idHeader+"Content-Length: 100\r\n\r\nabc", func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }),
+		"negative length":         sendThen(orderHead+idHeader+"Content-Length: -1\r\n\r\n", nil),
+		"length out of range":     sendThen(orderHead+idHeader+"Content-Length: 99999999999999999999999\r\n\r\n", nil),
+		"length not a number":     sendThen(orderHead+idHeader+"Content-Length: abc\r\n\r\n", nil),
+		"60 MB":                   sendThen(orderHead+idHeader+"Content-Length: 62914560\r\n\r\n", repeat(strings.Repeat("x", 64<<10), 0)),
+		"60 MB and a close":       sendThen(orderHead+idHeader+"Connection: close\r\nContent-Length: 62914560\r\n\r\n", repeat(strings.Repeat("x", 64<<10), 0)),
+		"60 MB never sent":        sendThen(orderHead+idHeader+"Content-Length: 62914560\r\n\r\n", nil),
+		"100-continue and 60 MB":  sendThen(orderHead+idHeader+"Expect: 100-continue\r\nContent-Length: 62914560\r\n\r\n", nil),
+		"endless chunks":          sendThen(orderHead+idHeader+"Transfer-Encoding: chunked\r\n\r\n", repeat("4\r\naaaa\r\n", 0)),
+		"invalid chunks":          sendThen(orderHead+idHeader+"Transfer-Encoding: chunked\r\n\r\nzz\r\n", nil),
+		"unknown class":           sendThen(strings.Replace(orderHead, "order", "gold", 1)+idHeader+"Content-Length: 0\r\n\r\n", nil),
+		"deadline not a number":   sendThen(strings.Replace(orderHead, ": 9\r\n", ": soon\r\n", 1)+idHeader+"Content-Length: 0\r\n\r\n", nil),
+		"no id":                   sendThen(orderHead+"Content-Length: 0\r\n\r\n", nil),
+		"endless repetition":      repeat(orderHead+"Content-Length: 0\r\n\r\n", 0),
+		"hundreds at once":        sendThen(strings.Repeat(orderHead+"Content-Length: 0\r\n\r\n", 300), nil),
 	} {
 		wg.Go(func() {
 			c, err := net.Dial("tcp", n.Addr().String())
@@ -115,11 +115,11 @@
 // Clients that send nothing or send slowly must not keep others out of a full node. Their connections are closed to make room, but
 // never one with an open request.
 func TestSilentClientsGiveWay(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 4)
+	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return ok200("x")
 	}))
@@ -133,7 +133,7 @@
 		resp, _ := do(t, ask(t, n.url+"/api/slow", "read"))
 		slow <- resp.StatusCode
 	}()
-	receive(t, "the open request", held)
+	receive(t, "the open request", arrived)
 	began := time.Now()
 	for i := range 5 * clients {
 		c := n.dial(t)
@@ -151,7 +151,7 @@
 	if d := time.Since(began); d > headWithin-300*time.Millisecond {
 		t.Errorf("normal client waited %v", d)
 	}
-	close(hold)
+	close(release)
 	if status := receive(t, "the answer to the open request", slow); status != 200 {
 		t.Errorf("open request: %d", status)
 	}
--- a/internal/node/shutdown_behind_test.go
+++ b/internal/node/shutdown_behind_test.go
@@ -11,17 +11,17 @@
 // A pipelined request that was read together with the one before it must be answered, also when answers close their connections.
 // Only the last answer closes it. Closing with the first would lose a request that the node has read.
 func TestWhatIsReadBehindIsAnswered(t *testing.T) {
-	for name, c := range map[string]struct{ before, within func(*front) }{
+	for name, c := range map[string]struct{ before, during func(*front) }{
 		"closing before":     {before: func(f *front) { f.closing.Store(true) }},
-		"closing while open": {within: func(f *front) { f.closing.Store(true) }},
+		"closing while open": {during: func(f *front) { f.closing.Store(true) }},
 		"above the limit":    {before: func(f *front) { f.most.Store(0) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			came, hold := make(chan struct{}, 2), make(chan struct{})
+			arrived, release := make(chan struct{}, 2), make(chan struct{})
 			b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
-				came <- struct{}{}
-				<-hold
+				arrived <- struct{}{}
+				<-release
 				return ok200("x")
 			}))
 			n := startOn(t, b.Addr().String())
@@ -31,15 +31,15 @@
 				c.before(n.front)
 			}
 			conn := n.dial(t)
-			post := orderHead + "X-Trace-Id: ID\r\nContent-Length: 3\r\n\r\nabc"
-			io.WriteString(conn, strings.Replace(post, "ID", "first", 1)+strings.Replace(post, "ID", "behind", 1))
+			request := orderHead + "X-Trace-Id: ID\r\nContent-Length: 3\r\n\r\nabc"
+			io.WriteString(conn, strings.Replace(request, "ID", "first", 1)+strings.Replace(request, "ID", "behind", 1))
 			if n.front.most.Load() > 0 {
-				receive(t, "the first request at the backend", came)
+				receive(t, "the first request at the backend", arrived)
 			}
-			if c.within != nil {
-				c.within(n.front)
+			if c.during != nil {
+				c.during(n.front)
 			}
-			close(hold)
+			close(release)
 			r := bufio.NewReader(conn)
 			for _, last := range []bool{false, true} {
 				resp, err := http.ReadResponse(r, nil)
--- a/internal/node/shutdown_ready_test.go
+++ b/internal/node/shutdown_ready_test.go
@@ -12,7 +12,7 @@
 // A restarted node must be ready within 10 s whenever it could serve. With a cached endpoint list it becomes ready whatever discovery
 // does. Without one it becomes ready soon after discovery has sent its list.
 func TestReadyAfterARestart(t *testing.T) {
-	const bound = 10 * time.Second
+	const readyTimeout = 10 * time.Second
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	list := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // never answers
@@ -20,8 +20,8 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	up := func(*testing.T) string { return newRegistry(t, list).Addr }
-	serving := func(answer http.HandlerFunc) func(*testing.T) string {
+	healthy := func(*testing.T) string { return newRegistry(t, list).Addr }
+	serveWith := func(answer http.HandlerFunc) func(*testing.T) string {
 		return func(t *testing.T) string {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -33,37 +33,37 @@
 			return l.Addr().String()
 		}
 	}
-	failing := serving(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	failing := serveWith(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 	began := time.Now()
-	comesUp := serving(func(w http.ResponseWriter, _ *http.Request) {
+	recovering := serveWith(func(w http.ResponseWriter, _ *http.Request) {
 		if time.Since(began) < time.Second {
 			panic(http.ErrAbortHandler) // closes the connection without an answer
 		}
 		io.WriteString(w, list)
 	})
-	slow := serving(func(w http.ResponseWriter, _ *http.Request) { // half of the time that a call may take
+	slow := serveWith(func(w http.ResponseWriter, _ *http.Request) { // half of the time that a call may take
 		time.Sleep(500 * time.Millisecond)
 		io.WriteString(w, list)
 	})
 	for _, c := range []struct {
 		name      string
 		discovery func(*testing.T) string
-		known     bool
+		hasList   bool
 		shared    bool // processes of the node share a socket, which has the longest wait
 	}{
-		{"cached list, discovery up", up, true, false},
+		{"cached list, discovery up", healthy, true, false},
 		{"cached list, discovery fails", failing, true, false},
 		{"cached list, discovery fails, shared socket", failing, true, true},
 		{"cached list, discovery silent", func(*testing.T) string { return silent.Addr().String() }, true, false},
-		{"no list, discovery up", up, false, false},
-		{"no list, discovery comes up", comesUp, false, false},
+		{"no list, discovery up", healthy, false, false},
+		{"no list, discovery comes up", recovering, false, false},
 		{"no list, discovery slow", slow, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
 			cfg := testConfig(t, c.discovery(t), list)
-			if !c.known {
+			if !c.hasList {
 				cfg.Known.Members, cfg.Known.Complete, cfg.knownErr = nil, false, errors.New("cut")
 			}
 			if c.shared {
@@ -74,8 +74,8 @@
 				if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode == 200 {
 					break
 				}
-				if time.Since(began) > bound {
-					t.Fatalf("not ready within %v", bound)
+				if time.Since(began) > readyTimeout {
+					t.Fatalf("not ready within %v", readyTimeout)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
--- a/internal/node/stopped_test.go
+++ b/internal/node/stopped_test.go
@@ -13,7 +13,7 @@
 // A client that stops in the middle of a request and stays connected must get an error or a close within 3 s, wherever it stops, on a
 // new or a reused connection. A phase of reading without a timeout would leave it waiting. The margin is for a slow machine.
 func TestStoppedRequestsEndInTime(t *testing.T) {
-	const owed, margin = 3 * time.Second, 250 * time.Millisecond
+	const limit, margin = 3 * time.Second, 250 * time.Millisecond
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
@@ -22,9 +22,9 @@
 		return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: stops-%d\r\nX-Qos: order\r\nX-Customer: acme\r\n%s\r\n\r\n",
 			lastID.Add(1), length)
 	}
-	var stopped sync.WaitGroup // goroutines, since only as many parallel tests run as there are cores
-	defer stopped.Wait()
-	for name, part := range map[string]string{
+	var stalled sync.WaitGroup // goroutines, since only as many parallel tests run as there are cores
+	defer stalled.Wait()
+	for name, sent := range map[string]string{
 		"nothing":               "",
 		"a byte":                "P",
 		"two bytes":             "PO",
@@ -36,25 +36,25 @@
 		"half a chunk":          order("Transfer-Encoding: chunked") + "a\r\n12345",
 		"chunks without an end": order("Transfer-Encoding: chunked") + "5\r\n12345\r\n",
 	} {
-		for _, kept := range []bool{false, true} {
-			if kept && part == "" {
+		for _, reused := range []bool{false, true} {
+			if reused && sent == "" {
 				continue // an idle connection
 			}
 			c := n.dial(t)
-			stopped.Go(func() {
-				if kept {
+			stalled.Go(func() {
+				if reused {
 					askOn(t, c)
 					time.Sleep(500 * time.Millisecond)
 				}
 				began := time.Now()
-				io.WriteString(c, part)
-				c.SetReadDeadline(began.Add(2 * owed))
+				io.WriteString(c, sent)
+				c.SetReadDeadline(began.Add(2 * limit))
 				got := make([]byte, 1)
 				if _, err := io.ReadFull(c, got); err != nil && err != io.EOF {
-					t.Errorf("%s, reused %v: neither an answer nor a close: %v", name, kept, err)
+					t.Errorf("%s, reused %v: neither an answer nor a close: %v", name, reused, err)
 				}
-				if d := time.Since(began); d > owed-margin {
-					t.Errorf("%s, reused %v: ended after %v", name, kept, d)
+				if d := time.Since(began); d > limit-margin {
+					t.Errorf("%s, reused %v: ended after %v", name, reused, d)
 				}
 			})
 		}
--- a/internal/node/taken_test.go
+++ b/internal/node/taken_test.go
@@ -17,9 +17,9 @@
 // A node must keep a list of 1,024 backends whole, and accept an operator's call for each even after all have left the list at once.
 // A limit below that would drop backends or calls.
 func TestListsOfAThousand(t *testing.T) {
-	const many = 1024
+	const total = 1024
 	var members []listed
-	for i := range many {
+	for i := range total {
 		members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i), Phase: "ready"})
 	}
 	text := listText(1, true, members...)
@@ -28,8 +28,8 @@
 		n.onLoop(t, func() { known = n.loop.Backends() })
 		return known
 	}
-	if got := count(); got != many {
-		t.Errorf("%d of %d backends known", got, many)
+	if got := count(); got != total {
+		t.Errorf("%d of %d backends known", got, total)
 	}
 	// All backends leave the list at once. A call for each of them still names a known backend.
 	n.onLoop(t, func() {
@@ -46,29 +46,29 @@
 // A node with 1,024 peers must have room to send one datagram to each at once and to receive one from each at once. Smaller queues
 // would drop datagrams of a single round.
 func TestAThousandPeers(t *testing.T) {
-	const many = 1024
+	const total = 1024
 	cfg := Config{PeerListen: "127.0.0.1:0"}
-	for i := range many {
+	for i := range total {
 		cfg.Peers = append(cfg.Peers, fmt.Sprintf("127.0.0.1:%d", 1000+i))
 	}
-	b := boundsOf(Limits{MemoryMB: 32, Sockets: 256}, many)
+	b := boundsOf(Limits{MemoryMB: 32, Sockets: 256}, total)
 	p, err := listenPeers(t.Context(), &cfg, b.tell, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.conn.Close()
-	for i := range many {
+	for i := range total {
 		p.tell(i, []byte{1})
 	}
-	if got := len(p.out); got != many {
-		t.Errorf("%d of %d datagrams wait to be sent", got, many)
+	if got := len(p.out); got != total {
+		t.Errorf("%d of %d datagrams wait to be sent", got, total)
 	}
 	n := &Node{cfg: cfg, bounds: b, loop: engine.New(engine.Config{})} // its loop doesn't run
-	for i := range many {
+	for i := range total {
 		n.hear(i, nil)
 	}
-	if got := n.hears.Load(); got != many {
-		t.Errorf("%d of %d received messages wait", got, many)
+	if got := n.hears.Load(); got != total {
+		t.Errorf("%d of %d received messages wait", got, total)
 	}
 }
 
@@ -104,44 +104,44 @@
 // are answered, and so are those that arrive on connections that the node keeps.
 func TestSettingsChangeWhileLeaving(t *testing.T) {
 	for _, c := range []struct {
-		deadline string
-		most     time.Duration // the earlier time of SIGKILL
+		deadline    string
+		maxDuration time.Duration // the earlier time of SIGKILL
 	}{{`"deadline":300000000`, 2400 * time.Millisecond}, {`"deadline":12000000000`, 3700 * time.Millisecond}} {
 		t.Run(c.deadline, func(t *testing.T) {
 			t.Parallel()
-			held := make(chan struct{}, 4)
+			arrived := make(chan struct{}, 4)
 			b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 				if r.URL.Path == "/stats" {
 					return ok200("{}")
 				}
-				held <- struct{}{}
+				arrived <- struct{}{}
 				select {} // it never answers
 			}))
 			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 			reg := newRegistry(t, text).Addr
 			n := start(t, testConfig(t, reg, text))
-			open := make(chan error, 1)
+			answered := make(chan error, 1)
 			go func() {
 				resp, err := http.DefaultTransport.RoundTrip(ask(t, n.url+"/api/x", "order"))
 				if err == nil && resp.StatusCode < 500 {
 					err = fmt.Errorf("answered %d", resp.StatusCode)
 				}
-				open <- err
+				answered <- err
 			}()
-			receive(t, "a request at the backend", held)
+			receive(t, "a request at the backend", arrived)
 			began := time.Now()
 			n.stop()
 			eventually(t, "the start of the shutdown", n.front.leaving.Load)
 			if err := n.Reload(testConfig(t, reg, text, `"deadline":10000000000`, c.deadline)); err != nil {
 				t.Fatal(err)
 			}
-			if err := receive(t, "the answer", open); err != nil {
+			if err := receive(t, "the answer", answered); err != nil {
 				t.Error(err)
 			}
 			if err := receive(t, "the end of the node", n.err); err != nil {
 				t.Error(err)
 			}
-			if d := time.Since(began); d > c.most {
+			if d := time.Since(began); d > c.maxDuration {
 				t.Errorf("the node ended too late, after %v", d)
 			}
 			if b := &n.front.book; b.Taken.Load() != 1 || b.Answered.Load() != 1 || b.Open() != 0 {
@@ -164,7 +164,7 @@
 		_, body := do(t, ask(t, "http://"+n.Addr().String()+"/api/x", "order"))
 		answer <- body
 	}()
-	eventually(t, "a connection in the backlog", func() bool { some, _ := sock.Waiting(n.listener.Listener); return some })
+	eventually(t, "a connection in the backlog", func() bool { waiting, _ := sock.Waiting(n.listener.Listener); return waiting })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := n.Run(ctx); err != nil {
--- a/internal/node/underway_test.go
+++ b/internal/node/underway_test.go
@@ -30,56 +30,56 @@
 		}
 		return resp, int(n)
 	}
-	for name, do := range map[string]func(t *testing.T, n *started, c net.Conn, told func()){
-		"half a head": func(t *testing.T, n *started, c net.Conn, told func()) {
+	for name, run := range map[string]func(t *testing.T, n *started, c net.Conn, shutDown func()){
+		"half a head": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
 			text := post("half", 0)
 			io.WriteString(c, text[:30])
 			eventually(t, "the half head", func() bool { return n.front.table.Counts().Begun == 1 })
-			told()
+			shutDown()
 			time.Sleep(1800 * time.Millisecond)
 			io.WriteString(c, text[30:])
 			answer(t, bufio.NewReader(c))
 		},
-		"an upload in chunks": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"an upload in chunks": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
 			io.WriteString(c, orderHead+"X-Trace-Id: chunks\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
 			eventually(t, "the head of the request", func() bool { return n.front.table.Counts().Open == 1 })
-			told()
+			shutDown()
 			time.Sleep(1800 * time.Millisecond)
 			io.WriteString(c, "1\r\nc\r\n0\r\n\r\n")
 			answer(t, bufio.NewReader(c))
 		},
-		"a large upload": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a large upload": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
 			io.WriteString(c, post("up", large))
 			c.Write(make([]byte, large/2))
-			told()
+			shutDown()
 			time.Sleep(time.Second)
 			c.Write(make([]byte, large/2))
 			answer(t, bufio.NewReader(c))
 		},
-		"a large answer, read slowly": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a large answer, read slowly": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
 			io.WriteString(c, strings.Replace(post("down", 0), "/api/x", "/api/large", 1))
 			r := bufio.NewReader(c)
 			r.Peek(1)
-			told()
+			shutDown()
 			time.Sleep(time.Second)
 			if _, got := answer(t, r); got != large {
 				t.Errorf("%d bytes", got)
 			}
 		},
-		"a pipelined request": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a pipelined request": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
 			io.WriteString(c, strings.Replace(post("first", 0), "/api/x", "/api/slow", 1)+post("second", 0))
 			eventually(t, "the first request", func() bool { return n.open(t) == 1 })
-			told()
+			shutDown()
 			r := bufio.NewReader(c)
 			if resp, _ := answer(t, r); !resp.Close {
 				answer(t, r) // the second request was read too, so it is answered
 			}
 		},
-		"a reload with another discovery": func(t *testing.T, n *started, c net.Conn, told func()) {
-			told()
-			moved := n.cfg
-			moved.Discovery = newRegistry(t, listText(7, true)).Addr // its list is empty
-			if err := n.Reload(moved); err != nil {
+		"a reload with another discovery": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
+			shutDown()
+			reloaded := n.cfg
+			reloaded.Discovery = newRegistry(t, listText(7, true)).Addr // its list is empty
+			if err := n.Reload(reloaded); err != nil {
 				t.Fatal(err)
 			}
 			io.WriteString(c, post("kept", 0))
@@ -113,7 +113,7 @@
 			n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":2000000000`))
 			c := n.dial(t)
 			c.SetDeadline(time.Now().Add(patience))
-			do(t, n, c, func() {
+			run(t, n, c, func() {
 				n.stop()
 				eventually(t, "the start of the shutdown", n.front.leaving.Load)
 			})
--- a/internal/node/untilend_test.go
+++ b/internal/node/untilend_test.go
@@ -27,7 +27,7 @@
 }
 
 // keepAsking sends one request after another on a connection until the connection closes.
-func (y *tally) keepAsking(c net.Conn, seed uint64) {
+func (counts *tally) keepAsking(c net.Conn, seed uint64) {
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(seed, 0))
 	r := bufio.NewReader(c)
@@ -45,40 +45,40 @@
 		if !first && !sock.Quiet(c) {
 			return // closed between two requests, which the client sees before it writes
 		}
-		at := time.Since(y.began)
+		writtenAt := time.Since(counts.began)
 		_, err := io.WriteString(c, text)
 		var resp *http.Response
-		got := false
+		answerBegan := false
 		if err == nil {
 			_, err = r.Peek(1)
-			got = err == nil
+			answerBegan = err == nil
 		}
 		if err == nil {
 			if resp, err = http.ReadResponse(r, nil); err == nil {
 				_, err = io.Copy(io.Discard, resp.Body)
 			}
 		}
-		y.mu.Lock()
-		y.written++
+		counts.mu.Lock()
+		counts.written++
 		switch {
 		case err == nil:
-			y.answered++
+			counts.answered++
 			if resp.StatusCode == http.StatusOK {
-				y.served++
+				counts.served++
 			}
-			y.lastWritten, y.lastAnswered = max(y.lastWritten, at), max(y.lastAnswered, time.Since(y.began))
+			counts.lastWritten, counts.lastAnswered = max(counts.lastWritten, writtenAt), max(counts.lastAnswered, time.Since(counts.began))
 			if first {
-				y.lastLetIn = max(y.lastLetIn, at)
+				counts.lastLetIn = max(counts.lastLetIn, writtenAt)
 			}
-		case got:
-			y.lost = append(y.lost, fmt.Sprintf("%s: %v during its answer", id, err))
+		case answerBegan:
+			counts.lost = append(counts.lost, fmt.Sprintf("%s: %v during its answer", id, err))
 		default:
-			y.crossing = append(y.crossing, id)
+			counts.crossing = append(counts.crossing, id)
 			if first {
-				y.bare++
+				counts.bare++
 			}
 		}
-		y.mu.Unlock()
+		counts.mu.Unlock()
 		if err != nil || resp.Close {
 			return
 		}
@@ -114,62 +114,62 @@
 	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline)))
 	eventually(t, "the node accepting clients", n.running.Load)
-	y := &tally{began: time.Now()}
+	counts := &tally{began: time.Now()}
 	var clients sync.WaitGroup
-	come := func() { // a client that can't connect sends nothing
+	connect := func() { // a client that can't connect sends nothing
 		if c, err := net.Dial("tcp", n.Addr().String()); err == nil {
 			c.SetDeadline(time.Now().Add(patience))
-			clients.Go(func() { y.keepAsking(c, uint64(lastID.Add(1))) })
+			clients.Go(func() { counts.keepAsking(c, uint64(lastID.Add(1))) })
 		}
 	}
 	const first = 16
 	for range first {
-		come()
+		connect()
 	}
 	eventually(t, "all connected", func() bool { return n.listener.Holds() == first })
-	over := make(chan struct{})
+	done := make(chan struct{})
 	clients.Go(func() {
 		const every = 5 * time.Millisecond
 		for at := time.Now(); ; at = time.Now() {
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-time.After(every):
 				late = max(late, time.Since(at)-every)
 			}
 		}
 	})
-	told := time.Since(y.began)
+	stoppedAt := time.Since(counts.began)
 	n.stop()
-	for time.Since(y.began)-told < life.Platform.Still {
-		come()
+	for time.Since(counts.began)-stoppedAt < life.Platform.Still {
+		connect()
 		time.Sleep(10 * time.Millisecond)
 	}
 	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
 	}
-	ended := time.Since(y.began) - told
-	close(over)
+	ended := time.Since(counts.began) - stoppedAt
+	close(done)
 	clients.Wait()
-	fault := func(is bool, format string, args ...any) {
+	addFault := func(is bool, format string, args ...any) {
 		if is {
 			faults = append(faults, fmt.Sprintf(format, args...))
 		}
 	}
-	for _, id := range y.crossing {
+	for _, id := range counts.crossing {
 		_, is := ran.Load(id)
-		fault(is, "%s: closed without an answer, but it ran", id)
+		addFault(is, "%s: closed without an answer, but it ran", id)
 	}
-	letIn, written, answered, kill := y.lastLetIn-told, y.lastWritten-told, y.lastAnswered-told, deadline+life.Platform.Grace
+	accepted, written, answered, killAt := counts.lastLetIn-stoppedAt, counts.lastWritten-stoppedAt, counts.lastAnswered-stoppedAt, deadline+life.Platform.Grace
 	book := &n.front.book
-	taken, open, left := int(book.Taken.Load()), book.Open(), book.Left.Load()
+	acceptedRequests, open, left := int(book.Taken.Load()), book.Open(), book.Left.Load()
 	t.Logf("%d written, %d answered (%d served), %d crossed by a close; last connection after %v, last write %v, last answer %v, end %v of %v; timers late by %v",
-		y.written, y.answered, y.served, len(y.crossing), letIn, written, answered, ended, kill, late)
-	fault(len(y.lost) > 0, "lost: %q", y.lost)
-	fault(y.bare > 0, "%d new connections closed without an answer", y.bare)
-	fault(taken != y.answered || open != 0 || left != 0, "accepted %d, open %d, left %d; clients have %d answers", taken, open, left, y.answered)
+		counts.written, counts.answered, counts.served, len(counts.crossing), accepted, written, answered, ended, killAt, late)
+	addFault(len(counts.lost) > 0, "lost: %q", counts.lost)
+	addFault(counts.bare > 0, "%d new connections closed without an answer", counts.bare)
+	addFault(acceptedRequests != counts.answered || open != 0 || left != 0, "accepted %d, open %d, left %d; clients have %d answers", acceptedRequests, open, left, counts.answered)
 	// Late timers of the machine delay the node too.
-	fault(answered > kill-life.Late/2+late || ended >= kill+late, "last answer after %v, end after %v, SIGKILL after %v", answered, ended, kill)
-	fault(letIn < life.Platform.Still/2-late || y.served == 0 || len(y.crossing) > y.written/20, "accepted connections for %v, %d served, %d crossed by a close", letIn, y.served, len(y.crossing))
+	addFault(answered > killAt-life.Late/2+late || ended >= killAt+late, "last answer after %v, end after %v, SIGKILL after %v", answered, ended, killAt)
+	addFault(accepted < life.Platform.Still/2-late || counts.served == 0 || len(counts.crossing) > counts.written/20, "accepted connections for %v, %d served, %d crossed by a close", accepted, counts.served, len(counts.crossing))
 	return faults, late
 }
--- a/internal/node/wear_test.go
+++ b/internal/node/wear_test.go
@@ -15,13 +15,13 @@
 // Something on the way, or a backend with a shorter idle time than configured, may drop idle connections silently. The next request on
 // one breaks and may have run. The node learns this and dials new connections instead, but still reuses one that was used just before.
 func TestWornConnectionsCarryNoRequests(t *testing.T) {
-	const life = 60 * time.Millisecond
+	const backendIdleClose = 60 * time.Millisecond
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for last := time.Now(); ; last = time.Now() {
 			if _, err := http.ReadRequest(br); err != nil {
 				return
 			}
-			if time.Since(last) > life {
+			if time.Since(last) > backendIdleClose {
 				reset(c)
 				return
 			}
@@ -29,13 +29,13 @@
 		}
 	})
 	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
-	row := 0
+	inRow := 0
 	eventually(t, "ten delivered requests in a row", func() bool {
-		if row++; try(t, x, to, get("id")).Status != balance.Delivered {
-			row = 0
+		if inRow++; try(t, x, to, get("id")).Status != balance.Delivered {
+			inRow = 0
 		}
-		time.Sleep(2 * life)
-		return row == 10
+		time.Sleep(2 * backendIdleClose)
+		return inRow == 10
 	})
 	for try(t, x, to, get("id")).Status != balance.Delivered {
 	}
