--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -20,32 +20,32 @@
 	"glencart/internal/standin"
 )
 
-// exchangesFor returns exchanges with a connection pool of their own.
-func exchangesFor(t *testing.T) *exchanges {
+// newTestExchanges returns exchanges with a connection pool of their own.
+func newTestExchanges(t *testing.T) *exchanges {
 	p := newPool(16, 2*time.Second, 5*time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.run(ctx)
 	t.Cleanup(cancel)
-	return newExchanges(p, true, quiet())
+	return newExchanges(p, true, discardLog())
 }
 
-// get returns a GET message with this request id. Its Idempotency-Key makes http.Transport treat it as safe to send again.
-func get(id string) *message {
+// getMessage returns a GET message with this request id. Its Idempotency-Key makes http.Transport treat it as safe to send again.
+func getMessage(id string) *message {
 	return &message{method: "GET", url: &url.URL{Path: "/api/x"}, host: "api.internal",
 		header: http.Header{"X-Trace-Id": {id}, "Idempotency-Key": {"key"}}}
 }
 
-// try makes one attempt and returns its result.
-func try(t *testing.T, x *exchanges, to engine.Endpoint, m *message) engine.Result {
+// attemptOnce makes one attempt and returns its result.
+func attemptOnce(t *testing.T, x *exchanges, to engine.Endpoint, m *message) engine.Result {
 	t.Helper()
 	done := make(chan engine.Result, 1)
-	x.attempt(to, m, time.Now().Add(patience/2), func(r engine.Result) { done <- r })
+	x.attempt(to, m, time.Now().Add(testTimeout/2), func(r engine.Result) { done <- r })
 	return receive(t, "the result of the attempt", done)
 }
 
 // An attempt whose reused connection breaks must not be sent again on another connection, since it may have run. http.Transport
 // sends such requests again by itself: they are GETs with an Idempotency-Key.
-func TestBrokenReusedConnectionIsNotTriedAgain(t *testing.T) {
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	seen := make(chan string, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for i := 0; ; i++ {
@@ -55,17 +55,17 @@
 			}
 			seen <- r.Header.Get("X-Trace-Id")
 			if i > 0 {
-				reset(c) // the second request on a connection breaks it
+				resetConn(c) // the second request on a connection breaks it
 				return
 			}
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
-	if r := try(t, x, to, get("first")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "x" {
+	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	if r := attemptOnce(t, x, to, getMessage("first")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "x" {
 		t.Fatalf("first attempt: %v", r)
 	}
-	if r := try(t, x, to, get("second")); r.Status != balance.Dropped {
+	if r := attemptOnce(t, x, to, getMessage("second")); r.Status != balance.Dropped {
 		t.Errorf("second attempt: status %v, want Dropped since it may have run", r.Status)
 	}
 	if n := b.Accepted.Load(); n != 1 || len(seen) != 2 {
@@ -75,7 +75,7 @@
 
 // An answer that is misread as one that never ran leads to a retry of a request that may have run, and an incomplete or oversized
 // answer must not reach the client as a whole one. The cases differ in what the backend writes after it has read the request.
-func TestOutcomes(t *testing.T) {
+func TestAttemptStatusByAnswer(t *testing.T) {
 	big := strings.Repeat("x", bodyMost)
 	for name, tc := range map[string]struct {
 		answer string
@@ -108,7 +108,7 @@
 					io.WriteString(c, tc.answer)
 				}
 			})
-			r := try(t, exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}, get("id"))
+			r := attemptOnce(t, newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}, getMessage("id"))
 			if r.Status != tc.want || string(replyOf(r.Body).body) != tc.body {
 				t.Errorf("status %v with %d bytes, want %v with %d", r.Status, len(replyOf(r.Body).body), tc.want, len(tc.body))
 			}
@@ -118,9 +118,9 @@
 
 // A request on a connection that is refused, or that breaks before the last byte is written, never ran. Any other status than
 // DialFailed would keep a request that must not run twice from being sent to another backend.
-func TestNeverRan(t *testing.T) {
+func TestUnsentRequestIsDialFailed(t *testing.T) {
 	addr := standin.ReserveAddr(t)
-	if r := try(t, exchangesFor(t), engine.Endpoint{Addr: addr}, get("refused")); r.Status != balance.DialFailed {
+	if r := attemptOnce(t, newTestExchanges(t), engine.Endpoint{Addr: addr}, getMessage("refused")); r.Status != balance.DialFailed {
 		t.Errorf("refused connection: status %v, want DialFailed", r.Status)
 	}
 
@@ -143,31 +143,31 @@
 			return
 		}
 		io.ReadFull(c, make([]byte, 1000))
-		reset(c)
+		resetConn(c)
 	}()
-	x := exchangesFor(t)
+	x := newTestExchanges(t)
 	x.pool.dialer.Control = smallBuffers
-	m := get("partial")
+	m := getMessage("partial")
 	m.method, m.body = "POST", make([]byte, bodyMost)
-	if r := try(t, x, engine.Endpoint{Addr: l.Addr().String()}, m); r.Status != balance.DialFailed {
+	if r := attemptOnce(t, x, engine.Endpoint{Addr: l.Addr().String()}, m); r.Status != balance.DialFailed {
 		t.Errorf("connection reset before the last byte: status %v, want DialFailed", r.Status)
 	}
 }
 
 // A backend that restarts under its address leaves pooled connections that look open. A request written on one of them would be lost.
-func TestRestartedBackendLeavesNoDeadConnections(t *testing.T) {
-	serve := answering(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
+func TestStaleConnectionsOfRestartedBackendAreNotUsed(t *testing.T) {
+	serve := serveAnswers(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
 	conns := make(chan net.Conn, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
-	x, to := exchangesFor(t), engine.Endpoint{Addr: addr}
-	if r := try(t, x, to, get("old")); r.Status != balance.Delivered {
+	x, to := newTestExchanges(t), engine.Endpoint{Addr: addr}
+	if r := attemptOnce(t, x, to, getMessage("old")); r.Status != balance.Delivered {
 		t.Fatalf("first attempt: status %v", r.Status)
 	}
 	b.Close()
-	reset(receive(t, "the old connection", conns))
+	resetConn(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
-	if r := try(t, x, to, get("new")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "new" {
+	if r := attemptOnce(t, x, to, getMessage("new")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "new" {
 		t.Errorf("after the restart: status %v, body %q", r.Status, replyOf(r.Body).body)
 	}
 }
@@ -175,10 +175,10 @@
 // An idle connection is not used shortly before the backend closes it. A request that is sent while the backend closes the
 // connection fails, and may have run.
 func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
 	for i := range 2 {
-		if r := try(t, x, to, get(fmt.Sprint(i))); r.Status != balance.Delivered {
+		if r := attemptOnce(t, x, to, getMessage(fmt.Sprint(i))); r.Status != balance.Delivered {
 			t.Fatalf("first attempt: status %v", r.Status)
 		}
 	}
@@ -188,7 +188,7 @@
 	x.pool.mu.Lock()
 	x.pool.idle[to][0].idleAt = time.Now().Add(-x.pool.keep)
 	x.pool.mu.Unlock()
-	if r := try(t, x, to, get("later")); r.Status != balance.Delivered {
+	if r := attemptOnce(t, x, to, getMessage("later")); r.Status != balance.Delivered {
 		t.Fatalf("first attempt: status %v", r.Status)
 	}
 	if n := b.Accepted.Load(); n != 2 {
@@ -197,13 +197,13 @@
 }
 
 // Extra bytes after an answer must not be read as the answer to the next request. The connection is closed instead of reused.
-func TestSurplusAfterAnAnswerReachesNobody(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+func TestExtraBytesAfterAnswerCloseConnection(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
 	}))
-	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		if r := try(t, x, to, get(id)); r.Status != balance.Delivered || string(replyOf(r.Body).body) != id {
+		if r := attemptOnce(t, x, to, getMessage(id)); r.Status != balance.Delivered || string(replyOf(r.Body).body) != id {
 			t.Errorf("attempt %s: status %v, body %q", id, r.Status, replyOf(r.Body).body)
 		}
 	}
@@ -211,7 +211,7 @@
 
 // A cancelled attempt closes its connection. Otherwise its late answer could be read as that of another request, and the connection
 // would stay counted in the pool.
-func TestAttemptGivenUpEndsItsConnection(t *testing.T) {
+func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -221,8 +221,8 @@
 			ended <- struct{}{}
 		}
 	})
-	x, done := exchangesFor(t), make(chan engine.Result, 2)
-	c := x.attempt(engine.Endpoint{Addr: b.Addr().String()}, get("id"), time.Now().Add(patience), func(r engine.Result) { done <- r })
+	x, done := newTestExchanges(t), make(chan engine.Result, 2)
+	c := x.attempt(engine.Endpoint{Addr: b.Addr().String()}, getMessage("id"), time.Now().Add(testTimeout), func(r engine.Result) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
@@ -239,12 +239,12 @@
 // The pool never exceeds its limit, which would take descriptors from other parts of the node. It closes an idle connection to
 // dial another backend, and an attempt without a connection is Unused.
 func TestPoolIsBounded(t *testing.T) {
-	serve := answering(func(*http.Request) string { return ok200("x") })
+	serve := serveAnswers(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-	x := exchangesFor(t)
+	x := newTestExchanges(t)
 	x.pool.most = 1
 	for _, l := range []*rawBackend{a, b} {
-		if r := try(t, x, engine.Endpoint{Addr: l.Addr().String()}, get("id")); r.Status != balance.Delivered {
+		if r := attemptOnce(t, x, engine.Endpoint{Addr: l.Addr().String()}, getMessage("id")); r.Status != balance.Delivered {
 			t.Errorf("attempt with room in the pool: status %v, want Delivered", r.Status)
 		}
 	}
@@ -252,14 +252,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := try(t, x, engine.Endpoint{Addr: a.Addr().String()}, get("id")); r.Status != balance.Unused {
+	if r := attemptOnce(t, x, engine.Endpoint{Addr: a.Addr().String()}, getMessage("id")); r.Status != balance.Unused {
 		t.Errorf("attempt with a full pool: status %v, want Unused", r.Status)
 	}
 	x.pool.discard(c)
 }
 
 // A malformed load report must give an error and no values. Numbers such as NaN, -1 or 1e300 would distort the choice of backends.
-func TestReports(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	l, err := settings.ParseReport("TEXT inflight=7, queue=2, util=0.61, other=3")
 	if err != nil || l.Active != 7 || l.Waiting != 2 || l.CPU != 0.61 ||
 		l.Has != balance.HasActive|balance.HasWaiting|balance.HasCPU {
@@ -276,15 +276,15 @@
 }
 
 // A probe returns the load report of the backend. An unreadable report must count as none, not as a load of zero.
-func TestProbes(t *testing.T) {
+func TestProbeReadsLoadReport(t *testing.T) {
 	body := "TEXT inflight=7, util=0.5"
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if r.Method != "GET" || r.URL.Path != "/stats" {
 			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"
 		}
 		return ok200(body)
 	}))
-	x, done := exchangesFor(t), make(chan engine.Result, 1)
+	x, done := newTestExchanges(t), make(chan engine.Result, 1)
 	x.Probe(engine.Endpoint{Addr: b.Addr().String()}, func(r engine.Result) { done <- r })
 	if r := receive(t, "the probe", done); r.Status != balance.Delivered || r.Load.Active != 7 || r.Load.CPU != 0.5 {
 		t.Errorf("probe: %+v", r)
@@ -298,7 +298,7 @@
 
 // The platform may refuse sendfile and splice. The library uses them where a connection has ReadFrom, WriteTo or SyscallConn, so
 // the connection types of the node have none of these, and the node copies with read and write.
-func TestNoCopyInTheKernel(t *testing.T) {
+func TestConnectionsOfferNoKernelCopy(t *testing.T) {
 	for what, c := range map[string]any{"client": &clients.Conn{}, "backend": &conn{}, "upload": plainWriter{}} {
 		if _, ok := c.(io.ReaderFrom); ok {
 			t.Errorf("%s: has ReadFrom, which uses splice", what)
--- a/internal/node/taken_test.go
+++ b/internal/node/capacity_test.go
@@ -16,23 +16,23 @@
 
 // A node must keep a list of 1,024 backends whole, and accept an operator's call for each even after all have left the list at once.
 // A limit below that would drop backends or calls.
-func TestListsOfAThousand(t *testing.T) {
+func TestThousandBackendsAreKept(t *testing.T) {
 	const total = 1024
-	var members []listed
+	var members []listedBackend
 	for i := range total {
-		members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i), Phase: "ready"})
+		members = append(members, listedBackend{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i), Phase: "ready"})
 	}
 	text := listText(1, true, members...)
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 	count := func() (known int) {
-		n.onLoop(t, func() { known = n.loop.Backends() })
+		n.runOnLoop(t, func() { known = n.loop.Backends() })
 		return known
 	}
 	if got := count(); got != total {
 		t.Errorf("%d of %d backends known", got, total)
 	}
 	// All backends leave the list at once. A call for each of them still names a known backend.
-	n.onLoop(t, func() {
+	n.runOnLoop(t, func() {
 		n.hand.Take(nil, true, n.loop.Clock())
 		for _, m := range members {
 			if _, _, known := n.hand.Say(m.ID, true, n.loop.Clock()); !known {
@@ -45,14 +45,14 @@
 
 // A node with 1,024 peers must have room to send one datagram to each at once and to receive one from each at once. Smaller queues
 // would drop datagrams of a single round.
-func TestAThousandPeers(t *testing.T) {
+func TestThousandPeersHaveQueueSpace(t *testing.T) {
 	const total = 1024
 	cfg := Config{PeerListen: "127.0.0.1:0"}
 	for i := range total {
 		cfg.Peers = append(cfg.Peers, fmt.Sprintf("127.0.0.1:%d", 1000+i))
 	}
 	b := boundsOf(Limits{MemoryMB: 32, Sockets: 256}, total)
-	p, err := listenPeers(t.Context(), &cfg, b.tell, quiet())
+	p, err := listenPeers(t.Context(), &cfg, b.tell, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,12 +74,12 @@
 
 // The deadline of a request counts from its last byte, also where that byte waited in the backlog of a full listener. Counted from the
 // accept, the answer would be late by the time in the backlog.
-func TestTimeInTheQueueCounts(t *testing.T) {
+func TestTimeInBacklogCountsTowardsDeadline(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, _ *bufio.Reader) { io.Copy(io.Discard, c) }) // it never answers
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Limits.Sockets = leastSockets
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	n.front.table.KeepAll() // no idle connection is closed to make room
 	var silent []net.Conn
 	for !n.listener.Full() {
@@ -102,7 +102,7 @@
 
 // A reload during the shutdown may make the node end sooner but never later, since the time of SIGKILL doesn't move. All open requests
 // are answered, and so are those that arrive on connections that the node keeps.
-func TestSettingsChangeWhileLeaving(t *testing.T) {
+func TestReloadDuringShutdown(t *testing.T) {
 	for _, c := range []struct {
 		deadline    string
 		maxDuration time.Duration // the earlier time of SIGKILL
@@ -110,19 +110,19 @@
 		t.Run(c.deadline, func(t *testing.T) {
 			t.Parallel()
 			arrived := make(chan struct{}, 4)
-			b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+			b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 				if r.URL.Path == "/stats" {
 					return ok200("{}")
 				}
 				arrived <- struct{}{}
 				select {} // it never answers
 			}))
-			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+			text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 			reg := newRegistry(t, text).Addr
-			n := start(t, testConfig(t, reg, text))
+			n := startNode(t, testConfig(t, reg, text))
 			answered := make(chan error, 1)
 			go func() {
-				resp, err := http.DefaultTransport.RoundTrip(ask(t, n.url+"/api/x", "order"))
+				resp, err := http.DefaultTransport.RoundTrip(newTestRequest(t, n.url+"/api/x", "order"))
 				if err == nil && resp.StatusCode < 500 {
 					err = fmt.Errorf("answered %d", resp.StatusCode)
 				}
@@ -138,7 +138,7 @@
 			if err := receive(t, "the answer", answered); err != nil {
 				t.Error(err)
 			}
-			if err := receive(t, "the end of the node", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.result); err != nil {
 				t.Error(err)
 			}
 			if d := time.Since(began); d > c.maxDuration {
@@ -152,16 +152,16 @@
 }
 
 // A node that is stopped between opening its listener and serving must answer the clients that have connected in between.
-func TestToldToEndBeforeItServes(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("done") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	n, err := New(t.Context(), testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":300000000`), quiet())
+func TestShutdownBeforeServingAnswersBacklog(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("done") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	n, err := New(t.Context(), testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":300000000`), discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	answer := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, "http://"+n.Addr().String()+"/api/x", "order"))
+		_, body := doRequest(t, newTestRequest(t, "http://"+n.Addr().String()+"/api/x", "order"))
 		answer <- body
 	}()
 	eventually(t, "a connection in the backlog", func() bool { waiting, _ := sock.Waiting(n.listener.Listener); return waiting })
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -15,14 +15,14 @@
 
 // The backend gets the path, query, body and id as the client sent them, without the headers of the client's connection, and the
 // client gets the answer unchanged. Decoding and encoding again, or dropping what Connection lists, would alter the request.
-func TestServedAnswerIsTheBackendsOwn(t *testing.T) {
+func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		got <- r
 		return "HTTP/1.1 200 OK\r\nContent-Type: text/x-menu\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
 	}))
-	n := startOn(t, b.Addr().String())
-	resp, body := do(t, ask(t, n.url+"/api/a%2Fb/7f3a?x=1&y=%20", "token", func(r *http.Request) {
+	n := startNodeWithBackends(t, b.Addr().String())
+	resp, body := doRequest(t, newTestRequest(t, n.url+"/api/a%2Fb/7f3a?x=1&y=%20", "token", func(r *http.Request) {
 		r.Header.Set("X-Trace-Id", "trace-1")
 		r.Header.Set("Connection", "X-Trace-Id, X-Hop")
 		r.Header.Set("X-Hop", "1")
@@ -47,9 +47,9 @@
 }
 
 // A malformed request gets a 4xx at once and reaches no backend. A 429 or 5xx would make the client send it again.
-func TestMalformedRequests(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
-	n := startOn(t, b.Addr().String())
+func TestMalformedRequestsAreRejected(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("") }))
+	n := startNodeWithBackends(t, b.Addr().String())
 	n.front.bodyMost.Store(bodyMost)
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -81,7 +81,7 @@
 		}, 413, "send at most 65536 bytes"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			resp, body := do(t, ask(t, n.url+"/api/x", tc.class, tc.change))
+			resp, body := doRequest(t, newTestRequest(t, n.url+"/api/x", tc.class, tc.change))
 			if resp.StatusCode != tc.want || !strings.Contains(body, tc.wantText) {
 				t.Errorf("answered %d %q, want %d %q", resp.StatusCode, body, tc.want, tc.wantText)
 			}
@@ -102,7 +102,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			go io.WriteString(c, text)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err == nil && (resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode >= 500) {
@@ -120,7 +120,7 @@
 
 // A backend that never answers must not leave its client without an answer. The client gets one before its deadline, and that is a
 // failure (504), since the request may have run.
-func TestSilentBackendIsAnsweredInTime(t *testing.T) {
+func TestClientOfSilentBackendIsAnsweredInTime(t *testing.T) {
 	ended := make(chan error, 4)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -129,9 +129,9 @@
 			ended <- err
 		}
 	})
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	began := time.Now()
-	resp, _ := do(t, ask(t, n.url+"/api/x", "order", func(r *http.Request) { r.Header.Set("X-Expires-In", "0.300") }))
+	resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order", func(r *http.Request) { r.Header.Set("X-Expires-In", "0.300") }))
 	if resp.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
@@ -140,12 +140,12 @@
 	}
 	// The cancelled attempt closes its connection to the backend.
 	receive(t, "the end of the backend's connection", ended)
-	eventually(t, "an empty request table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.openRequests(t) == 0 })
 }
 
 // A client that disconnects during its request must not leave a request, an attempt or a connection behind. Nothing else would end
 // an attempt on a backend that doesn't answer.
-func TestClientThatGoesAwayLeaksNothing(t *testing.T) {
+func TestDisconnectedClientLeaksNothing(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -154,7 +154,7 @@
 			ended <- struct{}{}
 		}
 	})
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -168,34 +168,34 @@
 		t.Errorf("the attempt went on for %v", d)
 	}
 	// No backend has answered, so the client must read nothing, not even an empty answer of net/http.
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("answered %q", text)
 	}
 	c.Close()
-	eventually(t, "an empty request table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.openRequests(t) == 0 })
 	eventually(t, "no request in flight and no connection", func() bool {
 		return n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
 }
 
 // A request with the id of an open one gets a 409. A backend could not distinguish two open requests with the same id.
-func TestIDOfAnOpenRequestIsTurnedAway(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string {
 		arrived <- struct{}{}
 		<-release
 		return ok200("once")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	same := func(r *http.Request) { r.Header.Set("X-Trace-Id", "same") }
 	first := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/x", "order", same))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/x", "order", same))
 		first <- body
 	}()
 	receive(t, "the first request at the backend", arrived)
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order", same)); resp.StatusCode != http.StatusConflict {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order", same)); resp.StatusCode != http.StatusConflict {
 		t.Errorf("second request: %d", resp.StatusCode)
 	}
 	close(release)
@@ -205,23 +205,23 @@
 }
 
 // A node at its limit of open requests rejects a new one with 503 and Retry-After, and still serves those that it has accepted.
-func TestFullNodeRefuses(t *testing.T) {
+func TestFullNodeRejectsRequests(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string {
 		arrived <- struct{}{}
 		<-release
 		return ok200("x")
 	}))
-	n := startOn(t, b.Addr().String())
-	n.onLoop(t, func() {})
+	n := startNodeWithBackends(t, b.Addr().String())
+	n.runOnLoop(t, func() {})
 	n.front.inFlight.Store(n.front.most.Load() - 1) // one request below the limit
 	first := make(chan int, 1)
 	go func() {
-		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
 		first <- resp.StatusCode
 	}()
 	receive(t, "the last accepted request at the backend", arrived)
-	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+	resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
@@ -234,17 +234,17 @@
 
 // Idle client connections that fill the node are closed in favor of new connections. Otherwise clients with a request wait in the
 // backlog until idle ones leave.
-func TestIdleConnectionsGiveWay(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Limits.Sockets = leastSockets
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.share()
 	for range 2 * clients {
 		tr := &http.Transport{} // its connection stays open
 		defer tr.CloseIdleConnections()
-		resp, err := tr.RoundTrip(ask(t, n.url+"/api/x", "read"))
+		resp, err := tr.RoundTrip(newTestRequest(t, n.url+"/api/x", "read"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -270,10 +270,10 @@
 
 // A request that no backend can run is rejected at once and with Retry-After. Waiting for the deadline would hold a request slot
 // and leave the client no time for another node.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	n := startOn(t, standin.ReserveAddr(t)) // refuses connections
+func TestRejectionHasRetryAfter(t *testing.T) {
+	n := startNodeWithBackends(t, standin.ReserveAddr(t)) // refuses connections
 	began := time.Now()
-	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+	resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
 	var after float64
 	if _, err := fmt.Sscan(resp.Header.Get("Retry-After"), &after); resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
 		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
--- a/internal/node/clockstep_test.go
+++ b/internal/node/clockstep_test.go
@@ -12,24 +12,24 @@
 
 // A wall clock that is an hour off must not change the age of a backend, whether it is in the first list or in an update. A backend
 // that has just started would count as warm, or would stay cold for an hour.
-func TestStartsByAClockThatIsAnHourOff(t *testing.T) {
+func TestBackendAgeWithWrongWallClock(t *testing.T) {
 	const offset = time.Hour
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
 	addr := b.Addr().String()
 	for name, clockOffset := range map[string]time.Duration{"right": 0, "ahead": offset, "behind": -offset} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			realNow := time.Now()
 			startedAt := func(ago time.Duration) int64 { return realNow.Add(-ago).UnixMilli() }
-			text := listText(1, true, listed{ID: "old", Addr: addr, Phase: "ready"},
-				listed{ID: "first", Addr: addr, Phase: "ready", Up: startedAt(time.Second)})
+			text := listText(1, true, listedBackend{ID: "old", Addr: addr, Phase: "ready"},
+				listedBackend{ID: "first", Addr: addr, Phase: "ready", Up: startedAt(time.Second)})
 			reg := newRegistry(t, text)
-			cfg := testConfig(t, reg.Addr, listText(0, true, listed{ID: "old", Addr: addr, Phase: "ready"}))
+			cfg := testConfig(t, reg.Addr, listText(0, true, listedBackend{ID: "old", Addr: addr, Phase: "ready"}))
 			cfg.origin = time.Duration(realNow.Add(clockOffset).UnixNano())
-			n := start(t, cfg)
-			reg.Next <- listText(2, false, listed{ID: "change", Addr: addr, Phase: "ready", Up: startedAt(0)})
+			n := startNode(t, cfg)
+			reg.Next <- listText(2, false, listedBackend{ID: "change", Addr: addr, Phase: "ready", Up: startedAt(0)})
 			age := func(id string) (age time.Duration, known bool) {
-				n.onLoop(t, func() {
+				n.runOnLoop(t, func() {
 					to, _, _, is := n.loop.Backend(id)
 					age, known = n.loop.Clock()-to.Launched, is
 				})
@@ -50,7 +50,7 @@
 
 // Waits and ages use the monotonic clock, since the wall clock may be set by an hour at any time. The test searches the sources of
 // the node for reads of the wall clock. Each exception is listed here with its reason.
-func TestNothingWaitsByTheWallClock(t *testing.T) {
+func TestNodeDoesNotReadWallClock(t *testing.T) {
 	allowed := map[string]string{
 		"internal/engine/engine.go": "the origin of the engine's clock, read once",
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.0.0.5:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.0.0.5:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},"peer_listen":"127.0.0.4:7946","peers":["127.0.0.6:7946"],
  "peers_all":"127.0.0.7:7946","known":{"revision":41,"complete":true,"members":[]},"settings":` + testSettings + `}`
 
 // A valid configuration file is parsed with its seed, limits, cached list and classes.
-func TestConfig(t *testing.T) {
-	cfg, err := ParseConfig([]byte(goodConfig))
+func TestParseConfig(t *testing.T) {
+	cfg, err := ParseConfig([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,10 +23,10 @@
 }
 
 // A missing or malformed value must give an error of one line that names the key. Operators see nothing else of it.
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for name, tc := range map[string]struct{ old, new, want string }{
-		"empty":          {goodConfig, "", "JSON"},
-		"no object":      {goodConfig, "[]", "array"},
+		"empty":          {validConfig, "", "JSON"},
+		"no object":      {validConfig, "[]", "array"},
 		"no listen":      {`"127.0.0.4:8443"`, `""`, "listen"},
 		"bad listen":     {`"127.0.0.4:8443"`, `"here"`, "listen"},
 		"bad discovery":  {`"127.0.0.5:8500"`, `"nowhere:x"`, "discovery"},
@@ -40,8 +40,8 @@
 		"few sockets":    {`"sockets":4096`, `"sockets":8`, "sockets"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(goodConfig, tc.old, tc.new, 1)
-			if text == goodConfig {
+			text := strings.Replace(validConfig, tc.old, tc.new, 1)
+			if text == validConfig {
 				t.Fatal("the test case changes nothing")
 			}
 			_, err := ParseConfig([]byte(text))
@@ -53,13 +53,13 @@
 	if _, err := LoadConfig(""); err == nil {
 		t.Error("no error for an empty file name")
 	}
-	if _, err := LoadConfig(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(unwrap(err)) {
+	if _, err := LoadConfig(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(innermostError(err)) {
 		t.Errorf("missing file: %v", err)
 	}
 }
 
-// unwrap returns the innermost error.
-func unwrap(err error) error {
+// innermostError returns the innermost error.
+func innermostError(err error) error {
 	for {
 		wrapped, ok := err.(interface{ Unwrap() error })
 		if !ok {
@@ -70,8 +70,8 @@
 }
 
 // An unreadable cached list must not prevent the start. The list is only used until discovery answers.
-func TestABadRememberedListDoesNotStopTheStart(t *testing.T) {
-	cfg, err := ParseConfig([]byte(strings.Replace(goodConfig, `"members":[]`, `"members":[{}]`, 1)))
+func TestInvalidCachedListDoesNotPreventStart(t *testing.T) {
+	cfg, err := ParseConfig([]byte(strings.Replace(validConfig, `"members":[]`, `"members":[{}]`, 1)))
 	if err != nil || cfg.knownErr == nil || len(cfg.Known.Members) != 0 {
 		t.Errorf("%v, %v", err, cfg.knownErr)
 	}
@@ -79,7 +79,7 @@
 
 // Settings with a duplicate or empty name of a class or tenant must not start a node or replace settings in use. Requests of both
 // classes would be served as the first one, with the wrong effect.
-func TestNamesThatTellNothingApartStartNoNode(t *testing.T) {
+func TestDuplicateOrEmptyNamesAreRejected(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name":"token"`, `"name":"read"`, "classes[2].name: read is given twice: give each one a name of its own"},
 		{`"name":"order"`, `"name":""`, "classes[1].name: empty: give each one a name"},
@@ -87,7 +87,7 @@
 		{`"coldShare":0.12`, `"coldShare":12`, "obligations.coldShare: 12 is no part of a capacity: give 0 to 1"},
 	} {
 		cfg := testConfig(t, "127.0.0.1:1", listText(1, true), c.old, c.new)
-		n, err := New(t.Context(), cfg, quiet())
+		n, err := New(t.Context(), cfg, discardLog())
 		if want := "configuration: settings: " + c.want; err == nil || err.Error() != want {
 			t.Errorf("%s: %v, want %q", c.new, err, want)
 		}
@@ -95,7 +95,7 @@
 			n.close()
 		}
 		valid := testConfig(t, "127.0.0.1:1", listText(1, true))
-		if n, err = New(t.Context(), valid, quiet()); err != nil {
+		if n, err = New(t.Context(), valid, discardLog()); err != nil {
 			t.Fatal(err)
 		}
 		before := n.front.tuning.Load()
@@ -108,7 +108,7 @@
 		}
 		n.close()
 	}
-	text := strings.Replace(goodConfig, `"maxAttempts":3`, `"maxAttempts":3,"maxAttempts":1`, 1)
+	text := strings.Replace(validConfig, `"maxAttempts":3`, `"maxAttempts":3,"maxAttempts":1`, 1)
 	if _, err := ParseConfig([]byte(text)); err == nil || err.Error() != "settings: limits.maxAttempts: given twice: give it once" {
 		t.Error(err)
 	}
--- a/internal/node/lastlook_test.go
+++ b/internal/node/connection_check_test.go
@@ -15,47 +15,47 @@
 	"glencart/internal/sock"
 )
 
-// late is a connection that calls then in SetDeadline, which is the last call before a request is written.
-type late struct {
+// hookedConn is a connection that calls beforeWrite once in SetDeadline, which is the last call before a request is written.
+type hookedConn struct {
 	*net.TCPConn
-	then func(c net.Conn)
+	beforeWrite func(c net.Conn)
 }
 
-func (l *late) SetDeadline(t time.Time) error {
-	if then := l.then; then != nil {
-		l.then = nil
+func (l *hookedConn) SetDeadline(t time.Time) error {
+	if then := l.beforeWrite; then != nil {
+		l.beforeWrite = nil
 		then(l.TCPConn)
 	}
 	return l.TCPConn.SetDeadline(t)
 }
 
-// stirs waits until a connection has something to read or has been closed.
-func stirs(t *testing.T, c net.Conn) {
+// waitReadable waits until a connection has something to read or has been closed.
+func waitReadable(t *testing.T, c net.Conn) {
 	eventually(t, "something on the connection", func() bool { return !sock.Quiet(c) })
 }
 
 // A backend may write to a pooled connection or close it after the node has chosen it and before the node writes. The request goes
 // out on another connection. On this one it would fail, or it would get the noise as its answer.
-func TestKeptConnectionIsLookedAtBeforeTheWrite(t *testing.T) {
+func TestReusedConnectionIsCheckedBeforeWrite(t *testing.T) {
 	for name, disturb := range map[string]func(c net.Conn){
 		"a second answer":          func(c net.Conn) { io.WriteString(c, ok200("noise")) },
 		"half a line":              func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
 		"closed":                   func(c net.Conn) { c.Close() },
-		"reset":                    func(c net.Conn) { reset(c) },
+		"reset":                    func(c net.Conn) { resetConn(c) },
 		"an answer, and its close": func(c net.Conn) { io.WriteString(c, ok200("noise")); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := make(chan net.Conn, 4)
-			serve := answering(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
+			serve := serveAnswers(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
-			x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
-			if r := try(t, x, to, get("one")); r.Status != balance.Delivered {
+			x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+			if r := attemptOnce(t, x, to, getMessage("one")); r.Status != balance.Delivered {
 				t.Fatalf("first attempt: %v", r.Status)
 			}
 			peer := receive(t, "the connection", conns)
 			pooled := x.pool.idle[to][0]
-			pooled.Conn = &late{pooled.Conn.(*net.TCPConn), func(c net.Conn) { disturb(peer); stirs(t, c) }}
-			if r := try(t, x, to, get("two")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "two" {
+			pooled.Conn = &hookedConn{pooled.Conn.(*net.TCPConn), func(c net.Conn) { disturb(peer); waitReadable(t, c) }}
+			if r := attemptOnce(t, x, to, getMessage("two")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "two" {
 				t.Errorf("second attempt: status %v, body %q", r.Status, replyOf(r.Body).body)
 			}
 			if n := b.Accepted.Load(); n != 2 || x.pool.open != 1 {
@@ -67,26 +67,26 @@
 
 // Bytes that a new connection brings before the request is written are not its answer. The attempt is DialFailed, since the request
 // was not sent.
-func TestNewConnectionThatSpeaksFirst(t *testing.T) {
+func TestEarlyBytesOnNewConnectionFailAttempt(t *testing.T) {
 	conns := make(chan net.Conn, 4)
-	serve := answering(func(r *http.Request) string { return ok200("x") })
+	serve := serveAnswers(func(r *http.Request) string { return ok200("x") })
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
-	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
-	if r := try(t, x, to, get("one")); r.Status != balance.Delivered {
+	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	if r := attemptOnce(t, x, to, getMessage("one")); r.Status != balance.Delivered {
 		t.Fatalf("first attempt: %v", r.Status)
 	}
 	peer := receive(t, "the connection", conns)
 	c := x.pool.idle[to][0]
 	c.kept = false // as on a connection that has just been dialed
-	c.Conn = &late{c.Conn.(*net.TCPConn), func(c net.Conn) { io.WriteString(peer, ok200("noise")); stirs(t, c) }}
-	if r := try(t, x, to, get("two")); r.Status != balance.DialFailed || x.pool.open != 0 {
+	c.Conn = &hookedConn{c.Conn.(*net.TCPConn), func(c net.Conn) { io.WriteString(peer, ok200("noise")); waitReadable(t, c) }}
+	if r := attemptOnce(t, x, to, getMessage("two")); r.Status != balance.DialFailed || x.pool.open != 0 {
 		t.Errorf("status %v, %d connections open; want DialFailed and none", r.Status, x.pool.open)
 	}
 }
 
 // Writing a long request takes time. Bytes that arrive before its last piece is written are not its answer. The last piece is then not
 // written, so that the request never ran.
-func TestNoiseBeforeTheLastByte(t *testing.T) {
+func TestEarlyBytesStopTheLastPiece(t *testing.T) {
 	for name, m := range map[string]*message{
 		"buffered in pieces": {more: [][]byte{make([]byte, 10), make([]byte, 10)}},
 		"with length":        {up: &upload{length: 20}},
@@ -110,7 +110,7 @@
 			defer peer.Close()
 			cn := &conn{Conn: netConn}
 			cn.read = bufio.NewReader(netConn)
-			noise := func() { io.WriteString(peer, ok200("noise")); stirs(t, netConn) }
+			noise := func() { io.WriteString(peer, ok200("noise")); waitReadable(t, netConn) }
 			if m.up == nil {
 				noise()
 				if n, all, err := m.send(cn, []byte("head")); err != errEarly || n >= all {
@@ -119,7 +119,7 @@
 				return
 			}
 			w := &http.ResponseController{}
-			m.up.from = &patient{body: io.MultiReader(strings.NewReader("0123456789"), stirring(noise), strings.NewReader("0123456789")), rc: w}
+			m.up.from = &patient{body: io.MultiReader(strings.NewReader("0123456789"), hookReader(noise), strings.NewReader("0123456789")), rc: w}
 			m.up.within = 1000
 			if err := m.up.pass(cn, m.up.length, time.Time{}); err != errEarly {
 				t.Errorf("pass returned %v", err)
@@ -133,14 +133,14 @@
 	}
 }
 
-// stirring is an empty reader that calls the function when it is read.
-type stirring func()
+// hookReader is an empty reader that calls the function when it is read.
+type hookReader func()
 
-func (s stirring) Read([]byte) (int, error) { s(); return 0, io.EOF }
+func (s hookReader) Read([]byte) (int, error) { s(); return 0, io.EOF }
 
 // An answer without a length that is truncated by the limit on answers must not count as complete. An answer that switches protocols
 // is Dropped, and its connection is not reused for HTTP.
-func TestAnswersThatEndElsewhere(t *testing.T) {
+func TestTruncatedAndUpgradedAnswersAreDropped(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", answerMost-1000) + "\r\n\r\n"
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -156,11 +156,11 @@
 			return
 		}
 	})
-	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
-	if r := try(t, x, to, get("cut")); r.Status != balance.Dropped {
+	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	if r := attemptOnce(t, x, to, getMessage("cut")); r.Status != balance.Dropped {
 		t.Errorf("truncated by the limit: %v with %d bytes", r.Status, len(replyOf(r.Body).body))
 	}
-	if r := try(t, x, to, get("switch")); r.Status != balance.Dropped {
+	if r := attemptOnce(t, x, to, getMessage("switch")); r.Status != balance.Dropped {
 		t.Errorf("switched protocols: %v", r.Status)
 	}
 	x.pool.mu.Lock()
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -19,12 +19,12 @@
 	"time"
 )
 
-// cramped names the environment variable with which the test binary runs as a node. Its value is the configuration. The process
+// limitedNodeEnv names the environment variable with which the test binary runs as a node. Its value is the configuration. The process
 // limits itself to leastSockets descriptors, prints its addresses, and when its standard input ends the peak of its open descriptors.
-const cramped = "GLENCART_TEST_CRAMPED"
+const limitedNodeEnv = "GLENCART_TEST_CRAMPED"
 
 func init() {
-	text := os.Getenv(cramped)
+	text := os.Getenv(limitedNodeEnv)
 	if text == "" {
 		return
 	}
@@ -60,7 +60,7 @@
 // A node must not run out of descriptors. Here clients and callers of the management endpoint open connections and send nothing or a
 // part of a request, backends are slow, and discovery refuses or hangs. The node still serves requests, sends to its peers, and applies
 // a drain as soon as discovery is back.
-func TestCrowdsLeaveDescriptorsForTheRest(t *testing.T) {
+func TestDescriptorLimitUnderConnectionFlood(t *testing.T) {
 	t.Parallel()
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +82,7 @@
 	release, arrived := make(chan struct{}), make(chan struct{}, 64)
 	var oldLastAt atomic.Int64 // when an old backend last received a request
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
-		return answering(func(r *http.Request) string {
+		return serveAnswers(func(r *http.Request) string {
 			if !strings.HasPrefix(r.URL.Path, "/api/") {
 				return ok200("{}")
 			}
@@ -97,9 +97,9 @@
 		})
 	}
 	const many = 24 // more than the pool may hold: each connection of a probe is kept for a while
-	var known, drained []listed
+	var known, drained []listedBackend
 	for i := range many {
-		old := listed{ID: fmt.Sprintf("s-old-%d", i), Addr: newRawBackend(t, "127.0.0.1:0", serve("old")).Addr().String(), Phase: "ready"}
+		old := listedBackend{ID: fmt.Sprintf("s-old-%d", i), Addr: newRawBackend(t, "127.0.0.1:0", serve("old")).Addr().String(), Phase: "ready"}
 		known = append(known, old)
 		old.Phase = "draining"
 		drained = append(drained, old)
@@ -119,13 +119,13 @@
 			calls.Add(1)
 			switch mode.Load() {
 			case "refuses":
-				reset(c)
+				resetConn(c)
 				return
 			case "hangs":
 				<-resumed
 				return
 			}
-			text := listText(2, true, append(drained, listed{ID: "s-new", Addr: newBackend.Addr().String(), Phase: "ready"})...)
+			text := listText(2, true, append(drained, listedBackend{ID: "s-new", Addr: newBackend.Addr().String(), Phase: "ready"})...)
 			if r.URL.RawQuery != "" && listSentAt.Load() != 0 {
 				time.Sleep(100 * time.Millisecond)
 				text = listText(2, false)
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	child := exec.Command(os.Args[0], "-test.run=^$")
-	child.Env = append(os.Environ(), cramped+"="+string(raw))
+	child.Env = append(os.Environ(), limitedNodeEnv+"="+string(raw))
 	var log strings.Builder
 	child.Stderr = &log
 	stdin, _ := child.StdinPipe()
@@ -161,7 +161,7 @@
 	}
 	fmt.Sscan(output.Text(), &addr, &admin)
 	call := func(to, path string) (status int, body string) {
-		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, "http://"+to+path, "read"))
+		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newTestRequest(t, "http://"+to+path, "read"))
 		if err != nil {
 			return 0, err.Error()
 		}
--- a/internal/node/disk_test.go
+++ b/internal/node/disk_test.go
@@ -13,12 +13,12 @@
 
 // An operator's call that takes a backend out of service must not be lost when the disk fails. The call applies to this process and
 // is answered with an error. The node stores it as soon as it can, since a successor reads it from there.
-func TestACallOutlastsADiskThatFails(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+func TestOperatorCallIsStoredAfterDiskFailure(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Management, cfg.Shared = "127.0.0.1:0", t.TempDir()
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	eventually(t, "the node accepting clients", n.running.Load)
 	// A folder of the name of the new file makes the write fail.
 	blocked := filepath.Join(cfg.Shared, "glencart.state.new")
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	status, _ := n.call(t, "POST", "/control/backends/s/offline")
+	status, _ := n.callManagement(t, "POST", "/control/backends/s/offline")
 	if d := time.Since(began); status < 500 || d > time.Second {
 		t.Errorf("call with a failing disk: answered %d after %v", status, d)
 	}
-	n.onLoop(t, func() {
+	n.runOnLoop(t, func() {
 		if _, _, phase, _ := n.loop.Backend("s"); phase != balance.Draining {
 			t.Error("the call was not applied")
 		}
@@ -38,7 +38,7 @@
 	if err := os.RemoveAll(blocked); err != nil {
 		t.Fatal(err)
 	}
-	successor, err := handover.Open(cfg.Shared, cfg.Name, quiet())
+	successor, err := handover.Open(cfg.Shared, cfg.Name, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		calls := successor.Calls()
 		return len(calls) == 1 && calls[0].ID == "s" && calls[0].Out
 	})
-	if status, _ := n.call(t, "POST", "/control/backends/s/offline"); status != http.StatusOK {
+	if status, _ := n.callManagement(t, "POST", "/control/backends/s/offline"); status != http.StatusOK {
 		t.Errorf("call repeated after the failure: %d", status)
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -13,16 +13,16 @@
 
 // A draining backend must get no new request. The balancer chooses it no more, and an attempt that is still dialing when the update
 // arrives is not written.
-func TestDrainStopsWhatHangsInADial(t *testing.T) {
+func TestDrainStopsPendingDials(t *testing.T) {
 	got := make(chan string, 8)
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
-		return answering(func(*http.Request) string { got <- name; return ok200(name) })
+		return serveAnswers(func(*http.Request) string { got <- name; return ok200(name) })
 	}
 	old := newRawBackend(t, "127.0.0.1:0", serve("old"))
 	other := newRawBackend(t, "127.0.0.1:0", serve("other"))
-	text := listText(1, true, listed{ID: "old", Addr: old.Addr().String(), Phase: "ready", Up: 0})
+	text := listText(1, true, listedBackend{ID: "old", Addr: old.Addr().String(), Phase: "ready", Up: 0})
 	reg := newRegistry(t, text)
-	n, err := New(t.Context(), testConfig(t, reg.Addr, text), quiet())
+	n, err := New(t.Context(), testConfig(t, reg.Addr, text), discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,17 +38,17 @@
 	ended := make(chan struct{})
 	go func() { n.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	s := &started{Node: n, url: "http://" + n.Addr().String()}
+	s := &testNode{Node: n, url: "http://" + n.Addr().String()}
 	answered := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, s.url+"/api/x", "order"))
+		_, body := doRequest(t, newTestRequest(t, s.url+"/api/x", "order"))
 		answered <- body
 	}()
 	receive(t, "a dial", dialing)
-	reg.Next <- listText(2, false, listed{ID: "old", Addr: old.Addr().String(), Phase: "draining", Up: 0},
-		listed{ID: "new", Addr: other.Addr().String(), Phase: "ready", Up: 0})
+	reg.Next <- listText(2, false, listedBackend{ID: "old", Addr: old.Addr().String(), Phase: "draining", Up: 0},
+		listedBackend{ID: "new", Addr: other.Addr().String(), Phase: "ready", Up: 0})
 	eventually(t, "the update", func() (applied bool) {
-		s.onLoop(t, func() { applied = phaseOf(s, "old") == balance.Draining })
+		s.runOnLoop(t, func() { applied = phaseOf(s, "old") == balance.Draining })
 		return applied
 	})
 	close(proceed)
@@ -57,7 +57,7 @@
 		t.Errorf("answered %q", body)
 	}
 	for range 3 {
-		if _, body := do(t, ask(t, s.url+"/api/x", "order")); body != "other" {
+		if _, body := doRequest(t, newTestRequest(t, s.url+"/api/x", "order")); body != "other" {
 			t.Errorf("answered %q", body)
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func phaseOf(n *started, id string) balance.Phase {
+func phaseOf(n *testNode, id string) balance.Phase {
 	_, _, phase, _ := n.loop.Backend(id)
 	return phase
 }
--- a/internal/node/emptylist_test.go
+++ b/internal/node/emptylist_test.go
@@ -8,19 +8,19 @@
 
 // A complete list removes every backend that it doesn't name, also when it is empty. If the node ignored an empty list, requests
 // would still go to removed backends. It rejects them until a list names a backend again.
-func TestAWholeListOfNobody(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+func TestEmptyListRemovesAllBackends(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	reg := newRegistry(t, text)
-	n := start(t, testConfig(t, reg.Addr, text))
+	n := startNode(t, testConfig(t, reg.Addr, text))
 	eventually(t, "the node accepting clients", n.running.Load)
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Fatalf("before the empty list: %d", resp.StatusCode)
 	}
 	reg.Next <- listText(2, true)
 	sentAt := time.Now()
 	isRejected := func() bool {
-		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
 		return resp.StatusCode == http.StatusServiceUnavailable
 	}
 	eventually(t, "a rejected request", isRejected)
@@ -30,9 +30,9 @@
 	if !isRejected() {
 		t.Error("a request was served without a backend")
 	}
-	reg.Next <- listText(3, false, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	reg.Next <- listText(3, false, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	eventually(t, "a served request", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
 		return resp.StatusCode == http.StatusOK
 	})
 }
--- a/internal/node/room_test.go
+++ b/internal/node/footprint_test.go
@@ -16,13 +16,13 @@
 	"time"
 )
 
-// BenchmarkRoom measures the cost of lists of backends and peers in an idle node: bytes of heap and stacks in use, and goroutines.
-func BenchmarkRoom(b *testing.B) {
+// BenchmarkIdleNodeFootprint measures the cost of lists of backends and peers in an idle node: bytes of heap and stacks in use, and goroutines.
+func BenchmarkIdleNodeFootprint(b *testing.B) {
 	for _, backends := range []int{20, 200, 1024} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
-			var members []listed
+			var members []listedBackend
 			for i := range backends {
-				members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i), Phase: "ready"})
+				members = append(members, listedBackend{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i), Phase: "ready"})
 			}
 			text := listText(1, true, members...)
 			for b.Loop() {
@@ -39,7 +39,7 @@
 				}
 				cfg.PeerListen = "127.0.0.1:0"
 				b.StartTimer()
-				n, err := New(t.Context(), cfg, quiet())
+				n, err := New(t.Context(), cfg, discardLog())
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -55,23 +55,23 @@
 	}
 }
 
-// BenchmarkRoomUnderLoad measures the heap and stacks, goroutines and answers of a node whose request slots are in use. 64 clients send
+// BenchmarkLoadedNodeFootprint measures the heap and stacks, goroutines and answers of a node whose request slots are in use. 64 clients send
 // without a pause, and each answer takes 20 ms. Backends and clients run in a process of their own.
-func BenchmarkRoomUnderLoad(b *testing.B) {
+func BenchmarkLoadedNodeFootprint(b *testing.B) {
 	for _, backends := range []int{20, 200, 1024} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
 			for b.Loop() {
 				helper := exec.Command(os.Args[0], "-test.run=^$")
-				helper.Env = append(os.Environ(), fmt.Sprintf("%s=%d", surroundings, backends))
+				helper.Env = append(os.Environ(), fmt.Sprintf("%s=%d", loadHelperEnv, backends))
 				stdin, _ := helper.StdinPipe()
 				stdout, _ := helper.StdoutPipe()
 				if err := helper.Start(); err != nil {
 					b.Fatal(err)
 				}
 				output := bufio.NewScanner(stdout)
-				var members []listed
+				var members []listedBackend
 				for i := 0; i < backends && output.Scan(); i++ {
-					members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: output.Text(), Phase: "ready"})
+					members = append(members, listedBackend{ID: fmt.Sprintf("s-%d", i), Addr: output.Text(), Phase: "ready"})
 				}
 				var before, now runtime.MemStats
 				runtime.GC()
@@ -79,7 +79,7 @@
 				goroutines := runtime.NumGoroutine()
 				cfg := testConfig(&testing.T{}, "127.0.0.1:1", listText(1, true, members...))
 				cfg.Limits = Limits{Cores: 1, MemoryMB: 32, Sockets: 256}
-				n, err := New(context.Background(), cfg, quiet())
+				n, err := New(context.Background(), cfg, discardLog())
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -106,12 +106,12 @@
 	}
 }
 
-// surroundings names the environment variable with which the test binary runs as this many backends, and as 64 clients of a node for
+// loadHelperEnv names the environment variable with which the test binary runs as this many backends, and as 64 clients of a node for
 // two seconds. It reads the address of the node from standard input.
-const surroundings = "GLENCART_TEST_SURROUNDINGS"
+const loadHelperEnv = "GLENCART_TEST_SURROUNDINGS"
 
 func init() {
-	backends, _ := strconv.Atoi(os.Getenv(surroundings))
+	backends, _ := strconv.Atoi(os.Getenv(loadHelperEnv))
 	if backends == 0 {
 		return
 	}
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// talk writes text to a node in pieces of this many bytes. It returns the statuses of the answers up to the close of the connection.
-func talk(t *testing.T, n *started, text string, piece int) (statuses []int) {
+// sendInPieces writes text to a node in pieces of this many bytes. It returns the statuses of the answers up to the close of the connection.
+func sendInPieces(t *testing.T, n *testNode, text string, piece int) (statuses []int) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	go func() {
 		for len(text) > 0 {
 			size := min(piece, len(text))
@@ -45,13 +45,13 @@
 
 // A request with two conflicting lengths may hide another one in its body (request smuggling, RFC 9112, section 11.2). It gets a 4xx
 // and a close, whole or in pieces, first on its connection or not. Neither it nor the hidden request reaches a backend.
-func TestTwoLengthsAreRefused(t *testing.T) {
+func TestConflictingLengthsAreRejected(t *testing.T) {
 	seen := make(chan string, 64)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		seen <- r.Header.Get("X-Trace-Id")
 		return ok200("x")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	head := func(class, id, lengths string) string {
 		method := "POST"
 		if class == "read" {
@@ -73,7 +73,7 @@
 	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
 			t.Run(fmt.Sprintf("%s by %d", name, piece), func(t *testing.T) {
-				if got := talk(t, n, text, piece); len(got) != 1 || got[0] < 400 || got[0] > 499 || got[0] == 429 {
+				if got := sendInPieces(t, n, text, piece); len(got) != 1 || got[0] < 400 || got[0] > 499 || got[0] == 429 {
 					t.Errorf("answered %v", got)
 				}
 			})
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		br := bufio.NewReader(c)
 		// The body of the first request looks like a head and must not be parsed as one.
 		body := "Transfer-Encoding: chunked\r\n\r\n"
@@ -120,15 +120,15 @@
 // chunk are read as a request.
 func TestChunkedRequestIsServed(t *testing.T) {
 	got := make(chan string, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		body, _ := io.ReadAll(r.Body)
 		got <- string(body)
 		return ok200("x")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	text := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: chunks\r\nX-Qos: order\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n" +
 		"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
-	if got := talk(t, n, text, len(text)); len(got) != 1 || got[0] != 200 {
+	if got := sendInPieces(t, n, text, len(text)); len(got) != 1 || got[0] != 200 {
 		t.Errorf("answered %v", got)
 	}
 	if body := receive(t, "the request at the backend", got); body != "abc" {
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -14,9 +14,9 @@
 
 // State of removed backends must not accumulate, however many there were. A backend with an attempt in flight stays until the
 // attempt ends, and no number is assigned twice, so that its result can't be taken for that of another backend.
-func TestBackendsThatAreGoneAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreReleased(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			arrived <- struct{}{}
 			<-release
@@ -24,12 +24,12 @@
 		return ok200("x")
 	}))
 	addr := b.Addr().String()
-	text := listText(1, true, listed{ID: "first", Addr: addr, Phase: "ready", Up: 0})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
+	text := listText(1, true, listedBackend{ID: "first", Addr: addr, Phase: "ready", Up: 0})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 	eventually(t, "the list of discovery", func() bool { return n.loop.Ready() })
 	slow := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
 	receive(t, "the slow request", arrived)
@@ -38,7 +38,7 @@
 	}
 	seen := map[balance.BackendID]bool{}
 	const ids = 3000
-	n.onLoop(t, func() {
+	n.runOnLoop(t, func() {
 		for i := range ids {
 			id := fmt.Sprintf("s-%d", i)
 			l := engine.List{Members: []engine.Member{member(id, balance.Ready), member("never-named", balance.Gone)}}
@@ -48,7 +48,7 @@
 				l.Members, l.Complete = l.Members[:1], true
 				n.loop.TakeList(balance.MembersAll, l)
 			}
-			number := numberOf(n, id)
+			number := backendNumber(n, id)
 			if seen[number] {
 				t.Errorf("number %d was assigned twice", number)
 			}
@@ -57,7 +57,7 @@
 				n.loop.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{member(id, balance.Gone)}})
 			}
 		}
-		if !knows(n, "first") {
+		if !hasBackend(n, "first") {
 			t.Error("backend released with a request in flight")
 		}
 	})
@@ -65,7 +65,7 @@
 	if body := receive(t, "the slow answer", slow); body != "x" {
 		t.Errorf("slow request: %q", body)
 	}
-	n.onLoop(t, func() {
+	n.runOnLoop(t, func() {
 		if n.loop.Backends() > 1 {
 			t.Errorf("%d backends kept", n.loop.Backends())
 		}
@@ -74,9 +74,9 @@
 
 // A new backend at the address of a removed one must not use its connections, also not one that returns to the pool later. Such a
 // connection may lead to the old process.
-func TestNewBackendAtAUsedAddress(t *testing.T) {
+func TestReusedAddressSharesNoConnections(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			arrived <- struct{}{}
 			<-release
@@ -84,23 +84,23 @@
 		return ok200("x")
 	}))
 	addr := b.Addr().String()
-	reg := newRegistry(t, listText(1, true, listed{ID: "old", Addr: addr, Phase: "ready", Up: 0}))
-	n := start(t, testConfig(t, reg.Addr, "null"))
+	reg := newRegistry(t, listText(1, true, listedBackend{ID: "old", Addr: addr, Phase: "ready", Up: 0}))
+	n := startNode(t, testConfig(t, reg.Addr, "null"))
 	eventually(t, "the list", n.loop.Ready)
 	slow := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
 	receive(t, "the slow request", arrived)
-	reg.Next <- listText(2, false, listed{ID: "old", Addr: addr, Phase: "gone", Up: 0}, listed{ID: "new", Addr: addr, Phase: "ready", Up: 0})
+	reg.Next <- listText(2, false, listedBackend{ID: "old", Addr: addr, Phase: "gone", Up: 0}, listedBackend{ID: "new", Addr: addr, Phase: "ready", Up: 0})
 	eventually(t, "the new backend", func() (isListed bool) {
-		n.onLoop(t, func() { isListed = knows(n, "new") })
+		n.runOnLoop(t, func() { isListed = hasBackend(n, "new") })
 		return isListed
 	})
 	close(release)
 	receive(t, "the slow answer", slow)
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != 200 {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	if got := b.Accepted.Load(); got != 2 {
@@ -109,60 +109,60 @@
 }
 
 // The loop must release the state and timers of requests whose clients never come again, or its tables grow without a limit.
-func TestRequestsLeaveNothingBehind(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	n := startOn(t, b.Addr().String())
+func TestRequestStateIsReleased(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	n := startNodeWithBackends(t, b.Addr().String())
 	for i := range 200 {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(c, "GET /api/k%d HTTP/1.1\r\nHost: x\r\nX-Trace-Id: once-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 0.2\r\n\r\n", i, i)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
 		c.Close()
 	}
 	eventually(t, "empty tables and no timer", func() (empty bool) {
-		n.onLoop(t, func() { empty = n.loop.Open() == 0 && !ringing(n) })
+		n.runOnLoop(t, func() { empty = n.loop.Open() == 0 && !hasTimer(n) })
 		return empty && n.front.connections() == 0
 	})
 }
 
-// knows reports whether the engine of a node still keeps a backend.
-func knows(n *started, id string) bool {
+// hasBackend reports whether the engine of a node still keeps a backend.
+func hasBackend(n *testNode, id string) bool {
 	_, _, _, isKnown := n.loop.Backend(id)
 	return isKnown
 }
 
-// numberOf returns the number that the engine assigned to a backend.
-func numberOf(n *started, id string) balance.BackendID {
+// backendNumber returns the number that the engine assigned to a backend.
+func backendNumber(n *testNode, id string) balance.BackendID {
 	_, number, _, _ := n.loop.Backend(id)
 	return number
 }
 
-// ringing reports whether a timer is set.
-func ringing(n *started) bool {
+// hasTimer reports whether a timer is set.
+func hasTimer(n *testNode) bool {
 	_, isSet := n.loop.Next()
 	return isSet
 }
 
 // A backend that refuses connections and later answers again at its address is a new process. The node treats it as cold before a
 // list reports the new start time. A cold process would otherwise get the full load of a warm one.
-func TestBackendThatRefusedIsANewProcess(t *testing.T) {
-	serve := answering(func(*http.Request) string { return ok200("x") })
+func TestBackendThatRefusedConnectionsIsCold(t *testing.T) {
+	serve := serveAnswers(func(*http.Request) string { return ok200("x") })
 	conns := make(chan net.Conn, 64)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
-	n := startOn(t, addr)
+	n := startNodeWithBackends(t, addr)
 	request := func() int {
-		resp, _ := do(t, ask(t, n.url+"/api/x", "read"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "read"))
 		return resp.StatusCode
 	}
 	eventually(t, "an answer", func() bool { return request() == 200 })
 	launched := func() (at time.Duration) {
-		n.onLoop(t, func() { to, _, _, _ := n.loop.Backend("s-0"); at = to.Launched })
+		n.runOnLoop(t, func() { to, _, _, _ := n.loop.Backend("s-0"); at = to.Launched })
 		return at
 	}
 	if at := launched(); at != 0 {
@@ -170,16 +170,16 @@
 	}
 	b.Close()
 	for len(conns) > 0 {
-		reset(<-conns)
+		resetConn(<-conns)
 	}
-	eventually(t, "a refusal", func() bool { request(); return n.doubted(t) > 0 })
+	eventually(t, "a refusal", func() bool { request(); return n.suspectedRestarts(t) > 0 })
 	began := n.loop.Clock()
 	newRawBackend(t, addr, serve)
 	eventually(t, "a new process", func() bool { request(); return launched() >= began })
 }
 
-// doubted returns the number of backends whose restart is suspected.
-func (s *started) doubted(t *testing.T) (count int) {
-	s.onLoop(t, func() { count = s.hand.InDoubt() })
+// suspectedRestarts returns the number of backends whose restart is suspected.
+func (s *testNode) suspectedRestarts(t *testing.T) (count int) {
+	s.runOnLoop(t, func() { count = s.hand.InDoubt() })
 	return count
 }
--- a/internal/node/rude_test.go
+++ b/internal/node/invalid_clients_test.go
@@ -13,14 +13,14 @@
 )
 
 // dial returns a connection to the node.
-func (s *started) dial(t *testing.T) net.Conn {
+func (s *testNode) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -29,9 +29,9 @@
 
 // A client that sends an invalid, incomplete or endless request must not hold a connection for long or reach a backend. It gets an
 // error or a close within the limits for a head and a body.
-func TestBadClientsAreEnded(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
-	n := startOn(t, b.Addr().String())
+func TestInvalidClientsAreDisconnected(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("") }))
+	n := startNodeWithBackends(t, b.Addr().String())
 	n.front.bodyMost.Store(1 << 20)
 	repeat := func(piece string, pause time.Duration) func(net.Conn) {
 		return func(c net.Conn) {
@@ -91,7 +91,7 @@
 			}
 			defer c.Close()
 			began := time.Now()
-			c.SetDeadline(began.Add(patience))
+			c.SetDeadline(began.Add(testTimeout))
 			go send(c)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
@@ -114,23 +114,23 @@
 
 // Clients that send nothing or send slowly must not keep others out of a full node. Their connections are closed to make room, but
 // never one with an open request.
-func TestSilentClientsGiveWay(t *testing.T) {
+func TestSilentClientsAreEvicted(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			arrived <- struct{}{}
 			<-release
 		}
 		return ok200("x")
 	}))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Limits.Sockets = leastSockets
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.share()
 	slow := make(chan int, 1)
 	go func() {
-		resp, _ := do(t, ask(t, n.url+"/api/slow", "read"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/slow", "read"))
 		slow <- resp.StatusCode
 	}()
 	receive(t, "the open request", arrived)
@@ -144,7 +144,7 @@
 			fmt.Fprintf(c, "%sX-Trace-Id: slow-%d\r\nContent-Length: 10\r\n\r\nabc", orderHead, i)
 		}
 	}
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
 		t.Errorf("normal client: %d", resp.StatusCode)
 	}
 	// If they were not disconnected, they would hold all connections until their timeout.
@@ -155,24 +155,24 @@
 	if status := receive(t, "the answer to the open request", slow); status != 200 {
 		t.Errorf("open request: %d", status)
 	}
-	eventually(t, "an empty request table", func() bool { return n.front.connections() == 0 && n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.front.connections() == 0 && n.openRequests(t) == 0 })
 	if c := n.front.table.Counts(); c.Waiting != 0 {
 		t.Errorf("counted as waiting: %d", c.Waiting)
 	}
 }
 
 // Requests whose bodies arrive slowly must not occupy the slots for open requests. A few such clients could block a node.
-func TestSlowBodiesTakeNoPlaces(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	n := startOn(t, b.Addr().String())
-	n.onLoop(t, func() {})
+func TestSlowBodiesHoldNoRequestSlots(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	n := startNodeWithBackends(t, b.Addr().String())
+	n.runOnLoop(t, func() {})
 	n.front.inFlight.Store(n.front.most.Load() - 1) // one request below the limit
 	for i := range 8 {
 		fmt.Fprintf(n.dial(t), "%sX-Trace-Id: slow-%d\r\nContent-Length: 10\r\n\r\nabc", orderHead, i)
 	}
 	eventually(t, "the connections of the slow clients", func() bool { return n.front.connections() == 8 })
 	time.Sleep(20 * time.Millisecond)
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != 200 {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	n.front.inFlight.Add(1 - n.front.most.Load())
--- a/internal/node/lastbyte_test.go
+++ b/internal/node/lastbyte_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// hardOfHearing returns a listener whose receive buffer holds only a part of a request.
-func hardOfHearing(t *testing.T) net.Listener {
+// listenSmallBuffer returns a listener whose receive buffer holds only a part of a request.
+func listenSmallBuffer(t *testing.T) net.Listener {
 	t.Helper()
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
@@ -29,12 +29,12 @@
 
 // A backend that hangs or is unreachable must not receive the rest of a request after its client has disconnected or its deadline has
 // passed. A backend runs a request when its last byte arrives, and after a plain close the system still sends what it has buffered.
-func TestNothingArrivesAfterItsClient(t *testing.T) {
+func TestRequestDoesNotCompleteAfterItsClientLeft(t *testing.T) {
 	for _, ending := range []string{"leaves", "time is up"} {
 		for _, length := range []int{60 << 10, 1 << 20} {
 			t.Run(fmt.Sprintf("%s, %d bytes", ending, length), func(t *testing.T) {
 				t.Parallel()
-				l := hardOfHearing(t)
+				l := listenSmallBuffer(t)
 				var wholeBodies atomic.Int32
 				headsRead, resume, bodiesRead := make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
 				go func() {
@@ -58,8 +58,8 @@
 						}()
 					}
 				}()
-				text := listText(1, true, listed{ID: "s", Addr: l.Addr().String(), Phase: "ready"})
-				n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
+				text := listText(1, true, listedBackend{ID: "s", Addr: l.Addr().String(), Phase: "ready"})
+				n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 				eventually(t, "the node accepting clients", n.running.Load)
 				c := n.dial(t)
 				fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: late-%d\r\nX-Qos: order\r\nX-Customer: acme\r\nX-Expires-In: %s\r\n"+
@@ -70,7 +70,7 @@
 				} else if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 					t.Fatal(err)
 				}
-				eventually(t, "the release of the request and its connection", func() bool { return n.open(t) == 0 && n.front.inFlight.Load() == 0 })
+				eventually(t, "the release of the request and its connection", func() bool { return n.openRequests(t) == 0 && n.front.inFlight.Load() == 0 })
 				close(resume)
 				receive(t, "the end of the request at the backend", bodiesRead)
 				if wholeBodies.Load() > 0 {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -20,19 +20,19 @@
 )
 
 // Short names for the helpers of package standin.
-const patience = standin.Patience
+const testTimeout = standin.Patience
 
 type (
-	rawBackend = standin.Raw
-	listed     = standin.Listed
-	scripted   = standin.Registry
+	rawBackend    = standin.Raw
+	listedBackend = standin.Listed
+	testRegistry  = standin.Registry
 )
 
 var (
-	quiet       = standin.Quiet
-	reset       = standin.Reset
+	discardLog  = standin.Quiet
+	resetConn   = standin.Reset
 	listText    = standin.ListText
-	newRegistry = func(t *testing.T, whole string) *scripted { t.Helper(); return standin.NewRegistry(t, whole) }
+	newRegistry = func(t *testing.T, whole string) *testRegistry { t.Helper(); return standin.NewRegistry(t, whole) }
 )
 
 func eventually(t *testing.T, what string, ok func() bool) {
@@ -60,8 +60,8 @@
  "obligations":{"drainGrace":500000000,"coldShare":0.12,"warmWithin":22000000000,"fallMultiple":3,"overloadFor":1500000000},
  "loadReport":{"source":"on_probe","columns":["active","cpu"]}}`
 
-// answering returns a function that serves requests on a connection until the connection ends.
-func answering(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
+// serveAnswers returns a function that serves requests on a connection until the connection ends.
+func serveAnswers(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// testConfig returns a configuration with testSettings. change has pairs of an old and a new text in them.
+// testConfig returns a configuration with testSettings. replacements has pairs of an old and a new text for them.
 func testConfig(t *testing.T, discovery string, known string, replacements ...string) Config {
 	t.Helper()
 	text := strings.NewReplacer(replacements...).Replace(testSettings)
@@ -101,26 +101,26 @@
 	return cfg
 }
 
-// started is a node under test.
-type started struct {
+// testNode is a node under test.
+type testNode struct {
 	*Node
-	url  string
-	stop context.CancelFunc
-	err  chan error
+	url    string
+	stop   context.CancelFunc
+	result chan error
 }
 
-// start runs a node until the test ends.
-func start(t *testing.T, cfg Config) *started {
+// startNode runs a node until the test ends.
+func startNode(t *testing.T, cfg Config) *testNode {
 	t.Helper()
-	n, err := New(t.Context(), cfg, quiet())
+	n, err := New(t.Context(), cfg, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &started{Node: n, url: "http://" + n.Addr().String(), stop: cancel, err: make(chan error, 1)}
+	s := &testNode{Node: n, url: "http://" + n.Addr().String(), stop: cancel, result: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() {
-		s.err <- n.Run(ctx)
+		s.result <- n.Run(ctx)
 		close(ended)
 	}()
 	t.Cleanup(func() {
@@ -130,19 +130,19 @@
 	return s
 }
 
-// startOn starts a node with these backends, which are also what its discovery lists.
-func startOn(t *testing.T, addrs ...string) *started {
+// startNodeWithBackends starts a node with these backends, which are also what its discovery lists.
+func startNodeWithBackends(t *testing.T, addrs ...string) *testNode {
 	t.Helper()
-	var members []listed
+	var members []listedBackend
 	for i, a := range addrs {
-		members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: a, Phase: "ready"})
+		members = append(members, listedBackend{ID: fmt.Sprintf("s-%d", i), Addr: a, Phase: "ready"})
 	}
 	text := listText(1, true, members...)
-	return start(t, testConfig(t, newRegistry(t, text).Addr, text))
+	return startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 }
 
-// onLoop runs f on the node's loop and waits for it.
-func (s *started) onLoop(t *testing.T, f func()) {
+// runOnLoop runs f on the node's loop and waits for it.
+func (s *testNode) runOnLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	if !s.loop.Post(func() { f(); close(done) }) {
@@ -151,16 +151,16 @@
 	receive(t, "the loop", done)
 }
 
-// open returns the number of requests in the table of the loop.
-func (s *started) open(t *testing.T) (n int) {
-	s.onLoop(t, func() { n = s.loop.Open() })
+// openRequests returns the number of requests in the table of the loop.
+func (s *testNode) openRequests(t *testing.T) (n int) {
+	s.runOnLoop(t, func() { n = s.loop.Open() })
 	return n
 }
 
 var lastID atomic.Int64
 
-// ask returns a request of this class as a client sends it.
-func ask(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
+// newTestRequest returns a request of this class as a client sends it.
+func newTestRequest(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
 	if class == "read" {
@@ -183,8 +183,8 @@
 	return r
 }
 
-// do sends a request on a connection of its own and returns the answer and its body.
-func do(t *testing.T, r *http.Request) (*http.Response, string) {
+// doRequest sends a request on a connection of its own and returns the answer and its body.
+func doRequest(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(r)
@@ -201,24 +201,24 @@
 
 // A node that shuts down must not lose requests that it has accepted, or that clients still send before they notice. It serves new
 // connections for a while, answers every request that it has read, closes each connection after an answer, and ends.
-func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
+func TestShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 16)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			arrived <- struct{}{}
 			<-release
 		}
 		return ok200("done")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read"))
 		return resp.StatusCode == 200
 	})
 	client := &http.Client{Transport: &http.Transport{}}
 	slow := make(chan *http.Response, 1)
 	go func() {
-		resp, err := client.Do(ask(t, n.url+"/api/slow", "order"))
+		resp, err := client.Do(newTestRequest(t, n.url+"/api/slow", "order"))
 		if err != nil {
 			t.Error(err)
 			resp = &http.Response{}
@@ -229,10 +229,10 @@
 	began := time.Now()
 	n.stop()
 	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
-	if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
 		t.Errorf("readiness during shutdown: %d", resp.StatusCode)
 	}
-	if resp, body := do(t, ask(t, n.url+"/api/late", "order")); resp.StatusCode != 200 || body != "done" || !resp.Close {
+	if resp, body := doRequest(t, newTestRequest(t, n.url+"/api/late", "order")); resp.StatusCode != 200 || body != "done" || !resp.Close {
 		t.Errorf("new connection during shutdown: %d %q, closed: %t", resp.StatusCode, body, resp.Close)
 	}
 	eventually(t, "the end of accepting", func() bool {
@@ -249,15 +249,15 @@
 	if resp := receive(t, "the slow answer", slow); resp.StatusCode != 200 {
 		t.Errorf("slow request: %d", resp.StatusCode)
 	}
-	if err := receive(t, "the end of the node", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.result); err != nil {
 		t.Error(err)
 	}
 }
 
 // A request in the backlog of a full node must be served although the node shuts down. Its client is connected and would see a reset.
-func TestLeavingServesTheBacklog(t *testing.T) {
+func TestShutdownServesBacklog(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 64)
-	serve := answering(func(r *http.Request) string {
+	serve := serveAnswers(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			arrived <- struct{}{}
 			<-release
@@ -265,16 +265,16 @@
 		return ok200("done")
 	})
 	text := listText(1, true, // one runs the slow request, the other is idle
-		listed{ID: "s-0", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0},
-		listed{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0})
+		listedBackend{ID: "s-0", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0},
+		listedBackend{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Limits.Sockets = leastSockets
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.share()
 	n.front.table.KeepAll() // no idle connection is closed to make room
 	slow := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
 	receive(t, "the slow request at the backend", arrived)
@@ -290,7 +290,7 @@
 	eventually(t, "a full node", n.listener.Full)
 	queued := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/waits", "order"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/waits", "order"))
 		queued <- body
 	}()
 	n.stop()
@@ -305,26 +305,26 @@
 	if body := receive(t, "the slow answer", slow); body != "done" {
 		t.Errorf("slow request: %q", body)
 	}
-	if err := receive(t, "the end of the node", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.result); err != nil {
 		t.Error(err)
 	}
 }
 
 // A node without backends must not report itself ready, since it could serve nothing. It becomes ready when discovery lists one.
 func TestReadyOnlyWithBackends(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
 	reg := newRegistry(t, listText(1, true))
-	n := start(t, testConfig(t, reg.Addr, "null"))
-	resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+	n := startNode(t, testConfig(t, reg.Addr, "null"))
+	resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read"))
 	if resp.StatusCode != 503 {
 		t.Fatalf("readiness without backends: %d", resp.StatusCode)
 	}
-	reg.Next <- listText(2, false, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+	reg.Next <- listText(2, false, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read"))
 		return resp.StatusCode == 200
 	})
-	if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
+	if resp, body := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
 		t.Fatalf("after the update: answered %d %q", resp.StatusCode, body)
 	}
 }
@@ -368,16 +368,16 @@
 
 // A node that shuts down keeps the connections of its clients while it can still answer in time. If it closed them at once, clients
 // might find no other node while others restart too.
-func TestLeavingKeepsConnectionsForAWhile(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":3000000000`))
+func TestShutdownKeepsClientConnections(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":3000000000`))
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(c)
 	request := func() (*http.Response, error) {
 		fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: id-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 0.5\r\n\r\n", lastID.Add(1))
@@ -410,7 +410,7 @@
 	if d := time.Since(began); d < 2*(life.Platform.Still+life.Late) {
 		t.Errorf("connections closed too early, after %v", d)
 	}
-	if err := receive(t, "the end of the node", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.result); err != nil {
 		t.Error(err)
 	}
 	if d := time.Since(began); d > 3700*time.Millisecond {
@@ -420,22 +420,22 @@
 
 // Requests that are open at SIGTERM or arrive after it get one whole answer before SIGKILL, even if their deadlines end later. The
 // cases are a backend that never answers, an upload, and a node with a successor.
-func TestLeavingCutsLongDeadlines(t *testing.T) {
+func TestShutdownShortensDeadlines(t *testing.T) {
 	for _, hasSuccessor := range []bool{false, true} {
 		t.Run(fmt.Sprintf("followed=%t", hasSuccessor), func(t *testing.T) {
 			t.Parallel()
 			arrived := make(chan struct{}, 16)
-			b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+			b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 				if r.URL.Path == "/stats" {
 					return ok200("{}")
 				}
 				arrived <- struct{}{}
 				select {} // it never answers
 			}))
-			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+			text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 			cfg := testConfig(t, newRegistry(t, text).Addr, text)
 			cfg.Shared = t.TempDir()
-			n := start(t, cfg)
+			n := startNode(t, cfg)
 			eventually(t, "the node accepting clients", n.running.Load)
 			n.front.held.left.Store(0) // uploads are streamed, not buffered
 			type answer struct {
@@ -447,7 +447,7 @@
 			send := func(what, class string, change ...func(*http.Request)) {
 				go func() {
 					tr := &http.Transport{DisableKeepAlives: true}
-					resp, err := tr.RoundTrip(ask(t, n.url+"/api/"+what, class, change...))
+					resp, err := tr.RoundTrip(newTestRequest(t, n.url+"/api/"+what, class, change...))
 					a := answer{what: what, err: err}
 					if err == nil {
 						a.status = resp.StatusCode
@@ -469,7 +469,7 @@
 				}
 			}()
 			if hasSuccessor {
-				start(t, cfg)
+				startNode(t, cfg)
 				eventually(t, "a successor", n.place.Followed)
 			}
 			began := time.Now()
@@ -485,7 +485,7 @@
 					t.Errorf("%s: answered %d, %v", a.what, a.status, a.err)
 				}
 			}
-			if err := receive(t, "the end of the node", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.result); err != nil {
 				t.Error(err)
 			}
 			if d := time.Since(began); d > 3700*time.Millisecond { // the time of SIGKILL
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// call makes one call to the management endpoint of a node.
-func (s *started) call(t *testing.T, method, path string) (int, string) {
+// callManagement makes one call to the management endpoint of a node.
+func (s *testNode) callManagement(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.admin.Addr().String()+path, nil)
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
-	resp, err := (&http.Client{Transport: tr, Timeout: patience}).Do(r)
+	resp, err := (&http.Client{Transport: tr, Timeout: testTimeout}).Do(r)
 	if err != nil {
 		t.Errorf("%s %s: %v", method, path, err)
 		return 0, ""
@@ -35,10 +35,10 @@
 	return resp.StatusCode, string(body)
 }
 
-// figure returns the value of a counter of the management endpoint, or -1 where it is missing.
-func (s *started) figure(t *testing.T, name string) int {
+// counter returns the value of a counter of the management endpoint, or -1 where it is missing.
+func (s *testNode) counter(t *testing.T, name string) int {
 	t.Helper()
-	_, text := s.call(t, "GET", "/control/counters")
+	_, text := s.callManagement(t, "GET", "/control/counters")
 	for line := range strings.Lines(text) {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(line), "app."+name+"="); ok {
 			n, err := strconv.Atoi(value)
@@ -51,11 +51,11 @@
 	return -1
 }
 
-// ledger starts a backend that counts its requests in ran, under its name, and returns its address.
-func ledger(t *testing.T, ran *sync.Map, name string) string {
+// startCountingBackend starts a backend that counts its requests in ran, under its name, and returns its address.
+func startCountingBackend(t *testing.T, ran *sync.Map, name string) string {
 	n := new(atomic.Int64)
 	ran.Store(name, n)
-	return newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	return newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if strings.HasPrefix(r.URL.Path, "/api/") {
 			n.Add(1)
 		}
@@ -66,28 +66,28 @@
 	})).Addr().String()
 }
 
-// count returns the number of requests that a backend has run.
-func count(ran *sync.Map, name string) int64 {
+// requestsRun returns the number of requests that a backend has run.
+func requestsRun(ran *sync.Map, name string) int64 {
 	n, _ := ran.Load(name)
 	return n.(*atomic.Int64).Load()
 }
 
-// startWithAdmin starts a node with a management endpoint and two backends, a and b.
-func startWithAdmin(t *testing.T, ran *sync.Map) *started {
-	text := listText(1, true, listed{ID: "a", Addr: ledger(t, ran, "a"), Phase: "ready"},
-		listed{ID: "b", Addr: ledger(t, ran, "b"), Phase: "ready"})
+// startNodeWithManagement starts a node with a management endpoint and two backends, a and b.
+func startNodeWithManagement(t *testing.T, ran *sync.Map) *testNode {
+	text := listText(1, true, listedBackend{ID: "a", Addr: startCountingBackend(t, ran, "a"), Phase: "ready"},
+		listedBackend{ID: "b", Addr: startCountingBackend(t, ran, "b"), Phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Management = "127.0.0.1:0"
-	n := start(t, cfg)
-	eventually(t, "readiness", func() bool { status, _ := n.call(t, "GET", "/control/ready"); return status == 200 })
+	n := startNode(t, cfg)
+	eventually(t, "readiness", func() bool { status, _ := n.callManagement(t, "GET", "/control/ready"); return status == 200 })
 	return n
 }
 
 // Callers that connect and send nothing or half a call must not block the management endpoint, and neither must a blocked loop. Every
 // whole call is answered within 1 s, with a 5xx where the loop can't be reached. A call that timed out is still applied.
-func TestAdminEndpointAnswersInTime(t *testing.T) {
+func TestManagementEndpointAnswersInTime(t *testing.T) {
 	var ran sync.Map
-	n := startWithAdmin(t, &ran)
+	n := startNodeWithManagement(t, &ran)
 	var closedCallers atomic.Int64 // callers whose connection was closed
 	for i := range 3 * adminLast {
 		c, err := net.Dial("tcp", n.admin.Addr().String())
@@ -114,7 +114,7 @@
 		{"POST", "/control/backends/" + strings.Repeat("x", idMost+1) + "/offline", 400},
 	} {
 		began := time.Now()
-		if status, _ := n.call(t, tc.method, tc.path); status != tc.want || time.Since(began) > time.Second {
+		if status, _ := n.callManagement(t, tc.method, tc.path); status != tc.want || time.Since(began) > time.Second {
 			t.Errorf("%s %.40s: %d after %v, want %d", tc.method, tc.path, status, time.Since(began), tc.want)
 		}
 	}
@@ -125,21 +125,21 @@
 	n.loop.Post(func() { close(blocked); <-unblock })
 	<-blocked
 	began := time.Now()
-	if status, _ := n.call(t, "POST", "/control/backends/b/offline"); status != 504 || time.Since(began) > time.Second {
+	if status, _ := n.callManagement(t, "POST", "/control/backends/b/offline"); status != 504 || time.Since(began) > time.Second {
 		t.Errorf("with the loop blocked: %d after %v", status, time.Since(began))
 	}
-	if status, _ := n.call(t, "GET", "/control/counters"); status != 200 {
+	if status, _ := n.callManagement(t, "GET", "/control/counters"); status != 200 {
 		t.Errorf("counters with the loop blocked: %d", status)
 	}
 	close(unblock)
-	eventually(t, "the effect of the call that timed out", func() bool { return n.figure(t, "backends_excluded") == 1 })
+	eventually(t, "the effect of the call that timed out", func() bool { return n.counter(t, "backends_excluded") == 1 })
 }
 
 // The counters must match exactly what clients and backends have seen once no request is in flight. A path that ends a request
 // without counting it, or counts it twice, makes them differ.
-func TestFiguresAreTrue(t *testing.T) {
+func TestCountersAreExact(t *testing.T) {
 	var ran sync.Map
-	n := startWithAdmin(t, &ran)
+	n := startNodeWithManagement(t, &ran)
 	var served, failed atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 60 {
@@ -148,7 +148,7 @@
 			if i%5 == 0 {
 				path = "/api/bad"
 			}
-			switch resp, _ := do(t, ask(t, n.url+path, "order")); resp.StatusCode {
+			switch resp, _ := doRequest(t, newTestRequest(t, n.url+path, "order")); resp.StatusCode {
 			case 200:
 				served.Add(1)
 			case 502, 504:
@@ -159,10 +159,10 @@
 	wg.Wait()
 	rejected := 60 - served.Load() - failed.Load()
 	eventually(t, "exact counters", func() bool {
-		return n.figure(t, "requests.order.served") == int(served.Load()) && n.figure(t, "requests.order.failed") == int(failed.Load()) &&
-			n.figure(t, "requests.order.refused") == int(rejected) && n.figure(t, "in_flight") == 0 &&
-			n.figure(t, "attempts") == int(count(&ran, "a")+count(&ran, "b")) && n.figure(t, "requests.read.served") == 0 &&
-			n.figure(t, "backends_known") == 2
+		return n.counter(t, "requests.order.served") == int(served.Load()) && n.counter(t, "requests.order.failed") == int(failed.Load()) &&
+			n.counter(t, "requests.order.refused") == int(rejected) && n.counter(t, "in_flight") == 0 &&
+			n.counter(t, "attempts") == int(requestsRun(&ran, "a")+requestsRun(&ran, "b")) && n.counter(t, "requests.read.served") == 0 &&
+			n.counter(t, "backends_known") == 2
 	})
 	if failed.Load() == 0 || served.Load() == 0 {
 		t.Errorf("%d served, %d failed", served.Load(), failed.Load())
@@ -171,29 +171,29 @@
 
 // A backend that an operator takes out of service gets no request from the answer to the call on, and is used again after the
 // opposite call. With all backends out, requests are rejected.
-func TestOutByHand(t *testing.T) {
+func TestOperatorTakesBackendOutOfService(t *testing.T) {
 	var ran sync.Map
-	n := startWithAdmin(t, &ran)
-	n.call(t, "POST", "/control/backends/a/offline")
-	before := count(&ran, "a")
+	n := startNodeWithManagement(t, &ran)
+	n.callManagement(t, "POST", "/control/backends/a/offline")
+	before := requestsRun(&ran, "a")
 	for range 30 {
-		do(t, ask(t, n.url+"/api/x", "read"))
+		doRequest(t, newTestRequest(t, n.url+"/api/x", "read"))
 	}
-	if now := count(&ran, "a"); now != before {
+	if now := requestsRun(&ran, "a"); now != before {
 		t.Errorf("%d requests to a backend out of service", now-before)
 	}
-	n.call(t, "POST", "/control/backends/b/offline")
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 503 {
+	n.callManagement(t, "POST", "/control/backends/b/offline")
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 503 {
 		t.Errorf("with all backends out of service: %d", resp.StatusCode)
 	}
-	if got := n.figure(t, "backends_excluded"); got != 2 {
+	if got := n.counter(t, "backends_excluded"); got != 2 {
 		t.Errorf("%d backends excluded, want 2", got)
 	}
-	n.call(t, "POST", "/control/backends/b/online")
-	n.call(t, "POST", "/control/backends/a/online")
+	n.callManagement(t, "POST", "/control/backends/b/online")
+	n.callManagement(t, "POST", "/control/backends/a/online")
 	eventually(t, "a request at the backend that is in service again", func() bool {
-		do(t, ask(t, n.url+"/api/x", "read"))
-		return count(&ran, "a") > before
+		doRequest(t, newTestRequest(t, n.url+"/api/x", "read"))
+		return requestsRun(&ran, "a") > before
 	})
 }
 
@@ -201,15 +201,15 @@
 // settings, a removed class counts as unknown, and an invalid file changes nothing.
 func TestReloadUnderLoad(t *testing.T) {
 	var ran sync.Map
-	n := startWithAdmin(t, &ran)
+	n := startNodeWithManagement(t, &ran)
 	configWith := func(replacements ...string) Config {
 		cfg := testConfig(t, n.cfg.Discovery, listText(1, true), replacements...)
 		return cfg
 	}
 	reloadInvalid := func(replacements ...string) {
 		t.Helper()
-		failed := n.figure(t, "reloads_failed")
-		if err := n.Reload(configWith(replacements...)); err == nil || n.figure(t, "reloads_failed") != failed+1 {
+		failed := n.counter(t, "reloads_failed")
+		if err := n.Reload(configWith(replacements...)); err == nil || n.counter(t, "reloads_failed") != failed+1 {
 			t.Errorf("%q: applied, %v", replacements, err)
 		}
 	}
@@ -223,7 +223,7 @@
 					return
 				default:
 				}
-				resp, body := do(t, ask(t, n.url+"/api/x", class))
+				resp, body := doRequest(t, newTestRequest(t, n.url+"/api/x", class))
 				if known := resp.StatusCode == 200 && (body == "a" || body == "b") || resp.StatusCode == 503; !known && (class == "read" || resp.StatusCode != 400) {
 					t.Errorf("%s: %d %q", class, resp.StatusCode, body)
 				}
@@ -236,7 +236,7 @@
 			t.Fatal(err)
 		}
 		eventually(t, "the new class", func() bool {
-			resp, _ := do(t, ask(t, n.url+"/api/x", "gold"))
+			resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "gold"))
 			return resp.StatusCode == 200
 		})
 		reloadInvalid(`"deadline":10000000000,"effect":"pure"`, `"deadline":0,"effect":"pure"`)
@@ -244,37 +244,37 @@
 		reloadInvalid(`"maxAttempts":3`, `"maxAttempts":0`)
 		reloadInvalid(`"name":"token"`, `"name":"read"`)
 		reloadInvalid(`"deadline":10000000000,"effect":"token"`, `"effect":"token"`)
-		if resp, _ := do(t, ask(t, n.url+"/api/x", "gold")); resp.StatusCode == 400 {
+		if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "gold")); resp.StatusCode == 400 {
 			t.Error("an invalid file removed a class")
 		}
 		if err := n.Reload(configWith()); err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, "the removal of the class", func() bool {
-			resp, _ := do(t, ask(t, n.url+"/api/x", "gold"))
+			resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "gold"))
 			return resp.StatusCode == 400
 		})
 	}
 	close(stop)
 	wg.Wait()
-	if served := n.figure(t, "requests.gold.served"); served < 5 {
+	if served := n.counter(t, "requests.gold.served"); served < 5 {
 		t.Errorf("the removed class counts %d served requests", served)
 	}
-	if ok := n.figure(t, "reloads_ok"); ok != 10 {
+	if ok := n.counter(t, "reloads_ok"); ok != 10 {
 		t.Errorf("%d files applied, want 10", ok)
 	}
 }
 
 // A request whose body is still arriving when a reload makes its class safe to retry is rejected, since its client sent it as unsafe.
 // It must not be retried under the new effect. A request whose class becomes stricter is served.
-func TestReloadDuringABody(t *testing.T) {
+func TestReloadDuringRequestBody(t *testing.T) {
 	for _, tc := range []struct {
 		name, change string
 		want         int
 	}{{"relaxed", `"effect":"pure"`, 503}, {"stricter", `"effect":"side_effect","keyScope":"all"`, 200}} {
 		t.Run(tc.name, func(t *testing.T) {
 			var ran sync.Map
-			n := startWithAdmin(t, &ran)
+			n := startNodeWithManagement(t, &ran)
 			class, effect := "order", `"effect":"side_effect"`
 			if tc.want == 200 {
 				class, effect = "token", `"effect":"token","keyScope":"all"`
@@ -287,7 +287,7 @@
 			if err := n.Reload(testConfig(t, n.cfg.Discovery, listText(1, true), effect, tc.change)); err != nil {
 				t.Fatal(err)
 			}
-			n.onLoop(t, func() {})
+			n.runOnLoop(t, func() {})
 			io.WriteString(c, "def")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || resp.StatusCode != tc.want {
@@ -299,10 +299,10 @@
 
 // Three handovers between processes of a node on one inherited socket, under load. Each request is answered once and runs once, the
 // management endpoint stays reachable, and a backend that an operator took out of service stays out.
-func TestTakeOver(t *testing.T) {
+func TestHandover(t *testing.T) {
 	var ran sync.Map
-	text := listText(1, true, listed{ID: "a", Addr: ledger(t, &ran, "a"), Phase: "ready"},
-		listed{ID: "b", Addr: ledger(t, &ran, "b"), Phase: "ready"})
+	text := listText(1, true, listedBackend{ID: "a", Addr: startCountingBackend(t, &ran, "a"), Phase: "ready"},
+		listedBackend{ID: "b", Addr: startCountingBackend(t, &ran, "b"), Phase: "ready"})
 	reg := newRegistry(t, text)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -310,7 +310,7 @@
 	}
 	defer l.Close() // the platform keeps the socket open
 	dir := t.TempDir()
-	startProcess := func() *started {
+	startProcess := func() *testNode {
 		f, err := l.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
@@ -322,13 +322,13 @@
 		}
 		cfg := testConfig(t, reg.Addr, text, "10000000000", "2000000000")
 		cfg.Management, cfg.AcceptFD, cfg.Shared = "127.0.0.1:0", fmt.Sprint(fd), dir
-		n := start(t, cfg)
-		eventually(t, "readiness", func() bool { status, _ := n.call(t, "GET", "/control/ready"); return status == 200 })
+		n := startNode(t, cfg)
+		eventually(t, "readiness", func() bool { status, _ := n.callManagement(t, "GET", "/control/ready"); return status == 200 })
 		return n
 	}
 	current := startProcess()
-	current.call(t, "POST", "/control/backends/a/offline")
-	ranBefore := count(&ran, "a")
+	current.callManagement(t, "POST", "/control/backends/a/offline")
+	ranBefore := requestsRun(&ran, "a")
 	stop := make(chan bool)
 	var sent, rejected atomic.Int64
 	var wg sync.WaitGroup
@@ -343,7 +343,7 @@
 				default:
 				}
 				sent.Add(1)
-				resp, err := tr.RoundTrip(ask(t, "http://"+l.Addr().String()+"/api/x", "order"))
+				resp, err := tr.RoundTrip(newTestRequest(t, "http://"+l.Addr().String()+"/api/x", "order"))
 				if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
 					t.Errorf("answered %v, %v", resp, err)
 					return
@@ -361,11 +361,11 @@
 		if !successor.place.Follows() {
 			t.Error("the successor did not find its predecessor")
 		}
-		if got := successor.figure(t, "backends_excluded"); got != 1 {
+		if got := successor.counter(t, "backends_excluded"); got != 1 {
 			t.Errorf("%d backends out of service at the successor, want 1", got)
 		}
 		current.stop()
-		if err := receive(t, "the end of the predecessor", current.err); err != nil {
+		if err := receive(t, "the end of the predecessor", current.result); err != nil {
 			t.Error(err)
 		}
 		eventually(t, "the end of the handover at the successor", func() bool { return !successor.place.Follows() })
@@ -375,23 +375,23 @@
 	second := startProcess()
 	close(stop)
 	wg.Wait()
-	second.call(t, "POST", "/control/backends/a/online")
-	eventually(t, "the call of the other process", func() bool { return current.figure(t, "backends_excluded") == 0 })
-	second.call(t, "POST", "/control/backends/a/offline")
-	if current.call(t, "POST", "/control/backends/a/online"); current.figure(t, "backends_excluded") != 0 {
+	second.callManagement(t, "POST", "/control/backends/a/online")
+	eventually(t, "the call of the other process", func() bool { return current.counter(t, "backends_excluded") == 0 })
+	second.callManagement(t, "POST", "/control/backends/a/offline")
+	if current.callManagement(t, "POST", "/control/backends/a/online"); current.counter(t, "backends_excluded") != 0 {
 		t.Error("an online call at one process was lost after an offline call at the other")
 	}
-	if got := count(&ran, "b") + count(&ran, "a"); got != sent.Load()-rejected.Load() || rejected.Load() > sent.Load()/20 {
+	if got := requestsRun(&ran, "b") + requestsRun(&ran, "a"); got != sent.Load()-rejected.Load() || rejected.Load() > sent.Load()/20 {
 		t.Errorf("%d requests sent, %d rejected, %d ran", sent.Load(), rejected.Load(), got)
 	}
-	if count(&ran, "a") != ranBefore {
-		t.Errorf("%d requests to the backend out of service", count(&ran, "a")-ranBefore)
+	if requestsRun(&ran, "a") != ranBefore {
+		t.Errorf("%d requests to the backend out of service", requestsRun(&ran, "a")-ranBefore)
 	}
 }
 
 // Large requests and answers, more than the budget for buffered bodies, must arrive unchanged in pieces of any size. A broken answer
 // must not look complete, and the whole budget must be free at the end.
-func TestBulk(t *testing.T) {
+func TestLargeBodies(t *testing.T) {
 	answer := strings.Repeat("0123456789abcdef", 1<<16) // 1 MiB
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -428,7 +428,7 @@
 			}
 		}
 	})
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	n.front.held.left.Store(1 << 20)
 	body := func(size int, length int64) func(*http.Request) {
 		return func(r *http.Request) {
@@ -437,17 +437,17 @@
 	}
 	for _, size := range []int{1, bodyMost - 1, bodyMost, bodyMost + 1, 500_000, 1<<20 + bodyMost, 3 << 20} {
 		for _, length := range []int64{int64(size), -1} {
-			if resp, got := do(t, ask(t, n.url+"/api/count", "order", body(size, length))); resp.StatusCode != 200 || got != fmt.Sprint(size) {
+			if resp, got := doRequest(t, newTestRequest(t, n.url+"/api/count", "order", body(size, length))); resp.StatusCode != 200 || got != fmt.Sprint(size) {
 				t.Errorf("%d bytes, length %d: %d %q", size, length, resp.StatusCode, got)
 			}
 		}
 	}
 	for _, path := range []string{"/api/long", "/api/chunks"} {
-		if resp, got := do(t, ask(t, n.url+path, "order")); resp.StatusCode != 200 || got != answer {
+		if resp, got := doRequest(t, newTestRequest(t, n.url+path, "order")); resp.StatusCode != 200 || got != answer {
 			t.Errorf("%s: %d, %d bytes", path, resp.StatusCode, len(got))
 		}
 	}
-	resp, err := http.DefaultTransport.RoundTrip(ask(t, n.url+"/api/breaks", "order"))
+	resp, err := http.DefaultTransport.RoundTrip(newTestRequest(t, n.url+"/api/breaks", "order"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -458,23 +458,23 @@
 	if left := n.front.held.left.Load(); left != 1<<20 {
 		t.Errorf("%d bytes of the budget were not released", 1<<20-left)
 	}
-	eventually(t, "an empty request table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty request table", func() bool { return n.openRequests(t) == 0 })
 }
 
 // A streamed upload whose backend connection breaks before the last byte never ran. The client gets a 503, and the node doesn't send
 // the upload again, since it has kept no copy of it.
-func TestBrokenUploadNeverRan(t *testing.T) {
+func TestBrokenUploadIsNotRetried(t *testing.T) {
 	var heads atomic.Int64
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if r, err := http.ReadRequest(br); err == nil && r.Method == "POST" {
 			heads.Add(1)
 			io.CopyN(io.Discard, r.Body, 200_000)
 		}
-		reset(c)
+		resetConn(c)
 	})
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	n.front.held.left.Store(0)
-	resp, _ := do(t, ask(t, n.url+"/api/x", "order", func(r *http.Request) {
+	resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order", func(r *http.Request) {
 		r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 8<<20))), 8<<20
 	}))
 	if resp.StatusCode != 503 || heads.Load() != 1 {
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -7,14 +7,14 @@
 
 // A panic in the handler of a request must not leave its client without an answer or end the node. The answer is a failure and not a
 // 503, since the request may have run.
-func TestAPanicIsAnswered(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
+func TestHandlerPanicIsAnswered(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 	eventually(t, "the node accepting clients", n.running.Load)
 	tuning := n.front.tuning.Load()
 	n.front.tuning.Store(nil) // makes the handler panic on a nil pointer
-	resp, err := http.DefaultTransport.RoundTrip(ask(t, n.url+"/api/x", "order"))
+	resp, err := http.DefaultTransport.RoundTrip(newTestRequest(t, n.url+"/api/x", "order"))
 	n.front.tuning.Store(tuning)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
@@ -23,7 +23,7 @@
 	if resp.StatusCode < 500 || resp.StatusCode == http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want a failure since the request may have run", resp.StatusCode)
 	}
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("next request: %d", resp.StatusCode)
 	}
 	book := &n.front.book
--- a/internal/node/paths_test.go
+++ b/internal/node/paths_test.go
@@ -11,7 +11,7 @@
 )
 
 // The path and query of a client must reach the backend byte for byte. net/url would decode, clean or escape them.
-func TestPathsGoOnUnchanged(t *testing.T) {
+func TestPathsAreForwardedUnchanged(t *testing.T) {
 	got := make(chan string, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -30,8 +30,8 @@
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 	eventually(t, "the node accepting clients", n.running.Load)
 	for _, path := range []string{"/api/x", "/api/a%2Fb%7e", `/api/"quoted"|{x}^`, "//api//x/", "/api/x?", "/api/x?a=%zz&b=;c", "/api/../x/./y", "/api/\xc3\xbc?\xfc"} {
 		c := n.dial(t)
@@ -49,14 +49,14 @@
 
 // The node must not answer a request in place of a backend. net/http answers some by itself, such as OPTIONS *. None of these
 // requests can run, so each gets an error or a close.
-func TestNobodyIsServedByTheLibrary(t *testing.T) {
-	text := listText(1, true, listed{ID: "s", Addr: "127.0.0.1:1", Phase: "ready"})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
+func TestLibraryAnswersNoRequest(t *testing.T) {
+	text := listText(1, true, listedBackend{ID: "s", Addr: "127.0.0.1:1", Phase: "ready"})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 	eventually(t, "the node accepting clients", n.running.Load)
 	for _, line := range []string{"OPTIONS * HTTP/1.1", "OPTIONS /api/x HTTP/1.1", "TRACE /api/x HTTP/1.1", "CONNECT x:1 HTTP/1.1", "PRI * HTTP/2.0", "HEAD /api/x HTTP/1.1"} {
 		c := n.dial(t)
 		fmt.Fprintf(c, "%s\r\nHost: x\r\nX-Trace-Id: odd-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n", line, lastID.Add(1))
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode < 400 {
 			t.Errorf("%s: answered %d", line, resp.StatusCode)
 		}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -12,8 +12,8 @@
 	"glencart/internal/engine"
 )
 
-// udp returns a UDP socket on loopback.
-func udp(t *testing.T) *net.UDPConn {
+// listenUDP returns a UDP socket on loopback.
+func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -25,8 +25,8 @@
 
 // Datagrams of unknown senders and oversized datagrams must be ignored, and oversized ones must not be sent. Each ignored one would
 // otherwise reach the loop or, cut off, a peer. The log line about them is rate-limited.
-func TestPeers(t *testing.T) {
-	peer, stranger := udp(t), udp(t)
+func TestPeerDatagrams(t *testing.T) {
+	peer, stranger := listenUDP(t), listenUDP(t)
 	var logged bytes.Buffer // read when run has ended
 	p, err := listenPeers(t.Context(), &Config{PeerListen: "127.0.0.1:0", PeersAll: peer.LocalAddr().String(),
 		Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()}}, tellLeast, slog.New(slog.NewTextHandler(&logged, nil)))
@@ -72,7 +72,7 @@
 }
 
 // A peer that floods the node, or a loop that falls behind, must not fill the memory with queued messages.
-func TestMessagesThatWaitAreBounded(t *testing.T) {
+func TestQueuedPeerMessagesAreBounded(t *testing.T) {
 	n := &Node{loop: engine.New(engine.Config{}), bounds: boundsOf(Limits{}, 40)} // its loop doesn't run
 	for range 3 * n.bounds.hear {
 		n.hear(1, nil)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -17,10 +17,10 @@
 
 // A reload with another discovery address takes effect at once, also twice in a row, and doesn't disturb requests in flight. The watch
 // at the old discovery is cancelled, and its late answer must not replace the new list.
-func TestReloadMovesDiscovery(t *testing.T) {
+func TestReloadChangesDiscovery(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	serve := func(name string) string {
-		return newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+		return newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 			if r.URL.Path == "/api/slow" {
 				arrived <- struct{}{}
 				<-release
@@ -29,7 +29,7 @@
 		})).Addr().String()
 	}
 	watched, cancelled, sendLate := make(chan struct{}, 4), make(chan struct{}, 4), make(chan struct{})
-	text := listText(900, true, listed{ID: "one", Addr: serve("one"), Phase: "ready", Up: 0})
+	text := listText(900, true, listedBackend{ID: "one", Addr: serve("one"), Phase: "ready", Up: 0})
 	var lateList string // the late answer of the old discovery
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
@@ -44,26 +44,26 @@
 	}))
 	defer old.Close()
 	// Revisions of different discoveries are not comparable. These are lower.
-	second := newRegistry(t, listText(7, true, listed{ID: "two", Addr: serve("two"), Phase: "ready", Up: 0}))
-	third := newRegistry(t, listText(3, true, listed{ID: "three", Addr: serve("three"), Phase: "ready", Up: 0}))
+	second := newRegistry(t, listText(7, true, listedBackend{ID: "two", Addr: serve("two"), Phase: "ready", Up: 0}))
+	third := newRegistry(t, listText(3, true, listedBackend{ID: "three", Addr: serve("three"), Phase: "ready", Up: 0}))
 	lateList = listText(901, true)
 	cfg := testConfig(t, strings.TrimPrefix(old.URL, "http://"), text)
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	slow := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
 	receive(t, "the slow request at the backend", arrived)
 	receive(t, "the watch", watched)
-	for _, to := range []*scripted{second, third} {
+	for _, to := range []*testRegistry{second, third} {
 		cfg.Discovery = to.Addr
 		n.Reload(cfg)
 	}
 	receive(t, "the end of the old watch", cancelled)
 	close(sendLate)
 	eventually(t, "an answer by a backend of the last discovery", func() bool {
-		_, body := do(t, ask(t, n.url+"/api/x", "read"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/x", "read"))
 		return body == "three"
 	})
 	close(release)
@@ -73,24 +73,24 @@
 	cfg.Discovery = second.Addr
 	n.Reload(cfg)
 	eventually(t, "an answer by a backend of the second discovery", func() bool {
-		_, body := do(t, ask(t, n.url+"/api/x", "read"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/x", "read"))
 		return body == "two"
 	})
 }
 
 // While the new discovery can't be reached, the last list stays in use, since a node without a list rejects everything. A further
 // reload calls the next discovery at once, without the backoff of the failed one.
-func TestReloadKeepsTheLastGoodList(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("old") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+func TestReloadKeepsLastList(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("old") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	down := newRawBackend(t, "127.0.0.1:0", nil)
 	down.Close()
 	cfg.Discovery = down.Addr().String()
 	n.Reload(cfg)
 	for range 3 {
-		if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "old" {
+		if resp, body := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "old" {
 			t.Errorf("answered %d %q", resp.StatusCode, body)
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -103,7 +103,7 @@
 
 // A changed value that a running node can't apply must be logged, with the need for a restart. Operators would otherwise take it as
 // applied.
-func TestReloadTellsWhatNeedsARestart(t *testing.T) {
+func TestReloadLogsSettingsThatNeedRestart(t *testing.T) {
 	text := listText(1, true)
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	var log bytes.Buffer
@@ -125,11 +125,11 @@
 
 // Of several reloads in a row the last one applies, also if the loop has not yet processed the earlier ones. A file equal to the
 // settings in use still removes classes of an earlier file. Their class numbers are not assigned again.
-func TestTheLastOfTwoReloadsHolds(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+func TestLastOfConsecutiveReloadsApplies(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	reg := newRegistry(t, text)
-	n := start(t, testConfig(t, reg.Addr, text))
+	n := startNode(t, testConfig(t, reg.Addr, text))
 	configWith := func(name string) Config {
 		replacements := []string{}
 		if name != "" {
@@ -146,13 +146,13 @@
 		}
 	}
 	close(unblock)
-	n.onLoop(t, func() {})
+	n.runOnLoop(t, func() {})
 	current := n.front.tuning.Load()
 	if got := strings.Join(current.inUse(), " "); got != "read order token" || len(current.Classes) != 5 {
 		t.Errorf("classes in use: %q of %q", got, current.Classes)
 	}
 	for _, class := range []string{"gold", "silver"} {
-		if resp, _ := do(t, ask(t, n.url+"/api/x", class)); resp.StatusCode != 400 {
+		if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", class)); resp.StatusCode != 400 {
 			t.Errorf("%s: %d", class, resp.StatusCode)
 		}
 	}
@@ -160,15 +160,15 @@
 
 // A reload that shortens idleClose also applies to connections that are already idle. Backends now close them sooner, and a request
 // sent during such a close fails and may have run.
-func TestReloadShortensHowLongConnectionsAreKept(t *testing.T) {
+func TestReloadAppliesIdleCloseToPooledConnections(t *testing.T) {
 	text := listText(1, true)
 	cfg := testConfig(t, "127.0.0.1:1", text)
-	n, err := New(t.Context(), cfg, quiet())
+	n, err := New(t.Context(), cfg, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.close()
-	to := engine.Endpoint{ID: "s", Addr: newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") })).Addr().String()}
+	to := engine.Endpoint{ID: "s", Addr: newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") })).Addr().String()}
 	pooled, err := n.pool.get(t.Context(), to, false)
 	if err != nil {
 		t.Fatal(err)
@@ -191,12 +191,12 @@
 
 // Requests may be read under the old settings and reach the loop after a reload. If their class may now be retried more freely than
 // the client expects, they are rejected and don't run. If the class has become stricter or was removed, they are served.
-func TestRequestsBetweenTheirReadingAndAReload(t *testing.T) {
+func TestRequestsReadBeforeReload(t *testing.T) {
 	var ran atomic.Int64
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { ran.Add(1); return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { ran.Add(1); return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	reg := newRegistry(t, text)
-	n := start(t, testConfig(t, reg.Addr, text))
+	n := startNode(t, testConfig(t, reg.Addr, text))
 	unblock, blocked := make(chan struct{}), make(chan struct{})
 	n.loop.Post(func() { close(blocked); <-unblock })
 	receive(t, "the blocked loop", blocked)
@@ -212,7 +212,7 @@
 	answers := make(chan answer, len(want))
 	for class := range want {
 		go func() {
-			resp, _ := do(t, ask(t, n.url+"/api/x", class))
+			resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", class))
 			answers <- answer{class, resp.StatusCode}
 		}()
 	}
@@ -226,17 +226,17 @@
 	if ran.Load() != 2 {
 		t.Errorf("%d requests ran, want 2", ran.Load())
 	}
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "token")); resp.StatusCode != 400 {
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "token")); resp.StatusCode != 400 {
 		t.Errorf("removed class: %d", resp.StatusCode)
 	}
 }
 
 // A reload that shortens the drain grace also shortens the wait of watches to half of it. With the old wait, a drain could arrive
 // after the grace.
-func TestReloadShortensHowLongWatchesWait(t *testing.T) {
+func TestReloadShortensWatchWait(t *testing.T) {
 	waits := make(chan string, 64)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			io.WriteString(w, text)
@@ -250,7 +250,7 @@
 	}))
 	defer agent.Close()
 	addr := strings.TrimPrefix(agent.URL, "http://")
-	n := start(t, testConfig(t, addr, text))
+	n := startNode(t, testConfig(t, addr, text))
 	if got := receive(t, "a watch", waits); got != "250" {
 		t.Errorf("a watch waits %s ms, want 250", got)
 	}
--- a/internal/node/shutdown_ready_test.go
+++ b/internal/node/restart_ready_test.go
@@ -11,10 +11,10 @@
 
 // A restarted node must be ready within 10 s whenever it could serve. With a cached endpoint list it becomes ready whatever discovery
 // does. Without one it becomes ready soon after discovery has sent its list.
-func TestReadyAfterARestart(t *testing.T) {
+func TestReadyAfterRestart(t *testing.T) {
 	const readyTimeout = 10 * time.Second
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	list := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	list := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // never answers
 	if err != nil {
 		t.Fatal(err)
@@ -69,9 +69,9 @@
 			if c.shared {
 				cfg.Shared = t.TempDir()
 			}
-			n := start(t, cfg)
+			n := startNode(t, cfg)
 			for {
-				if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode == 200 {
+				if resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read")); resp.StatusCode == 200 {
 					break
 				}
 				if time.Since(began) > readyTimeout {
--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -16,46 +16,46 @@
 	"glencart/internal/engine"
 )
 
-// pair is an engine that sends over exchanges to two backends. The test can advance its clock.
-type pair struct {
-	x     *exchanges
-	e     *engine.Engine
-	ahead atomic.Int64
-	saw   chan engine.Result
+// engineFixture is an engine that sends over exchanges to two backends. The test can advance its clock.
+type engineFixture struct {
+	exchanges    *exchanges
+	engine       *engine.Engine
+	clockAdvance atomic.Int64
+	results      chan engine.Result
 }
 
-func newPair(t *testing.T, window time.Duration, addrs ...string) *pair {
-	p := &pair{x: exchangesFor(t), saw: make(chan engine.Result, 8)}
+func newEngineFixture(t *testing.T, window time.Duration, addrs ...string) *engineFixture {
+	p := &engineFixture{exchanges: newTestExchanges(t), results: make(chan engine.Result, 8)}
 	bal, err := balance.New(balance.Config{
-		Classes: []balance.Class{{Aim: time.Second, Deadline: patience, Effect: balance.Keyed, Window: window, Scope: balance.ScopeAll, Points: 1}},
+		Classes: []balance.Class{{Aim: time.Second, Deadline: testTimeout, Effect: balance.Keyed, Window: window, Scope: balance.ScopeAll, Points: 1}},
 		Limits:  balance.Limits{MaxAttempts: 2, FreeRetries: 10},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.e = engine.New(engine.Config{Balancer: bal, Transport: p.x, Saw: func(_ string, r engine.Result) { p.saw <- r },
-		Now: func() time.Time { return time.Now().Add(time.Duration(p.ahead.Load())) }})
+	p.engine = engine.New(engine.Config{Balancer: bal, Transport: p.exchanges, Saw: func(_ string, r engine.Result) { p.results <- r },
+		Now: func() time.Time { return time.Now().Add(time.Duration(p.clockAdvance.Load())) }})
 	var l engine.List
 	for _, a := range addrs {
 		l.Members = append(l.Members, engine.Member{ID: a, Addr: a, Member: balance.Member{Weight: 1}})
 	}
-	p.e.TakeList(balance.MembersChanged, l)
+	p.engine.TakeList(balance.MembersChanged, l)
 	quit := make(chan struct{})
-	go p.e.Run(quit)
-	t.Cleanup(func() { close(quit); <-p.e.Done() })
+	go p.engine.Run(quit)
+	t.Cleanup(func() { close(quit); <-p.engine.Done() })
 	return p
 }
 
-// ask places a request with this message.
-func (p *pair) ask(m *message) *engine.Request {
-	r := &engine.Request{ID: "x", Deadline: p.e.Now().Add(patience), Message: m, Reply: make(chan engine.Answer, 1)}
-	p.e.Place(r)
+// place places a request with this message.
+func (p *engineFixture) place(m *message) *engine.Request {
+	r := &engine.Request{ID: "x", Deadline: p.engine.Now().Add(testTimeout), Message: m, Reply: make(chan engine.Answer, 1)}
+	p.engine.Place(r)
 	return r
 }
 
 // The window in which backends recognize a repeated key may end while a retry is still dialing. After it the request could run twice,
 // so the window is checked again before the write.
-func TestNoRepeatIsWrittenAfterTheWindow(t *testing.T) {
+func TestNoRetryIsSentAfterKeyWindow(t *testing.T) {
 	for name, afterWindow := range map[string]bool{"in the window": false, "after the window": true} {
 		t.Run(name, func(t *testing.T) {
 			var ran atomic.Int32
@@ -64,36 +64,36 @@
 					return
 				}
 				if ran.Add(1) == 1 {
-					reset(c) // so that the request may have run
+					resetConn(c) // so that the request may have run
 					return
 				}
 				io.WriteString(c, ok200("again"))
 			}
 			a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-			p := newPair(t, patience/2, a.Addr().String(), b.Addr().String())
+			p := newEngineFixture(t, testTimeout/2, a.Addr().String(), b.Addr().String())
 			var dials atomic.Int32
 			dialing, proceed := make(chan struct{}), make(chan struct{})
-			p.x.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+			p.exchanges.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 				if dials.Add(1) == 2 {
 					close(dialing)
 					<-proceed
 				}
 				return nil
 			}
-			r := p.ask(get("x"))
-			if got := receive(t, "the result of the first attempt", p.saw); got.Status != balance.Dropped {
+			r := p.place(getMessage("x"))
+			if got := receive(t, "the result of the first attempt", p.results); got.Status != balance.Dropped {
 				t.Fatalf("first attempt: %v", got.Status)
 			}
 			receive(t, "the second dial", dialing)
 			if afterWindow {
-				p.ahead.Store(int64(patience / 2))
+				p.clockAdvance.Store(int64(testTimeout / 2))
 			}
 			close(proceed)
 			ans := receive(t, "the answer", r.Reply)
 			if afterWindow && (ans.Kind != engine.Failed || ran.Load() != 1) || !afterWindow && (ans.Kind != engine.Served || ran.Load() != 2) {
 				t.Errorf("answer %v, %d runs", ans.Kind, ran.Load())
 			}
-			if got := receive(t, "the result of the second attempt", p.saw); afterWindow && got.Status != balance.Unused {
+			if got := receive(t, "the result of the second attempt", p.results); afterWindow && got.Status != balance.Unused {
 				t.Errorf("second attempt: %v", got.Status)
 			}
 		})
@@ -102,7 +102,7 @@
 
 // The key window may also end while a retry is being written to a backend that reads slowly. The last byte must not be sent after
 // it, so the write ends with the window and the retry never ran.
-func TestRepeatIsNotWrittenOnPastTheWindow(t *testing.T) {
+func TestRetryWriteEndsWithKeyWindow(t *testing.T) {
 	smallBuffers := func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
@@ -133,7 +133,7 @@
 						if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 							io.Copy(io.Discard, r.Body)
 						}
-						reset(c)
+						resetConn(c)
 						return
 					}
 					<-testEnded // reads nothing
@@ -141,19 +141,19 @@
 				addrs = append(addrs, l.Addr().String())
 			}
 			defer close(testEnded)
-			p := newPair(t, patience/80, addrs...)
-			p.x.pool.dialer.Control = smallBuffers
-			m := get("x")
+			p := newEngineFixture(t, testTimeout/80, addrs...)
+			p.exchanges.pool.dialer.Control = smallBuffers
+			m := getMessage("x")
 			m.method = "POST"
 			addBody(m)
-			r := p.ask(m)
-			if got := receive(t, "the result of the first attempt", p.saw); got.Status != balance.Dropped {
+			r := p.place(m)
+			if got := receive(t, "the result of the first attempt", p.results); got.Status != balance.Dropped {
 				t.Fatalf("first attempt: %v", got.Status)
 			}
-			if got := receive(t, "the result of the second attempt", p.saw); got.Status != balance.DialFailed {
+			if got := receive(t, "the result of the second attempt", p.results); got.Status != balance.DialFailed {
 				t.Errorf("second attempt: %v", got.Status)
 			}
-			if remaining := time.Until(r.Deadline); remaining < patience/4 {
+			if remaining := time.Until(r.Deadline); remaining < testTimeout/4 {
 				t.Errorf("the write ended only %v before the deadline", remaining)
 			}
 			if ans := receive(t, "the answer", r.Reply); ans.Kind != engine.Failed {
@@ -165,32 +165,32 @@
 
 // An upload whose attempt is still dialing when its backend begins to drain moves to another backend. The next attempt gets the body
 // although the goroutine of the first one is still in its dial, and that goroutine must not read from the body when it returns.
-func TestUploadGoesOnWhileABarredDialLasts(t *testing.T) {
+func TestUploadMovesOnWhileStoppedDialLasts(t *testing.T) {
 	const body = "0123456789"
 	got := make(chan string, 2)
-	serve := answering(func(r *http.Request) string {
+	serve := serveAnswers(func(r *http.Request) string {
 		b, _ := io.ReadAll(r.Body)
 		got <- string(b)
 		return ok200("done")
 	})
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-	p := newPair(t, patience, a.Addr().String(), b.Addr().String())
+	p := newEngineFixture(t, testTimeout, a.Addr().String(), b.Addr().String())
 	var dials atomic.Int32
 	dialing, proceed := make(chan string, 1), make(chan struct{})
-	p.x.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+	p.exchanges.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 		if dials.Add(1) == 1 {
 			dialing <- addr
 			<-proceed
 		}
 		return nil
 	}
-	m := get("x")
-	m.method, m.left0, m.streams = "POST", patience, make(chan *stream, 1)
+	m := getMessage("x")
+	m.method, m.left0, m.streams = "POST", testTimeout, make(chan *stream, 1)
 	m.up = &upload{from: &patient{body: strings.NewReader(body), rc: &http.ResponseController{}}, length: int64(len(body)), within: 100}
-	r := p.ask(m)
+	r := p.place(m)
 	addr := receive(t, "the first dial", dialing)
-	p.e.Post(func() {
-		p.e.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
+	p.engine.Post(func() {
+		p.engine.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
 			Member: balance.Member{Weight: 1, Phase: balance.Draining}}}})
 	})
 	ans := receive(t, "the answer", r.Reply)
--- a/internal/node/underway_test.go
+++ b/internal/node/shutdown_inflight_test.go
@@ -13,7 +13,7 @@
 
 // A request in flight at SIGTERM gets its whole answer, or its client can see that it never ran, and then the node ends. The longest
 // deadline is 2 s. From 1.6 s on, connections close with their answers, and all requests are answered by 2.35 s.
-func TestUnderWayAtTheEnd(t *testing.T) {
+func TestInFlightRequestsAtShutdown(t *testing.T) {
 	const large = 32 << 20
 	post := func(id string, length int) string {
 		return fmt.Sprintf("%sX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\n", orderHead, id, length)
@@ -30,8 +30,8 @@
 		}
 		return resp, int(n)
 	}
-	for name, run := range map[string]func(t *testing.T, n *started, c net.Conn, shutDown func()){
-		"half a head": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
+	for name, run := range map[string]func(t *testing.T, n *testNode, c net.Conn, shutDown func()){
+		"half a head": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			text := post("half", 0)
 			io.WriteString(c, text[:30])
 			eventually(t, "the half head", func() bool { return n.front.table.Counts().Begun == 1 })
@@ -40,7 +40,7 @@
 			io.WriteString(c, text[30:])
 			answer(t, bufio.NewReader(c))
 		},
-		"an upload in chunks": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
+		"an upload in chunks": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, orderHead+"X-Trace-Id: chunks\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
 			eventually(t, "the head of the request", func() bool { return n.front.table.Counts().Open == 1 })
 			shutDown()
@@ -48,7 +48,7 @@
 			io.WriteString(c, "1\r\nc\r\n0\r\n\r\n")
 			answer(t, bufio.NewReader(c))
 		},
-		"a large upload": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
+		"a large upload": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, post("up", large))
 			c.Write(make([]byte, large/2))
 			shutDown()
@@ -56,7 +56,7 @@
 			c.Write(make([]byte, large/2))
 			answer(t, bufio.NewReader(c))
 		},
-		"a large answer, read slowly": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
+		"a large answer, read slowly": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, strings.Replace(post("down", 0), "/api/x", "/api/large", 1))
 			r := bufio.NewReader(c)
 			r.Peek(1)
@@ -66,16 +66,16 @@
 				t.Errorf("%d bytes", got)
 			}
 		},
-		"a pipelined request": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
+		"a pipelined request": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, strings.Replace(post("first", 0), "/api/x", "/api/slow", 1)+post("second", 0))
-			eventually(t, "the first request", func() bool { return n.open(t) == 1 })
+			eventually(t, "the first request", func() bool { return n.openRequests(t) == 1 })
 			shutDown()
 			r := bufio.NewReader(c)
 			if resp, _ := answer(t, r); !resp.Close {
 				answer(t, r) // the second request was read too, so it is answered
 			}
 		},
-		"a reload with another discovery": func(t *testing.T, n *started, c net.Conn, shutDown func()) {
+		"a reload with another discovery": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			shutDown()
 			reloaded := n.cfg
 			reloaded.Discovery = newRegistry(t, listText(7, true)).Addr // its list is empty
@@ -109,15 +109,15 @@
 					io.WriteString(c, ok200("x"))
 				}
 			})
-			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-			n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":2000000000`))
+			text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+			n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":2000000000`))
 			c := n.dial(t)
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			run(t, n, c, func() {
 				n.stop()
 				eventually(t, "the start of the shutdown", n.front.leaving.Load)
 			})
-			if err := receive(t, "the end of the node", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.result); err != nil {
 				t.Error(err)
 			}
 			if b := &n.front.book; b.Open() != 0 || b.Taken.Load() != b.Answered.Load() {
--- a/internal/node/untilend_test.go
+++ b/internal/node/shutdown_load_test.go
@@ -15,19 +15,19 @@
 	"glencart/life"
 )
 
-// tally counts the results of requests that clients send until a node ends. A reused connection that closes under a request tells its
+// clientTally counts the results of requests that clients send until a node ends. A reused connection that closes under a request tells its
 // client that the request was not read, so that the client can send it to another node. On a new connection such a close counts as a
 // refusal. Times are since began.
-type tally struct {
-	mu                                   sync.Mutex
-	written, answered, served, bare      int
-	lost, crossing                       []string // ids
-	began                                time.Time
-	lastWritten, lastAnswered, lastLetIn time.Duration // of those that were answered
+type clientTally struct {
+	mu                                        sync.Mutex
+	written, answered, served, newConnRefused int
+	lost, crossedByClose                      []string // ids
+	began                                     time.Time
+	lastWritten, lastAnswered, lastAccepted   time.Duration // of those that were answered
 }
 
-// keepAsking sends one request after another on a connection until the connection closes.
-func (counts *tally) keepAsking(c net.Conn, seed uint64) {
+// sendUntilClosed sends one request after another on a connection until the connection closes.
+func (counts *clientTally) sendUntilClosed(c net.Conn, seed uint64) {
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(seed, 0))
 	r := bufio.NewReader(c)
@@ -68,14 +68,14 @@
 			}
 			counts.lastWritten, counts.lastAnswered = max(counts.lastWritten, writtenAt), max(counts.lastAnswered, time.Since(counts.began))
 			if first {
-				counts.lastLetIn = max(counts.lastLetIn, writtenAt)
+				counts.lastAccepted = max(counts.lastAccepted, writtenAt)
 			}
 		case answerBegan:
 			counts.lost = append(counts.lost, fmt.Sprintf("%s: %v during its answer", id, err))
 		default:
-			counts.crossing = append(counts.crossing, id)
+			counts.crossedByClose = append(counts.crossedByClose, id)
 			if first {
-				counts.bare++
+				counts.newConnRefused++
 			}
 		}
 		counts.mu.Unlock()
@@ -88,20 +88,20 @@
 
 // After SIGTERM clients keep sending on every open connection, and new ones connect for 0.4 s. Each request that the node has read gets
 // its whole answer in time. A request that a close crosses was not read, reaches no backend, and is never the first on its connection.
-func TestClientsSendUntilTheEnd(t *testing.T) {
+func TestClientsSendDuringShutdown(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
-			if faults, late := untilTheEnd(t, deadline); len(faults) > 0 {
+			if faults, late := runShutdownUnderLoad(t, deadline); len(faults) > 0 {
 				t.Errorf("%q; timers of the machine were late by %v", faults, late)
 			}
 		})
 	}
 }
 
-// untilTheEnd runs the shutdown of one node under load. late is the largest delay of a timer on this machine.
-func untilTheEnd(t *testing.T, deadline time.Duration) (faults []string, late time.Duration) {
+// runShutdownUnderLoad runs the shutdown of one node under load. late is the largest delay of a timer on this machine.
+func runShutdownUnderLoad(t *testing.T, deadline time.Duration) (faults []string, late time.Duration) {
 	ran := sync.Map{}
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		ran.Store(r.Header.Get("X-Trace-Id"), true)
 		switch r.URL.Path {
 		case "/api/slow":
@@ -111,15 +111,15 @@
 		}
 		return ok200("x")
 	}))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline)))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline)))
 	eventually(t, "the node accepting clients", n.running.Load)
-	counts := &tally{began: time.Now()}
+	counts := &clientTally{began: time.Now()}
 	var clients sync.WaitGroup
 	connect := func() { // a client that can't connect sends nothing
 		if c, err := net.Dial("tcp", n.Addr().String()); err == nil {
-			c.SetDeadline(time.Now().Add(patience))
-			clients.Go(func() { counts.keepAsking(c, uint64(lastID.Add(1))) })
+			c.SetDeadline(time.Now().Add(testTimeout))
+			clients.Go(func() { counts.sendUntilClosed(c, uint64(lastID.Add(1))) })
 		}
 	}
 	const first = 16
@@ -145,7 +145,7 @@
 		connect()
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err := receive(t, "the end of the node", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.result); err != nil {
 		t.Error(err)
 	}
 	ended := time.Since(counts.began) - stoppedAt
@@ -156,20 +156,20 @@
 			faults = append(faults, fmt.Sprintf(format, args...))
 		}
 	}
-	for _, id := range counts.crossing {
+	for _, id := range counts.crossedByClose {
 		_, is := ran.Load(id)
 		addFault(is, "%s: closed without an answer, but it ran", id)
 	}
-	accepted, written, answered, killAt := counts.lastLetIn-stoppedAt, counts.lastWritten-stoppedAt, counts.lastAnswered-stoppedAt, deadline+life.Platform.Grace
+	accepted, written, answered, killAt := counts.lastAccepted-stoppedAt, counts.lastWritten-stoppedAt, counts.lastAnswered-stoppedAt, deadline+life.Platform.Grace
 	book := &n.front.book
 	acceptedRequests, open, left := int(book.Taken.Load()), book.Open(), book.Left.Load()
 	t.Logf("%d written, %d answered (%d served), %d crossed by a close; last connection after %v, last write %v, last answer %v, end %v of %v; timers late by %v",
-		counts.written, counts.answered, counts.served, len(counts.crossing), accepted, written, answered, ended, killAt, late)
+		counts.written, counts.answered, counts.served, len(counts.crossedByClose), accepted, written, answered, ended, killAt, late)
 	addFault(len(counts.lost) > 0, "lost: %q", counts.lost)
-	addFault(counts.bare > 0, "%d new connections closed without an answer", counts.bare)
+	addFault(counts.newConnRefused > 0, "%d new connections closed without an answer", counts.newConnRefused)
 	addFault(acceptedRequests != counts.answered || open != 0 || left != 0, "accepted %d, open %d, left %d; clients have %d answers", acceptedRequests, open, left, counts.answered)
 	// Late timers of the machine delay the node too.
 	addFault(answered > killAt-life.Late/2+late || ended >= killAt+late, "last answer after %v, end after %v, SIGKILL after %v", answered, ended, killAt)
-	addFault(accepted < life.Platform.Still/2-late || counts.served == 0 || len(counts.crossing) > counts.written/20, "accepted connections for %v, %d served, %d crossed by a close", accepted, counts.served, len(counts.crossing))
+	addFault(accepted < life.Platform.Still/2-late || counts.served == 0 || len(counts.crossedByClose) > counts.written/20, "accepted connections for %v, %d served, %d crossed by a close", accepted, counts.served, len(counts.crossedByClose))
 	return faults, late
 }
--- a/internal/node/shutdown_behind_test.go
+++ b/internal/node/shutdown_pipelined_test.go
@@ -10,7 +10,7 @@
 
 // A pipelined request that was read together with the one before it must be answered, also when answers close their connections.
 // Only the last answer closes it. Closing with the first would lose a request that the node has read.
-func TestWhatIsReadBehindIsAnswered(t *testing.T) {
+func TestPipelinedRequestIsAnsweredBeforeClose(t *testing.T) {
 	for name, c := range map[string]struct{ before, during func(*front) }{
 		"closing before":     {before: func(f *front) { f.closing.Store(true) }},
 		"closing while open": {during: func(f *front) { f.closing.Store(true) }},
@@ -19,14 +19,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			arrived, release := make(chan struct{}, 2), make(chan struct{})
-			b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+			b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string {
 				arrived <- struct{}{}
 				<-release
 				return ok200("x")
 			}))
-			n := startOn(t, b.Addr().String())
+			n := startNodeWithBackends(t, b.Addr().String())
 			eventually(t, "the node accepting clients", n.running.Load)
-			n.onLoop(t, func() {})
+			n.runOnLoop(t, func() {})
 			if c.before != nil {
 				c.before(n.front)
 			}
--- a/internal/node/heldup_test.go
+++ b/internal/node/stall_test.go
@@ -16,42 +16,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// heldUpListener accepts connections whose bytes are read late, as if the process had been stalled.
-type heldUpListener struct {
+// stalledListener accepts connections whose bytes are read late, as if the process had been stalled.
+type stalledListener struct {
 	net.Listener
-	by *atomic.Int64 // ns
+	delay *atomic.Int64 // ns
 }
 
-func (l heldUpListener) Accept() (net.Conn, error) {
+func (l stalledListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &heldUpConn{c.(*net.TCPConn), l.by}, nil
+	return &stalledConn{c.(*net.TCPConn), l.delay}, nil
 }
 
-// heldUpConn is a connection whose next read is delayed.
-type heldUpConn struct {
+// stalledConn is a connection whose next read is delayed.
+type stalledConn struct {
 	*net.TCPConn
-	by *atomic.Int64
+	delay *atomic.Int64
 }
 
-func (c *heldUpConn) SyscallConn() (syscall.RawConn, error) {
+func (c *stalledConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return heldUpRaw{raw, c.by}, err
+	return stalledRawConn{raw, c.delay}, err
 }
 
-// heldUpRaw sleeps once before a read that has something to return.
-type heldUpRaw struct {
+// stalledRawConn sleeps once before a read that has something to return.
+type stalledRawConn struct {
 	syscall.RawConn
-	by *atomic.Int64
+	delay *atomic.Int64
 }
 
-func (r heldUpRaw) Read(f func(fd uintptr) bool) error {
+func (r stalledRawConn) Read(f func(fd uintptr) bool) error {
 	return r.RawConn.Read(func(fd uintptr) bool {
 		var b [1]byte
 		if n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT); err == nil && n > 0 {
-			time.Sleep(time.Duration(r.by.Swap(0)))
+			time.Sleep(time.Duration(r.delay.Swap(0)))
 		}
 		return f(fd)
 	})
@@ -59,10 +59,10 @@
 
 // The deadline that a backend gets must not exceed the remaining time of the client by more than 0.15 s, counted from the client's
 // last byte. That byte may have waited in the socket of a stalled node, on a reused connection, with a body or without.
-func TestToldDeadlines(t *testing.T) {
+func TestForwardedDeadlineCountsSocketDelay(t *testing.T) {
 	const stall, timeLeft, slack = 400 * time.Millisecond, 2 * time.Second, 150 * time.Millisecond
 	forwarded := make(chan time.Duration, 8)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if strings.HasPrefix(r.URL.Path, "/api/") {
 			s, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
 			if err != nil {
@@ -72,10 +72,10 @@
 		}
 		return ok200("x")
 	}))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	delay := new(atomic.Int64)
-	n := startAs(t, testConfig(t, newRegistry(t, text).Addr, text), func(n *Node) {
-		n.listener.Listener = heldUpListener{n.listener.Listener, delay}
+	n := startChangedNode(t, testConfig(t, newRegistry(t, text).Addr, text), func(n *Node) {
+		n.listener.Listener = stalledListener{n.listener.Listener, delay}
 	})
 	eventually(t, "the node accepting clients", n.running.Load)
 	c := n.dial(t)
@@ -106,7 +106,7 @@
 
 // A pooled connection is not used so late that a stall of the node between reading the clock and writing the request would meet the
 // backend's close, however short the idle time in the settings is.
-func TestShortIdleTimesLeaveRoomForAHoldUp(t *testing.T) {
+func TestPoolIdleTimesLeaveMarginForStall(t *testing.T) {
 	const stall = 150 * time.Millisecond
 	for _, idle := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond,
 		500 * time.Millisecond, time.Second, 5 * time.Second} {
@@ -117,13 +117,13 @@
 }
 
 // A UDP socket whose reads keep failing must not make the reader spin, and datagrams are received again once it works.
-func TestAPeersSocketThatFails(t *testing.T) {
+func TestFailingPeerSocketDoesNotSpin(t *testing.T) {
 	sender, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer sender.Close()
-	p, err := listenPeers(t.Context(), &Config{PeerListen: "127.0.0.1:0", Peers: []string{sender.LocalAddr().String()}}, 8, quiet())
+	p, err := listenPeers(t.Context(), &Config{PeerListen: "127.0.0.1:0", Peers: []string{sender.LocalAddr().String()}}, 8, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/stopped_test.go
+++ b/internal/node/stalled_requests_test.go
@@ -12,11 +12,11 @@
 
 // A client that stops in the middle of a request and stays connected must get an error or a close within 3 s, wherever it stops, on a
 // new or a reused connection. A phase of reading without a timeout would leave it waiting. The margin is for a slow machine.
-func TestStoppedRequestsEndInTime(t *testing.T) {
+func TestStalledRequestsEndInTime(t *testing.T) {
 	const limit, margin = 3 * time.Second, 250 * time.Millisecond
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text))
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 	eventually(t, "the node accepting clients", n.running.Load)
 	order := func(length string) string {
 		return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: stops-%d\r\nX-Qos: order\r\nX-Customer: acme\r\n%s\r\n\r\n",
@@ -43,7 +43,7 @@
 			c := n.dial(t)
 			stalled.Go(func() {
 				if reused {
-					askOn(t, c)
+					doRequestOn(t, c)
 					time.Sleep(500 * time.Millisecond)
 				}
 				began := time.Now()
@@ -61,8 +61,8 @@
 	}
 }
 
-// askOn sends a whole request on a connection and waits for its answer.
-func askOn(t *testing.T, c net.Conn) {
+// doRequestOn sends a whole request on a connection and waits for its answer.
+func doRequestOn(t *testing.T, c net.Conn) {
 	t.Helper()
 	fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: whole-%d\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n", lastID.Add(1))
 	answer := make([]byte, 512)
--- a/internal/node/odd_test.go
+++ b/internal/node/unusual_settings_test.go
@@ -9,7 +9,7 @@
 
 // Settings that are zero, absent, very small or very large must not stop a node or break its answers where the reference of the
 // settings allows them. Each case gives the meaning of the value.
-func TestOddSettingsStartAndAnswer(t *testing.T) {
+func TestUnusualSettingsAreAccepted(t *testing.T) {
 	const huge = "9223372036854775807"
 	for name, c := range map[string]struct {
 		class        string
@@ -41,9 +41,9 @@
 		"membership mode ask":                    {"read", []string{`{"nInstances"`, `{"membershipMode":"ask","nInstances"`}, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
-			n, err := New(t.Context(), testConfig(t, newRegistry(t, text).Addr, text, c.replacements...), quiet())
+			b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+			text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+			n, err := New(t.Context(), testConfig(t, newRegistry(t, text).Addr, text, c.replacements...), discardLog())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,7 +57,7 @@
 			defer wg.Wait()
 			defer srv.Close()
 			defer stop()
-			if resp, _ := do(t, ask(t, "http://"+n.Addr().String()+"/api/x", c.class, func(r *http.Request) { r.Header.Del("X-Expires-In") })); resp.StatusCode != c.want {
+			if resp, _ := doRequest(t, newTestRequest(t, "http://"+n.Addr().String()+"/api/x", c.class, func(r *http.Request) { r.Header.Del("X-Expires-In") })); resp.StatusCode != c.want {
 				t.Errorf("answered %d, want %d", resp.StatusCode, c.want)
 			}
 		})
--- a/internal/node/wear_test.go
+++ b/internal/node/wear_test.go
@@ -14,7 +14,7 @@
 
 // Something on the way, or a backend with a shorter idle time than configured, may drop idle connections silently. The next request on
 // one breaks and may have run. The node learns this and dials new connections instead, but still reuses one that was used just before.
-func TestWornConnectionsCarryNoRequests(t *testing.T) {
+func TestConnectionsPastBackendIdleTimeAreNotReused(t *testing.T) {
 	const backendIdleClose = 60 * time.Millisecond
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for last := time.Now(); ; last = time.Now() {
@@ -22,32 +22,32 @@
 				return
 			}
 			if time.Since(last) > backendIdleClose {
-				reset(c)
+				resetConn(c)
 				return
 			}
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	x, to := exchangesFor(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
 	inRow := 0
 	eventually(t, "ten delivered requests in a row", func() bool {
-		if inRow++; try(t, x, to, get("id")).Status != balance.Delivered {
+		if inRow++; attemptOnce(t, x, to, getMessage("id")).Status != balance.Delivered {
 			inRow = 0
 		}
 		time.Sleep(2 * backendIdleClose)
 		return inRow == 10
 	})
-	for try(t, x, to, get("id")).Status != balance.Delivered {
+	for attemptOnce(t, x, to, getMessage("id")).Status != balance.Delivered {
 	}
 	n := b.Accepted.Load()
-	if try(t, x, to, get("id")).Status != balance.Delivered || b.Accepted.Load() > n+1 {
+	if attemptOnce(t, x, to, getMessage("id")).Status != balance.Delivered || b.Accepted.Load() > n+1 {
 		t.Errorf("after a connection used just before: %d dialed", b.Accepted.Load()-n)
 	}
 }
 
 // Breaks that new connections suffer as often, or that happened long ago, must not make the node stop reusing connections. Dialing
 // costs round trips and work at the backend.
-func TestWearIsJudgedAgainstFreshConnections(t *testing.T) {
+func TestIdleBreakRateIsComparedWithNewConnections(t *testing.T) {
 	var w wear
 	for i := range 400 {
 		w.note(0, i%10 == 0)
