--- a/internal/node/footprint_test.go
+++ b/internal/node/footprint_test.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// BenchmarkIdleNodeFootprint measures the cost of lists of backends and peers in an idle node: bytes of heap and stacks in use, and goroutines.
+// BenchmarkIdleNodeFootprint measures the cost of lists of backends and peers in an idle node: bytes of heap and stacks in
+// use, and goroutines.
 func BenchmarkIdleNodeFootprint(b *testing.B) {
 	for _, backends := range []int{20, 200, 1024} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
@@ -55,8 +56,8 @@
 	}
 }
 
-// BenchmarkLoadedNodeFootprint measures the heap and stacks, goroutines and answers of a node whose request slots are in use. 64 clients send
-// without a pause, and each answer takes 20 ms. Backends and clients run in a process of their own.
+// BenchmarkLoadedNodeFootprint measures the heap and stacks, goroutines and answers of a node whose request slots are in use. 64 clients
+// send without a pause, and each answer takes 20 ms. Backends and clients run in a process of their own.
 func BenchmarkLoadedNodeFootprint(b *testing.B) {
 	for _, backends := range []int{20, 200, 1024} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// sendInPieces writes text to a node in pieces of this many bytes. It returns the statuses of the answers up to the close of the connection.
+// sendInPieces writes text to a node in pieces of this many bytes. It returns the statuses of the answers up to the close of
+// the connection.
 func sendInPieces(t *testing.T, n *testNode, text string, piece int) (statuses []int) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -18,14 +18,14 @@
 
 // engineFixture is an engine that sends over exchanges to two backends. The test can advance its clock.
 type engineFixture struct {
-	exchanges    *exchanges
-	engine       *engine.Engine
+	transport    *exchanges
+	loop       *engine.Engine
 	clockAdvance atomic.Int64
 	results      chan engine.Result
 }
 
 func newEngineFixture(t *testing.T, window time.Duration, addrs ...string) *engineFixture {
-	p := &engineFixture{exchanges: newTestExchanges(t), results: make(chan engine.Result, 8)}
+	p := &engineFixture{transport: newTestExchanges(t), results: make(chan engine.Result, 8)}
 	bal, err := balance.New(balance.Config{
 		Classes: []balance.Class{{Aim: time.Second, Deadline: testTimeout, Effect: balance.Keyed, Window: window, Scope: balance.ScopeAll, Points: 1}},
 		Limits:  balance.Limits{MaxAttempts: 2, FreeRetries: 10},
@@ -33,23 +33,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.engine = engine.New(engine.Config{Balancer: bal, Transport: p.exchanges, Saw: func(_ string, r engine.Result) { p.results <- r },
+	p.loop = engine.New(engine.Config{Balancer: bal, Transport: p.transport, Saw: func(_ string, r engine.Result) { p.results <- r },
 		Now: func() time.Time { return time.Now().Add(time.Duration(p.clockAdvance.Load())) }})
 	var l engine.List
 	for _, a := range addrs {
 		l.Members = append(l.Members, engine.Member{ID: a, Addr: a, Member: balance.Member{Weight: 1}})
 	}
-	p.engine.TakeList(balance.MembersChanged, l)
+	p.loop.TakeList(balance.MembersChanged, l)
 	quit := make(chan struct{})
-	go p.engine.Run(quit)
-	t.Cleanup(func() { close(quit); <-p.engine.Done() })
+	go p.loop.Run(quit)
+	t.Cleanup(func() { close(quit); <-p.loop.Done() })
 	return p
 }
 
 // place places a request with this message.
 func (p *engineFixture) place(m *message) *engine.Request {
-	r := &engine.Request{ID: "x", Deadline: p.engine.Now().Add(testTimeout), Message: m, Reply: make(chan engine.Answer, 1)}
-	p.engine.Place(r)
+	r := &engine.Request{ID: "x", Deadline: p.loop.Now().Add(testTimeout), Message: m, Reply: make(chan engine.Answer, 1)}
+	p.loop.Place(r)
 	return r
 }
 
@@ -73,7 +73,7 @@
 			p := newEngineFixture(t, testTimeout/2, a.Addr().String(), b.Addr().String())
 			var dials atomic.Int32
 			dialing, proceed := make(chan struct{}), make(chan struct{})
-			p.exchanges.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+			p.transport.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 				if dials.Add(1) == 2 {
 					close(dialing)
 					<-proceed
@@ -142,7 +142,7 @@
 			}
 			defer close(testEnded)
 			p := newEngineFixture(t, testTimeout/80, addrs...)
-			p.exchanges.pool.dialer.Control = smallBuffers
+			p.transport.pool.dialer.Control = smallBuffers
 			m := getMessage("x")
 			m.method = "POST"
 			addBody(m)
@@ -177,7 +177,7 @@
 	p := newEngineFixture(t, testTimeout, a.Addr().String(), b.Addr().String())
 	var dials atomic.Int32
 	dialing, proceed := make(chan string, 1), make(chan struct{})
-	p.exchanges.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+	p.transport.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 		if dials.Add(1) == 1 {
 			dialing <- addr
 			<-proceed
@@ -189,8 +189,8 @@
 	m.up = &upload{from: &patient{body: strings.NewReader(body), rc: &http.ResponseController{}}, length: int64(len(body)), within: 100}
 	r := p.place(m)
 	addr := receive(t, "the first dial", dialing)
-	p.engine.Post(func() {
-		p.engine.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
+	p.loop.Post(func() {
+		p.loop.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
 			Member: balance.Member{Weight: 1, Phase: balance.Draining}}}})
 	})
 	ans := receive(t, "the answer", r.Reply)
--- a/internal/node/unusual_settings_test.go
+++ b/internal/node/unusual_settings_test.go
@@ -57,7 +57,8 @@
 			defer wg.Wait()
 			defer srv.Close()
 			defer stop()
-			if resp, _ := doRequest(t, newTestRequest(t, "http://"+n.Addr().String()+"/api/x", c.class, func(r *http.Request) { r.Header.Del("X-Expires-In") })); resp.StatusCode != c.want {
+			if resp, _ := doRequest(t, newTestRequest(t, "http://"+n.Addr().String()+"/api/x", c.class,
+				func(r *http.Request) { r.Header.Del("X-Expires-In") })); resp.StatusCode != c.want {
 				t.Errorf("answered %d, want %d", resp.StatusCode, c.want)
 			}
 		})
