--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -19,7 +19,7 @@
 // engineFixture is an engine that sends over exchanges to two backends. The test can advance its clock.
 type engineFixture struct {
 	transport    *exchanges
-	loop       *engine.Engine
+	loop         *engine.Engine
 	clockAdvance atomic.Int64
 	results      chan engine.Result
 }
