--- a/internal/node/emptylist_test.go
+++ b/internal/node/emptylist_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// What a whole list doesn't name is gone, also where it names nobody: nothing new goes out, and requests are refused until a list
-// names a backend again.
-func TestAWholeListOfNobody(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+// A complete list removes every backend that it doesn't name, also when it is empty. If the node ignored an empty list, requests
+// would still go to removed backends. It rejects them until a list names a backend again.
+func TestEmptyListRemovesAllBackends(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	reg := newRegistry(t, text)
-	n := start(t, testConfig(t, reg.Addr, text))
-	eventually(t, "clients let in", n.running.Load)
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
-		t.Fatalf("before: %d", resp.StatusCode)
+	n := startNode(t, testConfig(t, reg.Addr, text))
+	eventually(t, "the node accepting clients", n.running.Load)
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+		t.Fatalf("before the empty list: %d", resp.StatusCode)
 	}
 	reg.Next <- listText(2, true)
-	told := time.Now()
-	refused := func() bool {
-		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+	sentAt := time.Now()
+	isRejected := func() bool {
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
 		return resp.StatusCode == http.StatusServiceUnavailable
 	}
-	eventually(t, "refused", refused)
-	if d := time.Since(told); d > 500*time.Millisecond {
-		t.Errorf("something new went out %v after the list", d)
+	eventually(t, "a rejected request", isRejected)
+	if d := time.Since(sentAt); d > 500*time.Millisecond {
+		t.Errorf("requests were rejected only %v after the list", d)
 	}
-	if !refused() {
-		t.Error("served again, by nobody")
+	if !isRejected() {
+		t.Error("a request was served without a backend")
 	}
-	reg.Next <- listText(3, false, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-	eventually(t, "served again", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+	reg.Next <- listText(3, false, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+	eventually(t, "a served request", func() bool {
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
 		return resp.StatusCode == http.StatusOK
 	})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,20 +19,20 @@
 	"glencart/life"
 )
 
-// What the tests of this package take from package standin.
-const patience = standin.Patience
+// Short names for the helpers of package standin.
+const testTimeout = standin.Patience
 
 type (
-	rawBackend = standin.Raw
-	listed     = standin.Listed
-	scripted   = standin.Registry
+	rawBackend    = standin.Raw
+	listedBackend = standin.Listed
+	testRegistry  = standin.Registry
 )
 
 var (
-	quiet       = standin.Quiet
-	reset       = standin.Reset
+	discardLog  = standin.Quiet
+	resetConn   = standin.Reset
 	listText    = standin.ListText
-	newRegistry = func(t *testing.T, whole string) *scripted { t.Helper(); return standin.NewRegistry(t, whole) }
+	newRegistry = func(t *testing.T, whole string) *testRegistry { t.Helper(); return standin.NewRegistry(t, whole) }
 )
 
 func eventually(t *testing.T, what string, ok func() bool) {
@@ -60,8 +60,8 @@
  "obligations":{"drainGrace":500000000,"coldShare":0.12,"warmWithin":22000000000,"fallMultiple":3,"overloadFor":1500000000},
  "loadReport":{"source":"on_probe","columns":["active","cpu"]}}`
 
-// answering serves requests on a connection until it ends.
-func answering(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
+// serveAnswers returns a function that serves requests on a connection until the connection ends.
+func serveAnswers(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -77,13 +77,15 @@
 	}
 }
 
+// ok200 returns a 200 answer with this body as text.
 func ok200(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func testConfig(t *testing.T, discovery string, known string, change ...string) Config {
+// testConfig returns a configuration with testSettings. replacements has pairs of an old and a new text for them.
+func testConfig(t *testing.T, discovery string, known string, replacements ...string) Config {
 	t.Helper()
-	text := strings.NewReplacer(change...).Replace(testSettings)
+	text := strings.NewReplacer(replacements...).Replace(testSettings)
 	raw, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, "known": json.RawMessage(known),
@@ -99,25 +101,26 @@
 	return cfg
 }
 
-// started is a node under test.
-type started struct {
+// testNode is a node under test.
+type testNode struct {
 	*Node
-	url  string
-	stop context.CancelFunc
-	err  chan error
+	url    string
+	stop   context.CancelFunc
+	result chan error
 }
 
-func start(t *testing.T, cfg Config) *started {
+// startNode runs a node until the test ends.
+func startNode(t *testing.T, cfg Config) *testNode {
 	t.Helper()
-	n, err := New(t.Context(), cfg, quiet())
+	n, err := New(t.Context(), cfg, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &started{Node: n, url: "http://" + n.Addr().String(), stop: cancel, err: make(chan error, 1)}
+	s := &testNode{Node: n, url: "http://" + n.Addr().String(), stop: cancel, result: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() {
-		s.err <- n.Run(ctx)
+		s.result <- n.Run(ctx)
 		close(ended)
 	}()
 	t.Cleanup(func() {
@@ -127,19 +130,19 @@
 	return s
 }
 
-// startOn starts a node that knows of these backends and has no discovery.
-func startOn(t *testing.T, addrs ...string) *started {
+// startNodeWithBackends starts a node with these backends, which are also what its discovery lists.
+func startNodeWithBackends(t *testing.T, addrs ...string) *testNode {
 	t.Helper()
-	var members []listed
+	var members []listedBackend
 	for i, a := range addrs {
-		members = append(members, listed{ID: fmt.Sprintf("s-%d", i), Addr: a, Phase: "ready"})
+		members = append(members, listedBackend{ID: fmt.Sprintf("s-%d", i), Addr: a, Phase: "ready"})
 	}
 	text := listText(1, true, members...)
-	return start(t, testConfig(t, newRegistry(t, text).Addr, text))
+	return startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 }
 
-// onLoop runs f on the node's loop and waits for it.
-func (s *started) onLoop(t *testing.T, f func()) {
+// runOnLoop runs f on the node's loop and waits for it.
+func (s *testNode) runOnLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	if !s.loop.Post(func() { f(); close(done) }) {
@@ -148,16 +151,16 @@
 	receive(t, "the loop", done)
 }
 
-// open counts the requests in the loop's table.
-func (s *started) open(t *testing.T) (n int) {
-	s.onLoop(t, func() { n = s.loop.Open() })
+// openRequests returns the number of requests in the table of the loop.
+func (s *testNode) openRequests(t *testing.T) (n int) {
+	s.runOnLoop(t, func() { n = s.loop.Open() })
 	return n
 }
 
 var lastID atomic.Int64
 
-// ask makes a request as a client does.
-func ask(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
+// newTestRequest returns a request of this class as a client sends it.
+func newTestRequest(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
 	if class == "read" {
@@ -180,7 +183,8 @@
 	return r
 }
 
-func do(t *testing.T, r *http.Request) (*http.Response, string) {
+// doRequest sends a request on a connection of its own and returns the answer and its body.
+func doRequest(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(r)
@@ -195,43 +199,43 @@
 	return resp, string(body)
 }
 
-// A node that is told to end serves what comes for a while yet, answers what it has taken, closes connections
-// with their answer, and ends by itself.
-func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 16)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+// A node that shuts down must not lose requests that it has accepted, or that clients still send before they notice. It serves new
+// connections for a while, answers every request that it has read, closes each connection after an answer, and ends.
+func TestShutdownAnswersAllAcceptedRequests(t *testing.T) {
+	release, arrived := make(chan struct{}), make(chan struct{}, 16)
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return ok200("done")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWithBackends(t, b.Addr().String())
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read"))
 		return resp.StatusCode == 200
 	})
 	client := &http.Client{Transport: &http.Transport{}}
 	slow := make(chan *http.Response, 1)
 	go func() {
-		resp, err := client.Do(ask(t, n.url+"/api/slow", "order"))
+		resp, err := client.Do(newTestRequest(t, n.url+"/api/slow", "order"))
 		if err != nil {
 			t.Error(err)
 			resp = &http.Response{}
 		}
 		slow <- resp
 	}()
-	receive(t, "the slow request at the backend", held)
+	receive(t, "the slow request at the backend", arrived)
 	began := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.front.leaving.Load() })
-	if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
-		t.Errorf("readiness of a node that leaves: %d", resp.StatusCode)
+	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
+	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
+		t.Errorf("readiness during shutdown: %d", resp.StatusCode)
 	}
-	if resp, body := do(t, ask(t, n.url+"/api/late", "order")); resp.StatusCode != 200 || body != "done" || !resp.Close {
-		t.Errorf("a new connection while leaving: %d %q, closed: %t", resp.StatusCode, body, resp.Close)
+	if resp, body := doRequest(t, newTestRequest(t, n.url+"/api/late", "order")); resp.StatusCode != 200 || body != "done" || !resp.Close {
+		t.Errorf("new connection during shutdown: %d %q, closed: %t", resp.StatusCode, body, resp.Close)
 	}
-	eventually(t, "end of accepting", func() bool {
+	eventually(t, "the end of accepting", func() bool {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err == nil {
 			c.Close()
@@ -239,41 +243,41 @@
 		return err != nil
 	})
 	if d := time.Since(began); d < 400*time.Millisecond {
-		t.Errorf("accepted for only %v", d)
+		t.Errorf("accepted connections for only %v", d)
 	}
-	close(hold)
+	close(release)
 	if resp := receive(t, "the slow answer", slow); resp.StatusCode != 200 {
-		t.Errorf("the slow request: %d", resp.StatusCode)
+		t.Errorf("slow request: %d", resp.StatusCode)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.result); err != nil {
 		t.Error(err)
 	}
 }
 
-// A request in the backlog of a node that is full counts as taken: one that is told to end serves it yet.
-func TestLeavingServesTheBacklog(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 64)
-	serve := answering(func(r *http.Request) string {
+// A request in the backlog of a full node must be served although the node shuts down. Its client is connected and would see a reset.
+func TestShutdownServesBacklog(t *testing.T) {
+	release, arrived := make(chan struct{}), make(chan struct{}, 64)
+	serve := serveAnswers(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return ok200("done")
 	})
-	text := listText(1, true, // while one has a slow request, the other is idle
-		listed{ID: "s-0", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0},
-		listed{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0})
+	text := listText(1, true, // one runs the slow request, the other is idle
+		listedBackend{ID: "s-0", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0},
+		listedBackend{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Limits.Sockets = leastSockets
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.share()
-	n.front.table.KeepAll() // nobody gives way
+	n.front.table.KeepAll() // no idle connection is closed to make room
 	slow := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
-	receive(t, "the slow request at the backend", held)
+	receive(t, "the slow request at the backend", arrived)
 	var silent []net.Conn
 	for range clients - 1 {
 		c, err := net.Dial("tcp", n.Addr().String())
@@ -284,48 +288,48 @@
 		silent = append(silent, c)
 	}
 	eventually(t, "a full node", n.listener.Full)
-	waits := make(chan string, 1)
+	queued := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/waits", "order"))
-		waits <- body
+		_, body := doRequest(t, newTestRequest(t, n.url+"/api/waits", "order"))
+		queued <- body
 	}()
 	n.stop()
 	time.Sleep(life.Platform.Still + life.Late + 100*time.Millisecond)
 	for _, c := range silent {
 		c.Close()
 	}
-	if body := receive(t, "the answer to the one that waited", waits); body != "done" {
-		t.Errorf("the one that waited: %q", body)
+	if body := receive(t, "the answer to the request from the backlog", queued); body != "done" {
+		t.Errorf("request from the backlog: %q", body)
 	}
-	close(hold)
+	close(release)
 	if body := receive(t, "the slow answer", slow); body != "done" {
-		t.Errorf("the slow one: %q", body)
+		t.Errorf("slow request: %q", body)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.result); err != nil {
 		t.Error(err)
 	}
 }
 
-// A node that knows of no backend is not ready, and becomes so when discovery names one.
+// A node without backends must not report itself ready, since it could serve nothing. It becomes ready when discovery lists one.
 func TestReadyOnlyWithBackends(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
 	reg := newRegistry(t, listText(1, true))
-	n := start(t, testConfig(t, reg.Addr, "null"))
-	resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+	n := startNode(t, testConfig(t, reg.Addr, "null"))
+	resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read"))
 	if resp.StatusCode != 503 {
-		t.Fatalf("no backend, and readiness says %d", resp.StatusCode)
+		t.Fatalf("readiness without backends: %d", resp.StatusCode)
 	}
-	reg.Next <- listText(2, false, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+	reg.Next <- listText(2, false, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+		resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read"))
 		return resp.StatusCode == 200
 	})
-	if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
-		t.Fatalf("%d %q", resp.StatusCode, body)
+	if resp, body := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
+		t.Fatalf("after the update: answered %d %q", resp.StatusCode, body)
 	}
 }
 
-// Connections beyond the limit wait in the backlog: accepting them would run the process out of descriptors.
+// Connections beyond the limit wait in the backlog. Accepting them would run the process out of descriptors.
 func TestConnectionsAreBounded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -351,7 +355,7 @@
 		defer c.Close()
 	}
 	first := receive(t, "the first connection", got)
-	second := receive(t, "the second", got)
+	second := receive(t, "the second connection", got)
 	defer second.Close()
 	select {
 	case <-got:
@@ -359,21 +363,21 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	first.Close()
-	receive(t, "the third, once there is room", got).Close()
+	receive(t, "the third connection after one was closed", got).Close()
 }
 
-// While it can still answer in time, a node that is to end keeps the connections of its clients: with other nodes
-// out for a restart they may have no other place to go.
-func TestLeavingKeepsConnectionsForAWhile(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
-	n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":3000000000`))
+// A node that shuts down keeps the connections of its clients while it can still answer in time. If it closed them at once, clients
+// might find no other node while others restart too.
+func TestShutdownKeepsClientConnections(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
+	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
+	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":3000000000`))
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(c)
 	request := func() (*http.Response, error) {
 		fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: id-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 0.5\r\n\r\n", lastID.Add(1))
@@ -388,7 +392,7 @@
 	}
 	began := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.front.leaving.Load() })
+	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
 	for {
 		resp, err := request()
 		if err != nil {
@@ -402,38 +406,38 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	// 3 s and 0.7 s are sure, of which the longest request may need 0.5 s.
+	// The node has 3 s and 0.7 s before SIGKILL, of which the longest request may need 0.5 s.
 	if d := time.Since(began); d < 2*(life.Platform.Still+life.Late) {
-		t.Errorf("closed after %v", d)
+		t.Errorf("connections closed too early, after %v", d)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.result); err != nil {
 		t.Error(err)
 	}
 	if d := time.Since(began); d > 3700*time.Millisecond {
-		t.Errorf("ended after %v", d)
+		t.Errorf("the node ended too late, after %v", d)
 	}
 }
 
-// Whatever time their clients gave them, requests that are open when the node is told to end, and those that come then, have
-// their one whole answer before SIGKILL may come: on a backend that never answers, during an upload, and beside a successor.
-func TestLeavingCutsLongDeadlines(t *testing.T) {
-	for _, follows := range []bool{false, true} {
-		t.Run(fmt.Sprintf("followed=%t", follows), func(t *testing.T) {
+// Requests that are open at SIGTERM or arrive after it get one whole answer before SIGKILL, even if their deadlines end later. The
+// cases are a backend that never answers, an upload, and a node with a successor.
+func TestShutdownShortensDeadlines(t *testing.T) {
+	for _, hasSuccessor := range []bool{false, true} {
+		t.Run(fmt.Sprintf("followed=%t", hasSuccessor), func(t *testing.T) {
 			t.Parallel()
-			held := make(chan struct{}, 16)
-			b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+			arrived := make(chan struct{}, 16)
+			b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 				if r.URL.Path == "/stats" {
 					return ok200("{}")
 				}
-				held <- struct{}{}
+				arrived <- struct{}{}
 				select {} // it never answers
 			}))
-			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+			text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 			cfg := testConfig(t, newRegistry(t, text).Addr, text)
 			cfg.Shared = t.TempDir()
-			n := start(t, cfg)
-			eventually(t, "clients let in", n.running.Load)
-			n.front.held.left.Store(0) // uploads go on as they come
+			n := startNode(t, cfg)
+			eventually(t, "the node accepting clients", n.running.Load)
+			n.front.held.left.Store(0) // uploads are streamed, not buffered
 			type answer struct {
 				what   string
 				status int
@@ -443,7 +447,7 @@
 			send := func(what, class string, change ...func(*http.Request)) {
 				go func() {
 					tr := &http.Transport{DisableKeepAlives: true}
-					resp, err := tr.RoundTrip(ask(t, n.url+"/api/"+what, class, change...))
+					resp, err := tr.RoundTrip(newTestRequest(t, n.url+"/api/"+what, class, change...))
 					a := answer{what: what, err: err}
 					if err == nil {
 						a.status = resp.StatusCode
@@ -456,36 +460,36 @@
 			body, writer := io.Pipe()
 			defer writer.Close()
 			send("open", "order")
-			receive(t, "a request at the backend", held)
+			receive(t, "a request at the backend", arrived)
 			send("upload", "order", func(r *http.Request) { r.Body, r.ContentLength = body, 8<<20 })
 			writer.Write(make([]byte, 200_000))
-			go func() { // a slow client, not a silent one
+			go func() { // a slow client that keeps sending
 				for _, err := writer.Write(make([]byte, 64<<10)); err == nil; _, err = writer.Write(make([]byte, 64<<10)) {
 					time.Sleep(200 * time.Millisecond)
 				}
 			}()
-			if follows {
-				start(t, cfg)
+			if hasSuccessor {
+				startNode(t, cfg)
 				eventually(t, "a successor", n.place.Followed)
 			}
 			began := time.Now()
 			n.stop()
-			eventually(t, "leaving", n.front.leaving.Load)
-			asked := 2
-			if !follows { // else it lets nobody in any more
+			eventually(t, "the start of the shutdown", n.front.leaving.Load)
+			sent := 2
+			if !hasSuccessor { // with a successor the node accepts no more connections
 				send("late", "order")
-				asked++
+				sent++
 			}
-			for range asked {
+			for range sent {
 				if a := receive(t, "an answer", answers); a.err != nil || a.status < 500 {
 					t.Errorf("%s: answered %d, %v", a.what, a.status, a.err)
 				}
 			}
-			if err := receive(t, "the node's end", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.result); err != nil {
 				t.Error(err)
 			}
-			if d := time.Since(began); d > 3700*time.Millisecond { // SIGKILL may come
-				t.Errorf("ended after %v", d)
+			if d := time.Since(began); d > 3700*time.Millisecond { // the time of SIGKILL
+				t.Errorf("the node ended too late, after %v", d)
 			}
 		})
 	}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -12,7 +12,8 @@
 	"glencart/internal/engine"
 )
 
-func udp(t *testing.T) *net.UDPConn {
+// listenUDP returns a UDP socket on loopback.
+func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -22,34 +23,36 @@
 	return c
 }
 
-func TestPeers(t *testing.T) {
-	peer, stranger := udp(t), udp(t)
+// Datagrams of unknown senders and oversized datagrams must be ignored, and oversized ones must not be sent. Each ignored one would
+// otherwise reach the loop or, cut off, a peer. The log line about them is rate-limited.
+func TestPeerDatagrams(t *testing.T) {
+	peer, stranger := listenUDP(t), listenUDP(t)
 	var logged bytes.Buffer // read when run has ended
 	p, err := listenPeers(t.Context(), &Config{PeerListen: "127.0.0.1:0", PeersAll: peer.LocalAddr().String(),
 		Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()}}, tellLeast, slog.New(slog.NewTextHandler(&logged, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	type said struct {
+	type delivery struct {
 		peer int
 		text string
 	}
-	heard := make(chan said, 16)
+	deliveries := make(chan delivery, 16)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		p.run(ctx, func(peer int, payload []byte) { heard <- said{peer, string(payload)} })
+		p.run(ctx, func(peer int, payload []byte) { deliveries <- delivery{peer, string(payload)} })
 		close(ended)
 	}()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
-	// Neither a stranger nor a datagram that is too long is heard; datagrams on loopback keep their order.
+	// Datagrams of strangers and oversized ones are ignored. Datagrams on loopback keep their order.
 	stranger.WriteToUDP([]byte("stranger"), to)
 	peer.WriteToUDP([]byte(strings.Repeat("x", datagramMost+1)), to)
 	peer.WriteToUDP([]byte("hello"), to)
-	if got := receive(t, "a datagram", heard); got != (said{1, "hello"}) {
-		t.Errorf("heard %+v", got)
+	if got := receive(t, "a datagram", deliveries); got != (delivery{1, "hello"}) {
+		t.Errorf("received %+v", got)
 	}
-	// Nor is one that is too long, or for nobody, sent.
+	// Oversized datagrams and those for an unknown peer are not sent.
 	p.tell(1, make([]byte, datagramMost+1))
 	p.tell(7, []byte("nobody"))
 	p.tell(1, []byte("one"))
@@ -62,19 +65,19 @@
 		}
 	}
 	cancel()
-	receive(t, "the end", ended)
-	if n := strings.Count(logged.String(), "datagram ignored"); n != 1 { // two within a second
-		t.Errorf("%d lines: %s", n, logged.String())
+	receive(t, "the end of the reader", ended)
+	if n := strings.Count(logged.String(), "datagram ignored"); n != 1 { // for two datagrams within a second
+		t.Errorf("%d log lines, want 1: %s", n, logged.String())
 	}
 }
 
-// A peer that floods, or a loop that is behind, must not fill the memory with messages.
-func TestMessagesThatWaitAreBounded(t *testing.T) {
-	n := &Node{loop: engine.New(engine.Config{}), bounds: boundsOf(Limits{}, 40)} // nobody runs it
+// A peer that floods the node, or a loop that falls behind, must not fill the memory with queued messages.
+func TestQueuedPeerMessagesAreBounded(t *testing.T) {
+	n := &Node{loop: engine.New(engine.Config{}), bounds: boundsOf(Limits{}, 40)} // its loop doesn't run
 	for range 3 * n.bounds.hear {
 		n.hear(1, nil)
 	}
 	if got := n.hears.Load(); int(got) != n.bounds.hear {
-		t.Errorf("%d messages wait", got)
+		t.Errorf("%d messages wait, want the limit", got)
 	}
 }
--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -16,45 +16,47 @@
 	"glencart/internal/engine"
 )
 
-// pair is an engine over exchanges, with two backends and a clock that the test may put forward.
-type pair struct {
-	x     *exchanges
-	e     *engine.Engine
-	ahead atomic.Int64
-	saw   chan engine.Result
+// engineFixture is an engine that sends over exchanges to two backends. The test can advance its clock.
+type engineFixture struct {
+	transport    *exchanges
+	loop         *engine.Engine
+	clockAdvance atomic.Int64
+	results      chan engine.Result
 }
 
-func newPair(t *testing.T, window time.Duration, addrs ...string) *pair {
-	p := &pair{x: exchangesFor(t), saw: make(chan engine.Result, 8)}
+func newEngineFixture(t *testing.T, window time.Duration, addrs ...string) *engineFixture {
+	p := &engineFixture{transport: newTestExchanges(t), results: make(chan engine.Result, 8)}
 	bal, err := balance.New(balance.Config{
-		Classes: []balance.Class{{Aim: time.Second, Deadline: patience, Effect: balance.Keyed, Window: window, Scope: balance.ScopeAll, Points: 1}},
+		Classes: []balance.Class{{Aim: time.Second, Deadline: testTimeout, Effect: balance.Keyed, Window: window, Scope: balance.ScopeAll, Points: 1}},
 		Limits:  balance.Limits{MaxAttempts: 2, FreeRetries: 10},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.e = engine.New(engine.Config{Balancer: bal, Transport: p.x, Saw: func(_ string, r engine.Result) { p.saw <- r },
-		Now: func() time.Time { return time.Now().Add(time.Duration(p.ahead.Load())) }})
+	p.loop = engine.New(engine.Config{Balancer: bal, Transport: p.transport, Saw: func(_ string, r engine.Result) { p.results <- r },
+		Now: func() time.Time { return time.Now().Add(time.Duration(p.clockAdvance.Load())) }})
 	var l engine.List
 	for _, a := range addrs {
 		l.Members = append(l.Members, engine.Member{ID: a, Addr: a, Member: balance.Member{Weight: 1}})
 	}
-	p.e.TakeList(balance.MembersChanged, l)
+	p.loop.TakeList(balance.MembersChanged, l)
 	quit := make(chan struct{})
-	go p.e.Run(quit)
-	t.Cleanup(func() { close(quit); <-p.e.Done() })
+	go p.loop.Run(quit)
+	t.Cleanup(func() { close(quit); <-p.loop.Done() })
 	return p
 }
 
-func (p *pair) ask(m *message) *engine.Request {
-	r := &engine.Request{ID: "x", Deadline: p.e.Now().Add(patience), Message: m, Reply: make(chan engine.Answer, 1)}
-	p.e.Place(r)
+// place places a request with this message.
+func (p *engineFixture) place(m *message) *engine.Request {
+	r := &engine.Request{ID: "x", Deadline: p.loop.Now().Add(testTimeout), Message: m, Reply: make(chan engine.Answer, 1)}
+	p.loop.Place(r)
 	return r
 }
 
-// The window in which backends drop repeats may end while a repeat is dialed. It is looked at again before the write.
-func TestNoRepeatIsWrittenAfterTheWindow(t *testing.T) {
-	for name, late := range map[string]bool{"in the window": false, "after the window": true} {
+// The window in which backends recognize a repeated key may end while a retry is still dialing. After it the request could run twice,
+// so the window is checked again before the write.
+func TestNoRetryIsSentAfterKeyWindow(t *testing.T) {
+	for name, afterWindow := range map[string]bool{"in the window": false, "after the window": true} {
 		t.Run(name, func(t *testing.T) {
 			var ran atomic.Int32
 			serve := func(c net.Conn, br *bufio.Reader) {
@@ -62,60 +64,61 @@
 					return
 				}
 				if ran.Add(1) == 1 {
-					reset(c) // it may have run
+					resetConn(c) // so that the request may have run
 					return
 				}
 				io.WriteString(c, ok200("again"))
 			}
 			a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-			p := newPair(t, patience/2, a.Addr().String(), b.Addr().String())
+			p := newEngineFixture(t, testTimeout/2, a.Addr().String(), b.Addr().String())
 			var dials atomic.Int32
 			dialing, proceed := make(chan struct{}), make(chan struct{})
-			p.x.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+			p.transport.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 				if dials.Add(1) == 2 {
 					close(dialing)
 					<-proceed
 				}
 				return nil
 			}
-			r := p.ask(get("x"))
-			if got := receive(t, "the first outcome", p.saw); got.Status != balance.Dropped {
-				t.Fatalf("the first: %v", got.Status)
+			r := p.place(getMessage("x"))
+			if got := receive(t, "the result of the first attempt", p.results); got.Status != balance.Dropped {
+				t.Fatalf("first attempt: %v", got.Status)
 			}
 			receive(t, "the second dial", dialing)
-			if late {
-				p.ahead.Store(int64(patience / 2))
+			if afterWindow {
+				p.clockAdvance.Store(int64(testTimeout / 2))
 			}
 			close(proceed)
 			ans := receive(t, "the answer", r.Reply)
-			if late && (ans.Kind != engine.Failed || ran.Load() != 1) || !late && (ans.Kind != engine.Served || ran.Load() != 2) {
-				t.Errorf("answer %v, ran %d times", ans.Kind, ran.Load())
+			if afterWindow && (ans.Kind != engine.Failed || ran.Load() != 1) || !afterWindow && (ans.Kind != engine.Served || ran.Load() != 2) {
+				t.Errorf("answer %v, %d runs", ans.Kind, ran.Load())
 			}
-			if got := receive(t, "the second outcome", p.saw); late && got.Status != balance.Unused {
-				t.Errorf("the second: %v", got.Status)
+			if got := receive(t, "the result of the second attempt", p.results); afterWindow && got.Status != balance.Unused {
+				t.Errorf("second attempt: %v", got.Status)
 			}
 		})
 	}
 }
 
-// A repeat is sent with its last byte: one that a backend is slow to take ends with the window, and never ran.
-func TestRepeatIsNotWrittenOnPastTheWindow(t *testing.T) {
-	small := func(_, _ string, rc syscall.RawConn) error {
+// The key window may also end while a retry is being written to a backend that reads slowly. The last byte must not be sent after
+// it, so the write ends with the window and the retry never ran.
+func TestRetryWriteEndsWithKeyWindow(t *testing.T) {
+	smallBuffers := func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
 		})
 	}
-	for name, grow := range map[string]func(m *message){
-		"held":      func(m *message) { m.body = make([]byte, bodyMost) },
+	for name, addBody := range map[string]func(m *message){
+		"one piece": func(m *message) { m.body = make([]byte, bodyMost) },
 		"in pieces": func(m *message) { m.body = make([]byte, 1); m.more = [][]byte{make([]byte, bodyMost)} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var met atomic.Int32
-			end := make(chan struct{})
+			var accepted atomic.Int32
+			testEnded := make(chan struct{})
 			var addrs []string
 			for range 2 {
-				l, err := (&net.ListenConfig{Control: small}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+				l, err := (&net.ListenConfig{Control: smallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -126,32 +129,32 @@
 						return
 					}
 					defer c.Close()
-					if met.Add(1) == 1 {
+					if accepted.Add(1) == 1 {
 						if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 							io.Copy(io.Discard, r.Body)
 						}
-						reset(c)
+						resetConn(c)
 						return
 					}
-					<-end // reads nothing
+					<-testEnded // reads nothing
 				}()
 				addrs = append(addrs, l.Addr().String())
 			}
-			defer close(end)
-			p := newPair(t, patience/80, addrs...)
-			p.x.pool.dialer.Control = small
-			m := get("x")
+			defer close(testEnded)
+			p := newEngineFixture(t, testTimeout/80, addrs...)
+			p.transport.pool.dialer.Control = smallBuffers
+			m := getMessage("x")
 			m.method = "POST"
-			grow(m)
-			r := p.ask(m)
-			if got := receive(t, "the first outcome", p.saw); got.Status != balance.Dropped {
-				t.Fatalf("the first: %v", got.Status)
+			addBody(m)
+			r := p.place(m)
+			if got := receive(t, "the result of the first attempt", p.results); got.Status != balance.Dropped {
+				t.Fatalf("first attempt: %v", got.Status)
 			}
-			if got := receive(t, "the second outcome", p.saw); got.Status != balance.DialFailed {
-				t.Errorf("the second: %v", got.Status)
+			if got := receive(t, "the result of the second attempt", p.results); got.Status != balance.DialFailed {
+				t.Errorf("second attempt: %v", got.Status)
 			}
-			if left := time.Until(r.Deadline); left < patience/4 {
-				t.Errorf("it was written on until %v before the deadline", left)
+			if remaining := time.Until(r.Deadline); remaining < testTimeout/4 {
+				t.Errorf("the write ended only %v before the deadline", remaining)
 			}
 			if ans := receive(t, "the answer", r.Reply); ans.Kind != engine.Failed {
 				t.Errorf("answer %v", ans.Kind)
@@ -160,34 +163,34 @@
 	}
 }
 
-// A drain meets an upload whose attempt is still dialing. The next attempt has the body, though the first one's goroutine has not
-// come back yet, and that one does not take it when it does.
-func TestUploadGoesOnWhileABarredDialLasts(t *testing.T) {
+// An upload whose attempt is still dialing when its backend begins to drain moves to another backend. The next attempt gets the body
+// although the goroutine of the first one is still in its dial, and that goroutine must not read from the body when it returns.
+func TestUploadMovesOnWhileStoppedDialLasts(t *testing.T) {
 	const body = "0123456789"
 	got := make(chan string, 2)
-	serve := answering(func(r *http.Request) string {
+	serve := serveAnswers(func(r *http.Request) string {
 		b, _ := io.ReadAll(r.Body)
 		got <- string(b)
 		return ok200("done")
 	})
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-	p := newPair(t, patience, a.Addr().String(), b.Addr().String())
+	p := newEngineFixture(t, testTimeout, a.Addr().String(), b.Addr().String())
 	var dials atomic.Int32
 	dialing, proceed := make(chan string, 1), make(chan struct{})
-	p.x.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+	p.transport.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 		if dials.Add(1) == 1 {
 			dialing <- addr
 			<-proceed
 		}
 		return nil
 	}
-	m := get("x")
-	m.method, m.left0, m.streams = "POST", patience, make(chan *stream, 1)
+	m := getMessage("x")
+	m.method, m.left0, m.streams = "POST", testTimeout, make(chan *stream, 1)
 	m.up = &upload{from: &patient{body: strings.NewReader(body), rc: &http.ResponseController{}}, length: int64(len(body)), within: 100}
-	r := p.ask(m)
+	r := p.place(m)
 	addr := receive(t, "the first dial", dialing)
-	p.e.Post(func() {
-		p.e.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
+	p.loop.Post(func() {
+		p.loop.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
 			Member: balance.Member{Weight: 1, Phase: balance.Draining}}}})
 	})
 	ans := receive(t, "the answer", r.Reply)
--- a/internal/node/underway_test.go
+++ b/internal/node/shutdown_inflight_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// What is under way when a node is told to end has its whole answer, or its client can tell that it never ran; then the node ends.
-// The longest deadline is 2 s: connections close as they are answered from 1.6 s on, all is answered by 2.35 s.
-func TestUnderWayAtTheEnd(t *testing.T) {
+// A request in flight at SIGTERM gets its whole answer, or its client can see that it never ran, and then the node ends. The longest
+// deadline is 2 s. From 1.6 s on, connections close with their answers, and all requests are answered by 2.35 s.
+func TestInFlightRequestsAtShutdown(t *testing.T) {
 	const large = 32 << 20
 	post := func(id string, length int) string {
 		return fmt.Sprintf("%sX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\n", orderHead, id, length)
@@ -30,56 +30,56 @@
 		}
 		return resp, int(n)
 	}
-	for name, do := range map[string]func(t *testing.T, n *started, c net.Conn, told func()){
-		"half a head": func(t *testing.T, n *started, c net.Conn, told func()) {
+	for name, run := range map[string]func(t *testing.T, n *testNode, c net.Conn, shutDown func()){
+		"half a head": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			text := post("half", 0)
 			io.WriteString(c, text[:30])
-			eventually(t, "the half", func() bool { return n.front.table.Counts().Begun == 1 })
-			told()
+			eventually(t, "the half head", func() bool { return n.front.table.Counts().Begun == 1 })
+			shutDown()
 			time.Sleep(1800 * time.Millisecond)
 			io.WriteString(c, text[30:])
 			answer(t, bufio.NewReader(c))
 		},
-		"an upload in chunks": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"an upload in chunks": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, orderHead+"X-Trace-Id: chunks\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
-			eventually(t, "the head", func() bool { return n.front.table.Counts().Open == 1 })
-			told()
+			eventually(t, "the head of the request", func() bool { return n.front.table.Counts().Open == 1 })
+			shutDown()
 			time.Sleep(1800 * time.Millisecond)
 			io.WriteString(c, "1\r\nc\r\n0\r\n\r\n")
 			answer(t, bufio.NewReader(c))
 		},
-		"a large upload": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a large upload": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, post("up", large))
 			c.Write(make([]byte, large/2))
-			told()
+			shutDown()
 			time.Sleep(time.Second)
 			c.Write(make([]byte, large/2))
 			answer(t, bufio.NewReader(c))
 		},
-		"a large answer, read slowly": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a large answer, read slowly": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, strings.Replace(post("down", 0), "/api/x", "/api/large", 1))
 			r := bufio.NewReader(c)
 			r.Peek(1)
-			told()
+			shutDown()
 			time.Sleep(time.Second)
 			if _, got := answer(t, r); got != large {
 				t.Errorf("%d bytes", got)
 			}
 		},
-		"a second request behind the first": func(t *testing.T, n *started, c net.Conn, told func()) {
+		"a pipelined request": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			io.WriteString(c, strings.Replace(post("first", 0), "/api/x", "/api/slow", 1)+post("second", 0))
-			eventually(t, "the first", func() bool { return n.open(t) == 1 })
-			told()
+			eventually(t, "the first request", func() bool { return n.openRequests(t) == 1 })
+			shutDown()
 			r := bufio.NewReader(c)
 			if resp, _ := answer(t, r); !resp.Close {
-				answer(t, r) // it was read, too: it is answered
+				answer(t, r) // the second request was read too, so it is answered
 			}
 		},
-		"discovery that moves": func(t *testing.T, n *started, c net.Conn, told func()) {
-			told()
-			moved := n.cfg
-			moved.Discovery = newRegistry(t, listText(7, true)).Addr // which lists nobody any more
-			if err := n.Reload(moved); err != nil {
+		"a reload with another discovery": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
+			shutDown()
+			reloaded := n.cfg
+			reloaded.Discovery = newRegistry(t, listText(7, true)).Addr // its list is empty
+			if err := n.Reload(reloaded); err != nil {
 				t.Fatal(err)
 			}
 			io.WriteString(c, post("kept", 0))
@@ -109,19 +109,19 @@
 					io.WriteString(c, ok200("x"))
 				}
 			})
-			text := listText(1, true, listed{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
-			n := start(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":2000000000`))
+			text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
+			n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":2000000000`))
 			c := n.dial(t)
-			c.SetDeadline(time.Now().Add(patience))
-			do(t, n, c, func() {
+			c.SetDeadline(time.Now().Add(testTimeout))
+			run(t, n, c, func() {
 				n.stop()
-				eventually(t, "leaving", n.front.leaving.Load)
+				eventually(t, "the start of the shutdown", n.front.leaving.Load)
 			})
-			if err := receive(t, "the node's end", n.err); err != nil {
+			if err := receive(t, "the end of the node", n.result); err != nil {
 				t.Error(err)
 			}
 			if b := &n.front.book; b.Open() != 0 || b.Taken.Load() != b.Answered.Load() {
-				t.Errorf("taken %d, answered %d, client left %d", b.Taken.Load(), b.Answered.Load(), b.Left.Load())
+				t.Errorf("accepted %d, answered %d, client left %d", b.Taken.Load(), b.Answered.Load(), b.Left.Load())
 			}
 		})
 	}
