--- a/share/ages.go
+++ b/share/ages.go
@@ -1,4 +1,4 @@
-// How old each member's word is.
+// The age of each member's last beat.
 package share
 
 import (
@@ -10,17 +10,17 @@
 	"glencart/schema"
 )
 
-// AgeLimit is how long a member is remembered after its last word.
+// AgeLimit is how long a member is remembered after its last beat.
 const AgeLimit = 10 * time.Minute
 
-// maxBeats bounds who is remembered, whatever messages say.
+// maxBeats bounds the number of remembered members, whatever messages contain.
 const maxBeats = 4096
 
-// Ages keeps the time of each member's last word. Each member tells a beat, a number that only it raises, with all that it tells;
-// others pass beats on with what they know of its counts. There is one Ages for all shards.
+// Ages keeps the arrival time of each member's last beat. A beat is a number that only its member raises. Each member sends its
+// beat with its counts; others pass beats on with the counts that they know. One Ages serves all shards.
 //
-// An age is counted from when a beat arrived here, on the own clock. So it is too low by what the word was under way, and a beat
-// that comes through others is as good as one that comes straight.
+// An age is counted from the arrival of a beat here, on the own clock. So it is too low by the beat's time in transit, and a
+// beat that other members passed on counts like one that came directly.
 type Ages struct {
 	self  Member
 	beats map[Member]*beat
@@ -35,10 +35,10 @@
 	version uint64
 }
 
-// NewAges returns one that has heard nobody.
+// NewAges returns an Ages without any beats.
 func NewAges(self Member) *Ages { return &Ages{self: self, beats: map[Member]*beat{}} }
 
-// Beat is a new word of this member, to be sent with its counts, in the same message or after them.
+// Beat returns a new beat of this member, to be sent with its counts, in the same message or after them.
 func (a *Ages) Beat(now Now) schema.Record {
 	for m, b := range a.beats {
 		if now.Own-b.at > AgeLimit {
@@ -53,11 +53,11 @@
 	return schema.Field{Num: useBeat, Sub: countSub(0, m, ""), Int: n}
 }
 
-// IsBeat tells records that go to Ages from those that go to a Use.
+// IsBeat distinguishes records for Ages from those for a Use.
 func IsBeat(r schema.Record) bool { return r.Kind == schema.Use && r.Key == beatKey }
 
-// Changed are the beats that have risen after a version, the own one not among them, and the version now: for passing on, with
-// Use.Changed.
+// Changed returns the beats of other members that have risen after a version, and the current version. They are for passing on,
+// with Use.Changed.
 func (a *Ages) Changed(since uint64) (schema.Record, uint64) {
 	r := schema.Record{Kind: schema.Use, Schema: NewestUse, Key: beatKey}
 	for m, b := range a.beats {
@@ -69,7 +69,7 @@
 	return r, a.said
 }
 
-// Merge takes in beats.
+// Merge merges received beats.
 func (a *Ages) Merge(now Now, r schema.Record) error {
 	if !IsBeat(r) {
 		return fmt.Errorf("share: ages: %s %q: not a beat", r.Kind, r.Key)
@@ -90,7 +90,8 @@
 		if f.Int <= b.n {
 			continue
 		}
-		// The word that was least under way tells best how far the clocks are apart; one that comes late only seems to be behind.
+		// The beat with the shortest transit time gives the best clock offset; a delayed one only makes the clock seem to be
+		// behind.
 		off := time.Duration(f.Int)*time.Millisecond - now.Wall
 		if b.n == 0 || off > b.off {
 			b.off = off
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// Age is how old a member's last word is; AgeLimit if there is none.
+// Age returns the age of a member's last beat, or AgeLimit if there is none.
 func (a *Ages) Age(now Now, m Member) time.Duration {
 	if b := a.beats[m]; b != nil {
 		return min(now.Own-b.at, AgeLimit)
@@ -111,7 +112,8 @@
 	return AgeLimit
 }
 
-// Off is by how much a member's wall clock is ahead of this one, as far as its words tell: less what they were under way.
+// Off returns by how much a member's wall clock is ahead of this one, as far as its beats show. The transit time of the beats
+// makes it too low.
 func (a *Ages) Off(m Member) time.Duration {
 	if b := a.beats[m]; b != nil {
 		return b.off
@@ -119,10 +121,10 @@
 	return 0
 }
 
-// Seen is a member as View wants it.
+// Seen returns a member in the form that View needs.
 func (a *Ages) Seen(now Now, m Member) Seen { return Seen{m, a.Age(now, m), a.Off(m)} }
 
-// Each visits all members that were heard, in order.
+// Each visits all members with a beat, in order.
 func (a *Ages) Each(now Now, visit func(Seen)) {
 	members := make([]Member, 0, len(a.beats))
 	for m := range a.beats {
--- a/share/allowance.go
+++ b/share/allowance.go
@@ -1,10 +1,10 @@
-// How much of a tenant's limit this instance may let in by itself.
+// How much of a tenant's limit this instance may admit by itself.
 //
-// Each window all members reckon with the same numbers: what was asked of each of them in windows that are over for so long that
-// every word has had time to arrive. So their parts add up to 1 while words are no older than Fresh, whatever clients do meanwhile.
-// A member whose word is older is silent: as much is left to it as it would take by itself, its fair part 1/n, or the part that it
-// had, less from tick to tick, whichever is more. Members that are silent to each other end at their fair parts, which add up to 1
-// as well.
+// For each window all members compute with the same numbers: the demand at each of them in windows that ended so long ago that
+// every message has had time to arrive. So their parts add up to 1 while beats are no older than Fresh, whatever clients do
+// meanwhile. A member with an older beat is silent. The others leave to it what it would use by itself: its fair part 1/n, or
+// the part that it had, decreasing from tick to tick, whichever is more. Members that are silent to each other end at their
+// fair parts, which also add up to 1.
 package share
 
 import (
@@ -13,39 +13,41 @@
 )
 
 const (
-	// Fresh is how old a member's last word may be for it to count as heard. The numbers of a window were complete one window
-	// before they are used, and are told until then in each round.
+	// Fresh is the maximum age of a fresh beat. The numbers of a window are complete one window before they are used, and are
+	// sent in each round until then.
 	Fresh = 2 * Window
-	// Silent is how old the word of a member is once no more than its fair part is left to it.
+	// Silent is the age of a member's beat from which no more than its fair part is left to it.
 	Silent = 5 * Window
-	// catchUp is for how long a member has to be heard before it counts as heard: until all windows that are summed are from then.
-	// Sides of a partition that meet again, and members that are new, have their fair parts until then.
+	// catchUp is how long a member's beats must be fresh before its numbers count: until all summed windows lie within that
+	// time. Sides of a partition that meet again, and new members, have their fair parts until then.
 	catchUp = (settle + smooth) * Window
-	// smooth is over how many windows demand is summed: over one, an instance with some requests a second would get now twice and
-	// now half of its part by chance; over many, it would follow its clients late.
+	// smooth is the number of windows that demand is summed over. With one, an instance with some requests a second would get
+	// between half and twice its part at random. With many, allowances would follow the clients late.
 	smooth = 2
-	// settle is how many windows back the last of them lies: the one before this is still being told.
+	// settle is how many windows back the last summed window lies: the one before the current one is still being sent.
 	settle = 2
-	// spread is the least part of the limit that is given to all alike, so that clients who come to another instance are not refused
-	// until all have heard of them. Of what nobody asks for, half is as well; the other half goes to those who have clients.
+	// spread is the minimum share of the limit that is divided equally, so that clients that move to another instance are not
+	// rejected until all members know of them. Of the capacity without demand, half is also divided equally; the other half
+	// goes to the instances with clients.
 	spread = 0.05
-	// burst is for how long an allowance may be saved up; leastBurst and leastWork are what may be saved up at the least: a second's
-	// part may be less than one request.
+	// burst is the time for which an unused allowance accumulates. leastBurst and leastWork are the minimum capacities: a
+	// second's part may be less than one request.
 	burst      = time.Second
 	leastBurst = 2.0 // requests
-	leastWork  = 0.1 // seconds of box time
+	leastWork  = 0.1 // seconds of backend time
 )
 
-// view is a View with its members found.
+// view is a View with its members looked up.
 type view struct {
 	View
 	n       int
-	number  uint64    // rises when it says something else about parts
+	number  uint64    // rises when the view changes in a way that affects the parts
 	members []*member // parallel to Members
-	heard   []bool    // whose word counts
+	heard   []bool    // parallel to Members: whose numbers count
 }
 
-// View takes a new one. It costs what there are members; parts are reckoned anew at the next call for a tenant, if need be.
+// View sets a new view. Its cost grows with the number of members. Parts are computed again at the next call for a tenant, if
+// needed.
 func (u *Use) View(now Now, v View) {
 	old := u.view
 	for _, m := range old.members {
@@ -81,7 +83,7 @@
 	}
 }
 
-// Allowance is what this instance may let in of a tenant now.
+// Allowance returns what this instance may admit for a tenant now.
 func (u *Use) Allowance(now Now, name string) Allowance {
 	t := u.tenants[name]
 	if t == nil {
@@ -108,7 +110,7 @@
 	t.allow = a
 }
 
-// part is this instance's part of a tenant's limit in a window.
+// part returns this instance's part of a tenant's limit in a window.
 func (u *Use) part(t *tenant, w int64) (part float64, heard, of int) {
 	n := max(u.view.n, 1)
 	fair := 1 / float64(n)
@@ -133,12 +135,12 @@
 		switch {
 		case u.view.heard[c.m.view]:
 			all += c.demand(w, windowsOff(s.Off))
-		case s.Age > Fresh: // what it had falls to nothing by Silent; its fair part is left to it all the same
+		case s.Age > Fresh: // what it had decreases to nothing by Silent; its fair part is left to it all the same
 			silent += c.share * min(1, max(0, float64(Silent-s.Age)/float64(Silent-Fresh)))
 		}
 	}
 	left := 1 - max(silent, fair*float64(n-heard))
-	left = max(left, fair*spread) // shares that were reckoned at different times may add up to more than 1
+	left = max(left, fair*spread) // shares computed at different times may add up to more than 1
 	alike := spread
 	if t.limit.Requests > 0 {
 		alike = max(spread, (1-all/(t.limit.Requests*left*smooth*Window.Seconds()))/2)
@@ -157,7 +159,7 @@
 	return partOf(own), heard, n
 }
 
-// windowsOff is by how many windows a member's clock is taken to be off: not at all while delays could be the cause.
+// windowsOff returns by how many windows a member's clock is off. It is 0 while delays could be the cause.
 func windowsOff(off time.Duration) int64 {
 	if off > -Window*3/2 && off < Window*3/2 {
 		return 0
@@ -165,7 +167,7 @@
 	return int64(math.Round(float64(off) / float64(Window)))
 }
 
-// demand is what was asked of a member, summed over windows that all know by now.
+// demand returns the requests at a member, summed over windows that all members know by now.
 func (c *cell) demand(w, off int64) float64 {
 	var sum uint64
 	told := false
@@ -182,7 +184,7 @@
 	if told {
 		return float64(sum)
 	}
-	// A release that counts by ten seconds only: its last whole window.
+	// A release that counts only by ten seconds: its last whole window.
 	last := (w+off-settle+1)/10 - 1
 	for i := range c.tens {
 		if k := &c.tens[i]; k.class == "" && int64(k.window) == last {
@@ -192,7 +194,8 @@
 	return 0
 }
 
-// Take takes one request, if there is one left. retryIn is when there will be, if nobody else takes it.
+// Take takes one request if there is one left. Otherwise retryIn is the time until there is one, provided that nobody else
+// takes it.
 func (b *Bucket) Take(own time.Duration, a Allowance) (ok bool, retryIn time.Duration) {
 	workBurst := max(leastWork, a.Work*burst.Seconds())
 	switch {
@@ -215,7 +218,7 @@
 		b.requests--
 		return true, 0
 	}
-	wait := 0.001 // not in the same instant: rounding may leave a billionth of a request
+	wait := 0.001 // not at the same instant: rounding may leave a billionth of a request
 	if b.requests < 1 {
 		wait += (1 - b.requests) / a.Rate
 	}
@@ -225,6 +228,6 @@
 	return false, time.Duration(min(wait, 60) * float64(time.Second))
 }
 
-// Spend takes what a request has cost, in seconds of box time. It may leave less than nothing: then no request goes until that is
-// made up for.
+// Spend takes the cost of a request, in seconds of backend time. The balance may become negative: then no request is admitted
+// until it is positive again.
 func (b *Bucket) Spend(work float64) { b.work -= work }
--- a/share/bench_test.go
+++ b/share/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What a known tenant or session costs a request: no allocation.
+// The cost of a request of a known tenant or session: no allocation.
 func BenchmarkKnown(b *testing.B) {
 	u := NewUse(UseConfig{Self: Member{"m0", 1}})
 	u.SetLimit(at(0), "shop", Limit{Requests: 1e9})
@@ -34,7 +34,7 @@
 			u.Admit(now, "shop", "order")
 		}
 	})
-	b.Run("allowance of 300 reckoned anew", func(b *testing.B) {
+	b.Run("allowance of 300 computed again", func(b *testing.B) {
 		b.ReportAllocs()
 		for i := range b.N {
 			u.Allowance(at(time.Duration(i%2)*Window), "shop")
@@ -80,7 +80,7 @@
 	})
 }
 
-// The ordinary path allocates nothing: a test, since a benchmark fails nobody.
+// Guards against allocations on the ordinary path. This is a test because a benchmark result fails no build.
 func TestKnownAllocatesNothing(t *testing.T) {
 	u := NewUse(UseConfig{Self: Member{"a", 1}})
 	u.SetLimit(at(0), "shop", Limit{Requests: 1e9})
@@ -106,7 +106,7 @@
 	}
 }
 
-// Memory of a session that is held, one with a call, a tenant, and a tenant's member.
+// Memory of a session with a backend, a session with a call, a tenant, and a tenant's member.
 func BenchmarkMemory(b *testing.B) {
 	const n = 100_000
 	measure := func(name string, fill func() any) {
--- a/share/bound.go
+++ b/share/bound.go
@@ -1,4 +1,4 @@
-// What holds sessions within their bounds: their ends, and what is pushed out when there is no room.
+// Bounds of the session table: expiry, and eviction when it is full.
 package share
 
 import (
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxHold is the longest that a session may be held for.
+	// maxHold is the longest time that a session may stay with its backend.
 	maxHold = 7 * 24 * time.Hour
-	// maxStrange is how many bytes of a session are kept that this release does not know.
+	// maxStrange is how many bytes of unknown fields, written by later releases, a session may keep.
 	maxStrange = 16 << 10
 )
 
-// endings has sessions by when they are let go of.
+// endings is a heap of sessions by the time at which they are dropped.
 type endings []*session
 
 func (e endings) Len() int           { return len(e) }
@@ -38,7 +38,7 @@
 	return s
 }
 
-// place puts a session where it belongs by its end and its marks.
+// place moves a session to its position in the heaps after a change of its end or its marks.
 func (t *Sessions) place(s *session) {
 	marked := uint8(0)
 	for i := range s.calls {
@@ -62,12 +62,13 @@
 	heap.Push(&t.ends[marked], s)
 }
 
-// forgotten is when a session is let go of: the clocks of all have passed its end by then, and late repeats had their time.
+// forgotten returns when a session is dropped. By then the clocks of all members have passed its end, and late repeats have had
+// their time.
 func (s *session) forgotten() int64 {
 	return s.end() + Skew.Milliseconds() + OldFor.Milliseconds()
 }
 
-// Tick lets go of what is over. Once a second or so is enough.
+// Tick drops what has expired. One call a second or so is enough.
 func (t *Sessions) Tick(now Now) {
 	wall := wallMillis(now)
 	for m := range t.ends {
@@ -92,8 +93,9 @@
 	}
 }
 
-// pushOut makes room for one session, or for bytes: of those that end first, one that is over, else one that forgets no mark, else
-// one that does, which is counted. false: there is none but the one that the room is for.
+// pushOut evicts one session to make room for another one, or for bytes. It takes the one that ends first: an expired one, else
+// one without an unexpired mark, else one with such a mark, which is counted. It returns false if except, the session that the
+// room is for, is the only one.
 func (t *Sessions) pushOut(now Now, except *session) bool {
 	wall := wallMillis(now)
 	if except != nil {
@@ -120,7 +122,7 @@
 	return false
 }
 
-// marks are the calls that may have run and are not over.
+// marks counts the calls that may have run and have not expired.
 func (s *session) marks(wall int64) (n int) {
 	for i := range s.calls {
 		if c := &s.calls[i]; c.state() == MayHaveRun && c.end+Skew.Milliseconds() > wall {
@@ -130,7 +132,8 @@
 	return n
 }
 
-// pushOutCall makes room for a call within a session: the one that is over, else the one that forbids least and ends first.
+// pushOutCall evicts a call of a session to make room for another: an expired one, else the one that matters least for
+// decisions. Of equals it takes the one that ends first.
 func (t *Sessions) pushOutCall(now Now, s *session) bool {
 	wall := wallMillis(now)
 	worth := func(c *call) int64 {
@@ -161,7 +164,7 @@
 	return true
 }
 
-// Unacked are marks of this instance that some owner has not acknowledged for a second: they are to be sent again.
+// Unacked appends the marks of this instance that some owner has not acknowledged for a second. They are to be sent again.
 func (t *Sessions) Unacked(now Now, out []Marked) []Marked {
 	from := len(out)
 	for k, u := range t.unacked {
@@ -191,5 +194,5 @@
 	return out
 }
 
-// Stats are for metrics.
+// Stats returns the counters for metrics.
 func (t *Sessions) Stats() SessionStats { return t.stats }
--- a/share/calls_test.go
+++ b/share/calls_test.go
@@ -11,21 +11,22 @@
 	"glencart/schema"
 )
 
-// callFleet is five instances before boxes that keep a ledger, clients that repeat at other instances, and faults, one after the
-// other: kills, planned restarts with another release, cuts, pauses. Discrete events, one seed, one course.
+// callFleet is five instances in front of backends that record each run, clients that repeat at other instances, and faults,
+// one after the other: crashes, planned restarts with another release, partitions, pauses. It is a discrete-event simulation:
+// the same seed gives the same run.
 type callFleet struct {
 	rng     *rand.Rand
 	now     time.Duration
 	events  callEvents
 	seq     int
 	loss    float64
-	mixed   bool // some restart as a release that knows no marks
+	mixed   bool // some restart as a release without marks
 	book    *schema.Book
 	nodes   []*callNode
-	left    int // members that have left by plan
+	left    int // members that left by plan
 	groups  [2]map[int]string
 	waits   []time.Duration
-	answers map[string]int // what clients got
+	answers map[string]int // the answers that clients got
 	calls   []*clientCall
 }
 
@@ -33,7 +34,7 @@
 	name    string
 	start   uint64
 	table   *Sessions
-	waiting map[callKey]func() // for owners
+	waiting map[callKey]func() // calls that wait for owners
 	alive   bool
 	side    int
 	off     time.Duration
@@ -48,8 +49,8 @@
 	tries  int
 	runs   int
 	done   bool
-	// What nobody promised: an attempt that was counted as unprotected, a repeat that did not say that it is one, a release that
-	// knows no marks.
+	// Cases without a guarantee: an attempt that was counted as unprotected, a repeat that is not marked as one, a release
+	// without marks.
 	unprotected, unflagged, old bool
 	log                         []string
 }
@@ -89,7 +90,7 @@
 	return now
 }
 
-// on runs at this process of a node, once it is not paused; never if the process is gone.
+// on runs do at this process of a node after d, once the node is not paused. It never runs if the process is gone.
 func (f *callFleet) on(n *callNode, d time.Duration, do func()) {
 	start := n.start
 	f.after(d, func() {
@@ -104,7 +105,7 @@
 	})
 }
 
-// send is a message between two nodes: lost, late, or not at all across a cut.
+// send delivers a message between two nodes: lost, late, or not at all across a partition.
 func (f *callFleet) send(from, to *callNode, do func()) {
 	if f.rng.Float64() < f.loss || from.side != to.side {
 		return
@@ -120,7 +121,7 @@
 	})
 }
 
-// link is a record as it comes out of a link between two releases.
+// link converts a record as a link between two releases does.
 func (f *callFleet) link(a, b *callNode, r schema.Record) schema.Record {
 	if r.Key == "" {
 		return r
@@ -149,7 +150,7 @@
 	f.refresh(n)
 }
 
-// refresh is what a node's failure detector says now.
+// refresh applies the current view of a node's failure detector.
 func (f *callFleet) refresh(n *callNode) {
 	var m []Member
 	for _, o := range f.nodes {
@@ -162,7 +163,7 @@
 	}
 }
 
-// transfer goes by a stream: whole, or it is tried again.
+// transfer sends a part by a stream: whole, or it is tried again.
 func (f *callFleet) transfer(n *callNode, t Transfer, tries int) {
 	f.on(n, f.between(5*time.Millisecond, 50*time.Millisecond), func() {
 		to := f.node(t.To)
@@ -181,7 +182,7 @@
 	})
 }
 
-// changed tells all others after a time.
+// changed refreshes all nodes after a delay.
 func (f *callFleet) changed(least, most time.Duration) {
 	for _, n := range f.nodes {
 		if n.alive {
@@ -190,7 +191,7 @@
 	}
 }
 
-// tick is each second: what is over, marks that are sent again, one other that is compared with.
+// tick runs each second: expiry, marks that are sent again, and a comparison with one other node.
 func (f *callFleet) tick(n *callNode) {
 	n.table.Tick(f.at(n))
 	for _, m := range n.table.Unacked(f.at(n), nil) {
@@ -221,7 +222,7 @@
 	f.on(n, time.Second, func() { f.tick(n) })
 }
 
-// tell sends a mark to its owners, and takes in what they reply.
+// tell sends a mark to its owners, and processes their replies.
 func (f *callFleet) tell(n *callNode, m Marked) {
 	if m.Record.Key == "" {
 		return
@@ -252,7 +253,7 @@
 	}
 }
 
-// try is a client's attempt at some instance.
+// try is a client's attempt at a random instance.
 func (f *callFleet) try(c *clientCall) {
 	if c.done || c.tries == 5 {
 		return
@@ -276,7 +277,7 @@
 	f.on(n, time.Millisecond, func() { f.handle(n, c, repeat) })
 }
 
-// got is a client's answer.
+// got records a client's answer.
 func (f *callFleet) got(c *clientCall, what string, again bool) {
 	if c.done {
 		return
@@ -340,7 +341,7 @@
 			c.say(f, n, "WRONG ANSWER %q", d.Answer)
 			c.runs += 100
 		}
-		f.got(c, "the known answer", false)
+		f.got(c, "the stored answer", false)
 		return
 	case Unsure:
 		f.got(c, "in words: "+d.Why.String(), c.tries < 3)
@@ -355,9 +356,9 @@
 		}
 	}
 	f.on(n, f.between(time.Millisecond, 3*time.Millisecond), func() {
-		if f.rng.IntN(30) == 0 { // the box was not reached
+		if f.rng.IntN(30) == 0 { // the backend was not reached
 			end(NeverRan, "")
-			f.got(c, "no box was reached", true)
+			f.got(c, "no backend was reached", true)
 			return
 		}
 		answer := fmt.Sprint("answer ", c.id)
@@ -369,18 +370,18 @@
 			f.groups[group][c.id] = answer
 		}
 		f.on(n, f.between(5*time.Millisecond, 100*time.Millisecond), func() {
-			if f.rng.IntN(20) == 0 { // the answer was cut off
+			if f.rng.IntN(20) == 0 { // the answer was lost on the way
 				end(MayHaveRun, "")
-				f.got(c, "the box's answer was lost", true)
+				f.got(c, "the backend's answer was lost", true)
 				return
 			}
 			end(Answered, answer)
-			f.got(c, "the box's answer", false)
+			f.got(c, "the backend's answer", false)
 		})
 	})
 }
 
-// fault is one of the things that break. What it breaks is whole again before the next.
+// fault injects one fault. It is repaired before the next one.
 func (f *callFleet) fault() {
 	n := f.nodes[f.rng.IntN(len(f.nodes))]
 	form := uint16(NewestSession)
@@ -388,7 +389,7 @@
 		form = 2
 	}
 	switch f.rng.IntN(5) {
-	case 0, 1: // killed
+	case 0, 1: // crash
 		n.alive = false
 		back := f.between(100*time.Millisecond, 6*time.Second)
 		f.changed(3*time.Second, 5*time.Second)
@@ -396,7 +397,7 @@
 			f.begin(n, form)
 			f.changed(200*time.Millisecond, time.Second)
 		})
-	case 2: // planned
+	case 2: // planned restart
 		var m []Member
 		for _, o := range f.nodes {
 			if o.alive && o != n {
@@ -416,7 +417,7 @@
 			f.begin(n, form)
 			f.changed(200*time.Millisecond, time.Second)
 		})
-	case 3: // cut
+	case 3: // partition
 		for i, at := range f.rng.Perm(len(f.nodes)) {
 			f.nodes[at].side = i % 2
 		}
@@ -427,7 +428,7 @@
 			}
 			f.changed(200*time.Millisecond, 1500*time.Millisecond)
 		})
-	case 4: // paused, and taken for dead by some
+	case 4: // pause; some nodes take the member for dead
 		n.paused = f.now + f.between(200*time.Millisecond, 6*time.Second)
 	}
 	f.after(f.between(12*time.Second, 18*time.Second), f.fault)
@@ -445,7 +446,7 @@
 		f.begin(n, NewestSession)
 	}
 	f.changed(10*time.Millisecond, 100*time.Millisecond)
-	begin := 2 * time.Minute // when all are sure
+	begin := 2 * time.Minute // by then all are sure
 	f.after(begin, f.fault)
 	for i := range calls {
 		c := &clientCall{id: i + 1, effect: Unsafe, key: KeyOf("", fmt.Append(nil, f.rng.IntN(calls/2)))}
@@ -463,8 +464,8 @@
 	return f
 }
 
-// Clients repeat their orders at other instances while instances are killed, restarted, cut off and paused. None runs twice but
-// those that nobody promised: these are counted.
+// Guards against double runs while instances crash, restart, are partitioned and paused, and clients repeat their calls at
+// other instances. Only calls without a guarantee may run twice; these are counted.
 func TestCallsRunOnce(t *testing.T) {
 	type course struct {
 		loss  float64
@@ -504,14 +505,14 @@
 					}
 				}
 				slices.Sort(f.waits)
-				t.Logf("seed %d: %d calls, %d answered; %d went unprotected; ran twice %d: promised %d, unprotected %d, repeat not marked %d, old release %d; wait of those that asked: median %v, 99th %v, most %v; %v",
+				t.Logf("seed %d: %d calls, %d answered; %d went unprotected; ran twice %d: with guarantee %d, unprotected %d, repeat not marked %d, old release %d; wait for owners: median %v, 99th %v, maximum %v; %v",
 					seed, len(f.calls), done, unprotected, times, broken, twice, unflagged, old,
 					f.waits[len(f.waits)/2].Round(100*time.Microsecond), f.waits[len(f.waits)*99/100].Round(100*time.Microsecond), f.waits[len(f.waits)-1].Round(100*time.Microsecond), f.answers)
 				if done < len(f.calls)*9/10 {
 					t.Errorf("seed %d: %d of %d calls were answered", seed, done, len(f.calls))
 				}
 				if most := f.waits[len(f.waits)-1]; most > askFor+6*time.Second || f.waits[len(f.waits)*99/100] > askFor {
-					t.Errorf("seed %d: waits: most %v", seed, most)
+					t.Errorf("seed %d: waits: maximum %v", seed, most)
 				}
 			}
 		})
--- a/share/decide.go
+++ b/share/decide.go
@@ -1,16 +1,16 @@
-// What is done with a call, by what it would do if it ran twice and by what is known of it. The table is data: its rows are read in
-// order, the first that fits holds, and tests walk all cells.
+// The decision table: what to do with a call, by its effect and by what is known of it. The first row that fits applies. Tests
+// walk all combinations.
 package share
 
-// knowledge is what is known of a call: of several instances' words the last in this order.
+// knowledge is what is known of a call. Of several instances' reports the last in this order applies.
 type knowledge uint8
 
 const (
 	knowNothing knowledge = iota
 	knowNever
 	knowMay
-	knowRan    // it ran, and the answer was not kept
-	knowAnswer // it ran, and the answer is here
+	knowRan    // it ran, and the answer was not stored
+	knowAnswer // it ran, and the answer is stored here
 	knowledges
 )
 
@@ -18,19 +18,19 @@
 	return [...]string{"unknown", "never ran", "may have run", "ran, answer gone", "answer known"}[k]
 }
 
-// owners is how far those who would know a call can be relied on.
+// owners is how far the replies of a call's owners can be relied on.
 type owners uint8
 
 const (
-	ownersSure     owners = iota // all have answered, each sure that it has every mark
-	ownersSilent                 // one has not, or is not sure
-	ownersMinority               // this side of a partition has not more than half of the members
+	ownersSure     owners = iota // all have replied, and each is sure that it has every mark
+	ownersSilent                 // one has not replied, or is not sure
+	ownersMinority               // this side of a partition has at most half of the members
 	ownersAll
 )
 
 func (o owners) String() string { return [...]string{"sure", "silent", "minority"}[o] }
 
-// situation is a cell of the table.
+// situation is one combination of inputs of the table.
 type situation struct {
 	effect Effect
 	know   knowledge
@@ -40,7 +40,7 @@
 	group  bool // exactly one group is known to remember it
 }
 
-// set is which values of one dimension a row is for. The zero value: all.
+// set is the values of one dimension that a row applies to. The zero value means all.
 type set uint16
 
 func of[T ~uint8](values ...T) (s set) {
@@ -61,7 +61,7 @@
 	return 0
 }
 
-// row says what is done in the situations that it fits.
+// row is the action for the situations that it fits.
 type row struct {
 	effect, know, old, owners, repeat, group set
 	what                                     What
@@ -71,13 +71,13 @@
 
 var table = []row{
 	{effect: of(Safe), what: Go,
-		because: "running it twice does nothing"},
+		because: "a second run has no effect"},
 	{know: of(knowAnswer), what: Known,
-		because: "the client gets what it would have got"},
+		because: "the client gets the answer of the run"},
 	{effect: of(Keyed), know: of(knowMay, knowRan), old: no, group: yes, what: GoTo,
 		because: "its group drops a second run, and answers with the first's result"},
 	{know: of(knowRan), what: Unsure, why: ItRan,
-		because: "it ran, and there is nobody who could say what came of it"},
+		because: "it ran, and no instance has its answer"},
 	{know: of(knowMay), what: Unsure, why: ItMayHaveRun,
 		because: "a second run can't be ruled out"},
 	{know: of(knowNothing, knowNever), owners: of(ownersSure), what: Go,
@@ -85,9 +85,9 @@
 	{know: of(knowNothing, knowNever), owners: of(ownersSilent, ownersMinority), repeat: no, what: Go,
 		because: "a first try has no earlier run; a repeat that does not say so would run twice, so it is counted"},
 	{know: of(knowNothing, knowNever), owners: of(ownersSilent), repeat: yes, what: Unsure, why: OwnersSilent,
-		because: "its first try may have run, and those who would know do not answer"},
+		because: "its first try may have run, and the owners that would know it do not reply"},
 	{know: of(knowNothing, knowNever), owners: of(ownersMinority), repeat: yes, what: Unsure, why: Minority,
-		because: "its first try may have run on the other side"},
+		because: "its first try may have run on the other side of the partition"},
 }
 
 func (r *row) fits(s situation) bool {
@@ -95,7 +95,8 @@
 		r.repeat.has(bit(s.repeat)) && r.group.has(bit(s.group))
 }
 
-// decide reads the table. A situation that no row fits fails in words: there is none (tested).
+// decide looks up a situation in the table. A test checks that every situation has a row; without one the call would fail with
+// an explanation.
 func decide(s situation) (What, Cause) {
 	for i := range table {
 		if r := &table[i]; r.fits(s) {
--- a/share/decide_test.go
+++ b/share/decide_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// All cells of the table: each has a row, and none breaks what the table is for.
+// Guards against gaps and unsafe actions in the decision table. Each combination must have a row, and no row may break a rule
+// of the table.
 func TestEveryCell(t *testing.T) {
 	used := map[int]int{}
 	eachSituation(func(s situation) {
@@ -45,17 +46,17 @@
 			broken bool
 			rule   string
 		}{
-			{s.effect == Safe && what != Go, "what is safe goes, whatever is known"},
-			{s.effect == Unsafe && ran && (what == Go || what == GoTo), "an unsafe call that may have run never goes"},
+			{s.effect == Safe && what != Go, "a safe call is always sent"},
+			{s.effect == Unsafe && ran && (what == Go || what == GoTo), "an unsafe call that may have run is never sent"},
 			{s.effect == Unsafe && what == GoTo, "no group drops repeats of an unsafe call"},
-			{s.effect == Keyed && ran && what == Go, "a keyed call that may have run goes to its group or nowhere"},
-			{what == GoTo && (!s.group || s.old), "to a group only where one is known and remembers"},
-			{what == Known && s.know != knowAnswer, "an answer is given where it is known"},
-			{s.effect != Safe && s.know == knowAnswer && what != Known, "and always there"},
-			{s.effect != Safe && !ran && s.repeat && s.owners != ownersSure && what != Unsure, "a repeat of which nobody sure has heard fails in words"},
-			{!ran && !s.repeat && what != Go, "a first try goes"},
-			{!ran && s.owners == ownersSure && what != Go, "what is known not to have run goes"},
-			{(what == Unsure) != (why != NoCause), "words have a cause, and nothing else has"},
+			{s.effect == Keyed && ran && what == Go, "a keyed call that may have run is sent only to its group"},
+			{what == GoTo && (!s.group || s.old), "a call is sent to a group only if one is known and still remembers the call"},
+			{what == Known && s.know != knowAnswer, "an answer is returned only if it is known"},
+			{s.effect != Safe && s.know == knowAnswer && what != Known, "a known answer is always returned, except for safe calls"},
+			{s.effect != Safe && !ran && s.repeat && s.owners != ownersSure && what != Unsure, "a repeat fails with an explanation unless all owners are sure"},
+			{!ran && !s.repeat && what != Go, "a first try is sent"},
+			{!ran && s.owners == ownersSure && what != Go, "a call known not to have run is sent"},
+			{(what == Unsure) != (why != NoCause), "a call has a cause exactly when it fails with an explanation"},
 		} {
 			if rule.broken {
 				t.Errorf("%+v: %v, %v: %s", s, what, why, rule.rule)
@@ -64,12 +65,12 @@
 	})
 	for i := range table {
 		if used[i] == 0 {
-			t.Errorf("row %d (%s) is for no cell", i, table[i].because)
+			t.Errorf("row %d (%s) applies to no situation", i, table[i].because)
 		}
 	}
 }
 
-// The table as people read it: testdata/decisions.txt. Write it anew with -rewrite.
+// The table in readable form is testdata/decisions.txt. Regenerate it with -rewrite.
 func TestDecisionsAreAsWritten(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decisions.txt", func(t *testing.T, d *datadriven.TestData) string {
 		var b strings.Builder
@@ -84,7 +85,7 @@
 			alike := s
 			if alike.group = false; s.group {
 				if w, y := decide(alike); w == what && y == why {
-					return // the group changes nothing
+					return // the group makes no difference
 				}
 			}
 			fmt.Fprintf(&b, "  %s%s: %s", [...]string{"first try", "repeat"}[bit(s.repeat)], [...]string{"", ", group known"}[bit(s.group)], what)
--- a/share/fleet_test.go
+++ b/share/fleet_test.go
@@ -10,14 +10,14 @@
 	"glencart/schema"
 )
 
-// useFleet is members that count one tenant's requests and tell each other, in rounds. Words are lost, late (by up to a second, so
-// out of order) and doubled; links are cut; clocks are off.
+// useFleet is a group of members that count one tenant's requests and exchange their counts in rounds. Messages are lost, late
+// (by up to a second, so out of order) and doubled; links are cut; clocks are off.
 type useFleet struct {
 	rng     *rand.Rand
 	round   time.Duration
 	loss    float64
 	members []*useMember
-	now     time.Duration // since the beginning
+	now     time.Duration // since the start
 	late    [16][]useWord // by the round in which they arrive
 	let     []float64     // by round
 	asked   []float64
@@ -30,9 +30,9 @@
 	off  time.Duration
 	side int
 	dead bool
-	mute bool // it hears, and is not heard
-	cut  bool // it was told so
-	n    int  // what this member takes for the size of the fleet
+	mute bool // it receives, but what it sends is lost
+	cut  bool // its view has CutOff
+	n    int  // the fleet size that this member uses
 }
 
 type useWord struct {
@@ -69,7 +69,7 @@
 	return n
 }
 
-// step is one round: what has arrived, a view, clients, words.
+// step runs one round: arriving messages, a view, client requests, outgoing messages.
 func (f *useFleet) step(demand func(i int) float64) {
 	at := int(f.now / f.round)
 	for _, w := range f.late[at%len(f.late)] {
@@ -120,7 +120,7 @@
 		if j == i || o.dead || o.side != m.side || m.mute {
 			continue
 		}
-		for range 1 + f.rng.IntN(20)/19 { // some come twice
+		for range 1 + f.rng.IntN(20)/19 { // some arrive twice
 			if f.rng.Float64() < f.loss {
 				continue
 			}
@@ -133,7 +133,8 @@
 	}
 }
 
-// over is the most that was let in within any window of this length between two times, less the limit, as a part of it.
+// over returns the maximum admitted in any window of this length between two times, beyond the limit, as a fraction of the
+// limit.
 func (f *useFleet) over(limit float64, window, from, to time.Duration) float64 {
 	k, most := int(window/f.round), 0.0
 	for end := int(from/f.round) + k; end <= int(to/f.round) && end <= len(f.let); end++ {
@@ -153,16 +154,16 @@
 	return sum
 }
 
-// useResult is one run's figures, each a part of the limit.
+// useResult has the figures of one run, each as a fraction of the limit.
 type useResult struct {
-	refused                                       float64 // in calm, of what was asked
-	onset, flood, cut, parted, mend, h            float64 // beyond the limit: over ten seconds at a flood's beginning; in it; at a cut; while it lasts; when it ends; one member dead
-	moves                                         float64 // in a flood whose clients move to other instances
+	refused                                       float64 // without a flood, as a fraction of the requests
+	onset, flood, cut, parted, mend, h            float64 // beyond the limit: over ten seconds at the start of a flood; during it; at a partition; during it; at its end; with one member dead
+	moves                                         float64 // in a flood whose clients move between instances
 	unused, unusedMoves, unusedParted, unusedDead float64
 }
 
-// worst is what may be let in within a window, as a part of the limit beyond it, by what happens in it. It was written down before
-// anything was measured: see the design note.
+// worst is the stated bound on what may be admitted in a window, as a fraction of the limit beyond it, by the events within the
+// window. It was stated before any measurement: see the design note.
 func worst(limit float64, n int, window time.Duration, cuts int) float64 {
 	extra := limit*burst.Seconds() + leastBurst*float64(n)
 	extra += float64(cuts) * limit * (Fresh - Window + 300*time.Millisecond).Seconds()
@@ -171,15 +172,15 @@
 
 const tenantLimit = 1000.0
 
-// play is calm, a flood whose clients move, a cut into halves with floods on both sides, the halves together again, and a member
-// that dies.
+// playUse runs a sequence: normal load, a flood whose clients move, a partition into halves with floods on both sides, the
+// halves together again, and a member that dies.
 func playUse(seed uint64, n int, loss float64, parted time.Duration) (r useResult) {
 	round := 100 * time.Millisecond
 	if n > 100 {
 		round = 200 * time.Millisecond
 	}
 	f := newUseFleet(seed, n, round, loss, Limit{Requests: tenantLimit})
-	// Clients are spread unevenly, and otherwise every ten seconds.
+	// Clients are distributed unevenly, and redistributed every ten seconds.
 	var weights []float64
 	moves := true
 	spread := func(total float64) func(int) float64 {
@@ -239,8 +240,8 @@
 	return r
 }
 
-// What a fleet lets in beyond a limit stays under what was stated before, for each seed; in the steady state at 1 % loss it is no
-// more than 2 %.
+// Guards against a fleet that admits more than a tenant's limit. For each seed the excess must stay within the bound that was
+// stated before; in the steady state at 1 % loss it must be at most 2 %.
 func TestFleetKeepsALimit(t *testing.T) {
 	sizes, seeds, losses, parted := []int{3, 12}, 1, []float64{0.01, 0.3}, 20*time.Second
 	if *campaign > 0 {
@@ -259,21 +260,21 @@
 						most float64
 						into *float64
 					}{
-						{"at a flood's beginning", r.onset, worst(tenantLimit, n, 10*time.Second, 0), &w.onset},
+						{"at the start of a flood", r.onset, worst(tenantLimit, n, 10*time.Second, 0), &w.onset},
 						{"in a flood", r.flood, steadyMost(loss), &w.flood},
 						{"when clients move", r.moves, worst(tenantLimit, n, 10*time.Second, 0), &w.moves},
-						{"at a cut", r.cut, worst(tenantLimit, n, 10*time.Second, 1), &w.cut},
-						{"parted", r.parted, steadyMost(loss), &w.parted},
-						{"together again", r.mend, worst(tenantLimit, n, 10*time.Second, 0), &w.mend},
-						{"at a death", r.h, worst(tenantLimit, n, 10*time.Second, 0), &w.h},
-						{"refused in calm", r.refused, 0.15, &w.refused},
+						{"at a partition", r.cut, worst(tenantLimit, n, 10*time.Second, 1), &w.cut},
+						{"during a partition", r.parted, steadyMost(loss), &w.parted},
+						{"after a partition", r.mend, worst(tenantLimit, n, 10*time.Second, 0), &w.mend},
+						{"at a crash", r.h, worst(tenantLimit, n, 10*time.Second, 0), &w.h},
+						{"rejected at normal load", r.refused, 0.15, &w.refused},
 						{"unused in a flood", r.unused, 0.05, &w.unused},
 						{"unused when clients move", r.unusedMoves, 0.2, &w.unusedMoves},
-						{"unused while parted", r.unusedParted, 0.6, &w.unusedParted},
+						{"unused during a partition", r.unusedParted, 0.6, &w.unusedParted},
 						{"unused with one dead", r.unusedDead, 0.13 + 1/float64(n), &w.unusedDead},
 					} {
 						if c.got > c.most {
-							t.Errorf("seed %d: %s: %.4f, %.4f at the most", seed, c.what, c.got, c.most)
+							t.Errorf("seed %d: %s: %.4f, maximum %.4f", seed, c.what, c.got, c.most)
 						}
 						if seed == 0 || c.got > *c.into {
 							*c.into = c.got
@@ -288,8 +289,8 @@
 	}
 }
 
-// Clocks that are off and jump, and one that hears and is not heard: what goes over a limit stays under what was stated, and is
-// nothing once it knows that it is cut off.
+// Guards against one member with a wrong clock, or one that receives but can't send. The excess over the limit must stay within
+// the stated bound, and there must be almost none once that member knows that it is cut off.
 func TestFleetWithOneThatIsOff(t *testing.T) {
 	const n = 5
 	for _, c := range []struct {
@@ -300,8 +301,8 @@
 		{"five seconds behind", func(f *useFleet, m *useMember) { m.off = -Skew }, 0.02},
 		{"five seconds ahead", func(f *useFleet, m *useMember) { m.off = Skew }, 0.02},
 		{"jumps each second", func(f *useFleet, m *useMember) { m.off = time.Duration(f.rng.Int64N(int64(2*Skew))) - Skew }, 1},
-		{"not heard", func(f *useFleet, m *useMember) { m.mute = true }, 1 - 1.0/n},
-		{"not heard, and told so", func(f *useFleet, m *useMember) { m.mute, m.cut = true, true }, 0.02},
+		{"can't send", func(f *useFleet, m *useMember) { m.mute = true }, 1 - 1.0/n},
+		{"can't send, and its view has CutOff", func(f *useFleet, m *useMember) { m.mute, m.cut = true, true }, 0.02},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newUseFleet(1, n, 100*time.Millisecond, 0.01, Limit{Requests: tenantLimit})
@@ -309,21 +310,21 @@
 				if f.now >= 20*time.Second && f.now%time.Second == 0 {
 					c.do(f, f.members[0])
 				}
-				f.step(func(i int) float64 { // half of the clients come to the one that is off
+				f.step(func(i int) float64 { // half of the clients use the member that is off
 					return []float64{3, 0.75}[min(i, 1)] * tenantLimit
 				})
 			}
 			over := f.over(tenantLimit, 10*time.Second, 30*time.Second, f.now)
-			t.Logf("%+.3f, %.3f at the most", over, c.most)
+			t.Logf("%+.3f, maximum %.3f", over, c.most)
 			if over > c.most {
-				t.Errorf("%.3f over, %.3f at the most", over, c.most)
+				t.Errorf("%.3f over, maximum %.3f", over, c.most)
 			}
 		})
 	}
 }
 
-// steadyMost is what a flood may let in beyond the limit once it has lasted for a burst: nothing but what lost words make members
-// disagree.
+// steadyMost is the maximum that a flood may admit beyond the limit after the initial burst: only the disagreement that lost
+// messages cause between members.
 func steadyMost(loss float64) float64 {
 	if loss <= 0.01 {
 		return 0.02
--- a/share/forms.go
+++ b/share/forms.go
@@ -1,4 +1,4 @@
-// The shipped forms of use and sessions, each as it was released, and the steps between them.
+// The released forms of use and sessions, each as it was released, and the conversions between them.
 package share
 
 import (
@@ -11,28 +11,29 @@
 	"glencart/schema"
 )
 
-// Numbers of use's fields. Counters are joined by maximum: each has one writer, the member in its Sub, which only ever raises it.
+// Field numbers of use and sessions, and the newest forms. Counters are merged by maximum: each has one writer, the member in
+// its Sub, which only raises it.
 const (
-	usePlan       = 1    // Int: which load of the file; Text: the plan
-	useOldTotal   = 1000 // form 1: requests, by a Sub in words (see oldSub)
-	useRequests   = 1001 // requests by member, ten seconds and class; class "" is all of them together
-	useWork       = 1002 // the same in microseconds of box time
-	useAsked      = 1003 // requests with those refused, by member and second
-	useLet        = 1004 // requests without, by member and second
-	useLetWork    = 1005 // microseconds of box time, by member and second
-	useBeat       = 1006 // in the record beatKey: a member's last word, in wall milliseconds that only rise
+	usePlan       = 1    // Int: number of the file load; Text: the plan
+	useOldTotal   = 1000 // form 1: requests, by a Sub in text form (see oldSub)
+	useRequests   = 1001 // requests by member, window of ten seconds and class; class "" is the sum of all
+	useWork       = 1002 // the same in microseconds of backend time
+	useAsked      = 1003 // requests including rejected ones, by member and second
+	useLet        = 1004 // requests without rejected ones, by member and second
+	useLetWork    = 1005 // microseconds of backend time, by member and second
+	useBeat       = 1006 // in the record beatKey: a member's last beat, in wall milliseconds that only rise
 	beatKey       = "\x00beat"
 	NewestUse     = 3
-	sessBox       = 1    // form 1: Int: when it was said, in wall milliseconds; Text: the box
-	sessCall      = 2    // what is known of a call, by call and member (see callSub): Int: attempt and rank; Text: see body
-	sessStamp     = 4000 // a register: when the rest was said, in wall milliseconds
-	sessHeld      = 4001 // the box
+	sessBox       = 1    // form 1: Int: when it was written, in wall milliseconds; Text: the backend
+	sessCall      = 2    // what is known of a call, by call and member (see callSub). Int: attempt and rank; Text: see body
+	sessStamp     = 4000 // a register: when the rest was written, in wall milliseconds
+	sessHeld      = 4001 // the backend
 	sessGroup     = 4002
 	sessEnd       = 4003 // in wall milliseconds
 	NewestSession = 3
 )
 
-// Forms are the forms of use and of sessions, oldest first.
+// Forms returns the forms of use and of sessions, oldest first.
 func Forms() []schema.Form {
 	return []schema.Form{
 		{Kind: schema.Use, Number: 1, Name: "fixed windows by tenant", Tells: useTells, Fields: []schema.FieldDef{
@@ -48,7 +49,8 @@
 			{Num: useAsked, Name: "asked by the second", Join: schema.Max}, {Num: useLet, Name: "requests by the second", Join: schema.Max},
 			{Num: useLetWork, Name: "work by the second", Join: schema.Max}, {Num: useBeat, Name: "beat", Join: schema.Max}},
 			Up: schema.Step{What: "seconds and plan are not known"},
-			// An older release would keep each second's count for as long as the tenant is there: it can't tell that it is over.
+			// An older release would keep each second's count for as long as the tenant exists: it can't see that the second is
+			// over.
 			Down: schema.Step{Do: useThreeTwo, What: "seconds and plan are left out",
 				Loss: schema.Named("ten seconds' counts stand for those of their seconds; no plan", usePlan, useAsked, useLet, useLetWork)}},
 
@@ -69,7 +71,7 @@
 	}
 }
 
-// Register puts them into a book.
+// Register adds the forms to a book.
 func Register(b *schema.Book) error {
 	for _, f := range Forms() {
 		if err := b.Register(f); err != nil {
@@ -82,7 +84,7 @@
 func newBook() *schema.Book {
 	b := &schema.Book{}
 	if err := Register(b); err != nil {
-		panic(err) // a mistake in Forms: every test meets it
+		panic(err) // an error in Forms: every test triggers it
 	}
 	return b
 }
@@ -112,12 +114,13 @@
 	return v
 }
 
-// oldSub is how form 1 wrote a member and a window of ten seconds: "name#start#window", the name last so that it may hold a '#'.
+// oldSub is the Sub of form 1 for a member and a window of ten seconds: "window#start#name". The name is last so that it may
+// contain a '#'.
 func oldSub(window uint64, m Member) string {
 	return strconv.FormatUint(window, 10) + "#" + strconv.FormatUint(m.Start, 16) + "#" + m.Name
 }
 
-// readOldSub takes exactly what oldSub writes, so that the way there and back changes nothing.
+// readOldSub accepts exactly what oldSub writes, so that a conversion in both directions changes nothing.
 func readOldSub(s string) (window uint64, m Member, ok bool) {
 	w, rest, _ := strings.Cut(s, "#")
 	start, name, _ := strings.Cut(rest, "#")
@@ -132,7 +135,7 @@
 	return window, m, 0 < len(name) && len(name) < 256 && oldSub(window, m) == s
 }
 
-// A Sub that is not what its form says stays as it is under its number, in both directions.
+// A Sub that doesn't match its form stays as it is under its number, in both directions.
 
 func useOneTwo(r schema.Record) (schema.Record, error) {
 	return renumber(r, useOldTotal, func(f schema.Field) (schema.Field, bool) {
@@ -155,7 +158,7 @@
 	return r, nil
 }
 
-// renumber moves fields of one number to another. Where one stands there, it is joined with it as a merge would.
+// renumber moves fields from one number to another. A field that already has the new number is merged with the moved one.
 func renumber(r schema.Record, num uint32, to func(schema.Field) (schema.Field, bool)) schema.Record {
 	var moved []schema.Field
 	kept := r.Fields[:0]
@@ -177,7 +180,7 @@
 	return r
 }
 
-// larger is the order by which Keep and Max choose.
+// larger is the order that Keep and Max choose by.
 func larger(a, b schema.Field) bool {
 	c := cmp.Compare(a.Int, b.Int)
 	if c == 0 {
@@ -220,7 +223,7 @@
 	return r, nil
 }
 
-// dropRegister takes out what is held, with what a later release may have added to it.
+// dropRegister removes the register of a session's backend, including fields that a later release may have added.
 func dropRegister(r *schema.Record) {
 	kept := r.Fields[:0]
 	for _, f := range r.Fields {
@@ -231,7 +234,7 @@
 	r.Fields = kept
 }
 
-// useTells are the counts by member, window and class.
+// useTells returns the counts by member, window and class.
 func useTells(r schema.Record) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, f := range r.Fields {
@@ -249,7 +252,7 @@
 	return out
 }
 
-// sessTells are the marks by call and member: one that falls is one that is forgotten.
+// sessTells returns the marks by call and member. A mark that falls is a forgotten mark.
 func sessTells(r schema.Record) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, f := range r.All(sessCall) {
--- a/share/forms_test.go
+++ b/share/forms_test.go
@@ -12,7 +12,7 @@
 
 var someMembers = []Member{{"a", 7}, {"a", 8}, {"b", 7}, {"c#1", 1 << 63}}
 
-// Each form's records as a release of it writes them, and as it keeps what a later one has sent.
+// drawUse draws a record of use as a release of the form writes it, or as it stores what a later release sent.
 func drawUse(t *rapid.T, form uint16, what string) schema.Record {
 	r := schema.Record{Kind: schema.Use, Schema: form, Key: "tenant"}
 	for range rapid.IntRange(0, 6).Draw(t, what) {
@@ -57,7 +57,7 @@
 			r.Set(schema.Field{Num: sessEnd, Int: uint64(rapid.IntRange(1, 2).Draw(t, "end"))})
 		}
 	}
-	for range rapid.IntRange(0, 3).Draw(t, "calls") { // an older form keeps them unread
+	for range rapid.IntRange(0, 3).Draw(t, "calls") { // an older form stores them unread
 		b := body{end: int64(rapid.IntRange(1, 2).Draw(t, "end")), group: "g", kept: rapid.Bool().Draw(t, "kept")}
 		r.Set(schema.Field{Num: sessCall, Sub: callSub(uint64(rapid.IntRange(1, 2).Draw(t, "call")), rapid.SampledFrom(someMembers).Draw(t, "by")),
 			Int: uint64(rapid.IntRange(1, 11).Draw(t, "stamp")), Text: b.append(nil)})
@@ -65,7 +65,8 @@
 	return r
 }
 
-// Every pair of forms keeps the law: up(merge) = merge(ups), down and up lose only what is declared, no count and no mark falls.
+// Guards against conversions between forms that lose counts or marks. For every pair of forms, converting a merge up must equal
+// merging the converted records, a conversion down and up may lose only what is declared, and no count or mark may fall.
 func TestFormsKeepTheLaw(t *testing.T) {
 	book := newBook()
 	for _, draw := range []func(*rapid.T, uint16, string) schema.Record{drawUse, drawSession} {
@@ -76,7 +77,7 @@
 					if err := book.Law(rx, ry); err != nil {
 						t.Fatal(err)
 					}
-					// And as an old release holds what a newer one has sent it.
+					// The same for records that an old release stores after a newer one sent them.
 					low := uint16(rapid.IntRange(1, int(min(x, y))).Draw(t, "low"))
 					dx, err := book.To(rx, low)
 					if err != nil {
@@ -92,7 +93,8 @@
 	}
 }
 
-// What a release of form 1 has written is what a table of today counts, and the way back to it is exact.
+// Guards against losing the counts of the first release. A record of form 1 must count in a current table, and must convert
+// back exactly.
 func TestUseOfTheFirstRelease(t *testing.T) {
 	now := at(0)
 	old := schema.Record{Kind: schema.Use, Schema: 1, Key: "shop", Fields: []schema.Field{{Num: useOldTotal, Sub: "172800000#7#a", Int: 40}}}
@@ -111,7 +113,8 @@
 	}
 }
 
-// A table of an older release passes on what it does not know, and a newer one has all of it.
+// Guards against older releases dropping fields that they don't know. A record that passes through a table of an older release
+// must arrive complete at a newer one.
 func TestOldReleasesPassOn(t *testing.T) {
 	now := at(0)
 	for form := uint16(1); form <= 3; form++ {
@@ -131,7 +134,7 @@
 			b.Merge(now, down)
 		}
 		if got, want := fmt.Sprint(b.Total(now, "shop", "order")), "{4 4 2}"; got != want {
-			t.Errorf("use by class through form %d: %s, want %s", form, got, want)
+			t.Errorf("use by class after passing form %d: %s, want %s", form, got, want)
 		}
 
 		x, o, y := newPair(form)
@@ -148,12 +151,12 @@
 			y.Merge(now, down)
 		}
 		if d := y.Lookup(now, Query{Key: key, Call: 1, Effect: Unsafe, Repeat: true}); d.What != Known || d.Answer != "placed" {
-			t.Errorf("a mark through form %d: %v %q", form, d.What, d.Answer)
+			t.Errorf("a mark after passing form %d: %v %q", form, d.What, d.Answer)
 		}
 	}
 }
 
-// newPair are two tables of today and one of an older release.
+// newPair returns two tables of the current release and one of an older release.
 func newPair(form uint16) (x, old, y *Sessions) {
 	x, old, y = NewSessions(SessionsConfig{Self: Member{"x", 1}}), NewSessions(SessionsConfig{Self: Member{"o", 1}, Form: form}), NewSessions(SessionsConfig{Self: Member{"y", 1}})
 	ring := NewRing([]Member{{"x", 1}, {"o", 1}, {"y", 1}}, 2)
@@ -163,7 +166,7 @@
 	return x, old, y
 }
 
-// Whatever comes in a record, it is taken or left, and what is kept goes out again as it should be.
+// Any parsed record must be merged or rejected without a panic, and the records that go out again must be valid.
 func FuzzRecords(f *testing.F) {
 	u := NewUse(UseConfig{Self: Member{"a", 1}})
 	u.Ask(at(0), "shop", "order", 5, 4)
--- a/share/main_test.go
+++ b/share/main_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Larger fleets and the whole tables of the design note: go test ./share -run 'Fleet|Calls' -v -campaign 5
+// Larger fleets and the complete tables of the design note: go test ./share -run 'Fleet|Calls' -v -campaign 5
 var campaign = flag.Int("campaign", 0, "seeds for each cell of the tables of the design note; 0: a small part of it")
 
-// The same draws every time; -rapid.seed=0 draws others.
+// TestMain fixes the seed, so that each run draws the same values; -rapid.seed=0 draws others.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-// day is a wall clock for tests: long after the epoch, at the beginning of a window of ten seconds.
+// day is a wall clock for tests: long after the epoch, at the start of a window of ten seconds.
 const day = 20_000 * 24 * time.Hour
 
-// at is an instant some time after both clocks began.
+// at returns an instant some time after both clocks started.
 func at(d time.Duration) Now { return Now{Own: time.Hour + d, Wall: day + d} }
--- a/share/move.go
+++ b/share/move.go
@@ -1,8 +1,9 @@
-// Ownership that moves: who sends which parts to whom, who is sure of them, and how two owners compare what they hold.
+// Changes of ownership: which parts to send to which members, which members are sure of a part, and how two owners compare what
+// they hold.
 //
-// An owner is sure of a part when it has every mark that all owners of it have taken: it was an owner all along, or has taken the
-// part from one that was sure, or has owned it for so long that no mark of before matters any more. Only where all owners are sure
-// does "nothing is known" mean that nothing has run.
+// An owner is sure of a part when it has every mark that all owners of the part have stored. That holds if it was an owner all
+// along, if it received the part from one that was sure, or if it has owned the part for so long that earlier marks no longer
+// matter. Only where all owners are sure does "nothing is known" mean that nothing has run.
 package share
 
 import (
@@ -12,21 +13,21 @@
 	"glencart/schema"
 )
 
-// earlyFor is how far apart two members may come to know of a change: a part may come before this one knows that it owns it.
+// earlyFor is how far apart two members may learn of a change. A part may arrive before this member learns that it owns it.
 const earlyFor = 30 * time.Second
 
-// Members takes a new ring, and whether this side of a partition has not more than half of the members. It appends what this
-// instance has to send to whom.
+// Members sets a new ring, and whether this side of a partition has at most half of the members. It appends the transfers that
+// this instance has to make.
 func (t *Sessions) Members(now Now, ring *Ring, minority bool, out []Transfer) []Transfer {
 	self, old := t.cfg.Self.Name, t.ring
 	if old == nil {
-		old = ring.without(self) // who had what before this process was there
+		old = ring.without(self) // the owners before this process started
 	}
 	t.ring, t.minority = ring, minority
 	if ring == old {
 		return out
 	}
-	stays := func(name string) bool { // and is the same process: a new one has nothing
+	stays := func(name string) bool { // and is the same process: a new one has no records
 		was, there := old.start(name)
 		is, here := ring.start(name)
 		return there && here && was == is
@@ -57,7 +58,8 @@
 		if !slices.Equal(before, after) || len(gone) > 0 {
 			t.markAgain(now, p)
 		}
-		// All who had it send it: what one of them lacks the other may have. Where none lives, whoever knows something does.
+		// All former owners send the part: one may have what another lacks. If none of them lives, every member that has
+		// records of it sends them.
 		if had || !lives && t.parts[p] != nil {
 			for _, o := range after {
 				if o != self && !(slices.Contains(before, o) && stays(o)) {
@@ -69,8 +71,8 @@
 	return out
 }
 
-// markAgain has the marks of this instance told to the owners of a part that has new ones: an earlier owner may have sent it on
-// before it took the mark.
+// markAgain queues the marks of this instance for sending to the new owners of a part: an earlier owner may have transferred
+// the part before it stored the mark.
 func (t *Sessions) markAgain(now Now, p Part) {
 	if t.parts[p] == nil {
 		return
@@ -86,7 +88,8 @@
 	}
 }
 
-// Leaving is what this instance hands over before its planned end: all that it owns, to those who own it in a ring without it.
+// Leaving appends the transfers before a planned shutdown: all parts that this instance owns, to those that own them in a ring
+// without it.
 func (t *Sessions) Leaving(now Now, ring *Ring, out []Transfer) []Transfer {
 	self := t.cfg.Self.Name
 	for part := t.cfg.Shard; part < Parts; part += t.cfg.Shards {
@@ -104,7 +107,7 @@
 	return out
 }
 
-// Took says that all of a part has come from a member that was sure of it, by a Transfer or by comparing.
+// Took records that all of a part has arrived from a member that was sure of it, by a Transfer or by comparison.
 func (t *Sessions) Took(now Now, p Part) {
 	if _, ok := t.unsure[p]; ok {
 		delete(t.unsure, p)
@@ -113,13 +116,13 @@
 	}
 }
 
-// Sure tells whether nothing that may be known of a part is missing here. It is asked of owners.
+// Sure reports whether this instance has all that may be known of a part. It applies to owners only.
 func (t *Sessions) Sure(p Part) bool {
 	_, unsure := t.unsure[p]
 	return !unsure
 }
 
-// Shared are the parts of this shard that this instance and another both own: those that they compare.
+// Shared appends the parts of this shard that this instance and another both own: those that they compare.
 func (t *Sessions) Shared(with string, out []Part) []Part {
 	for part := t.cfg.Shard; part < Parts; part += t.cfg.Shards {
 		if p := Part(part); t.ring.Owns(t.cfg.Self.Name, p) && t.ring.Owns(with, p) {
@@ -129,8 +132,8 @@
 	return out
 }
 
-// Digest is a number that two owners have alike when they know the same of a range. It is kept up to date with each change: reading
-// it costs nothing.
+// Digest returns a number that is equal at two owners that know the same of a range. It is updated with each change, so reading
+// it is cheap.
 func (t *Sessions) Digest(r Range) uint64 {
 	p := t.parts[r.Part]
 	if p == nil {
@@ -146,7 +149,7 @@
 	return sum
 }
 
-// Leaves are the digests of all ranges of a part: those that differ are sent.
+// Leaves returns the digests of all ranges of a part. Ranges whose digests differ are sent.
 func (t *Sessions) Leaves(p Part) (d [Leaves]uint64) {
 	for i := range d {
 		d[i] = t.Digest(Range{Part: p, Leaf: uint8(i), One: true})
@@ -154,7 +157,7 @@
 	return d
 }
 
-// Range are the records of a range, without those that are over.
+// Range appends the records of a range, without expired ones.
 func (t *Sessions) Range(now Now, r Range, out []schema.Record) []schema.Record {
 	p := t.parts[r.Part]
 	if p == nil {
--- a/share/move_test.go
+++ b/share/move_test.go
@@ -10,7 +10,7 @@
 	"glencart/schema"
 )
 
-// Owners are spread evenly, and one that comes or goes moves what it has to and no more.
+// Owners must be spread evenly, and a member that joins or leaves must move only the parts that it gains or loses.
 func TestRing(t *testing.T) {
 	var members []Member
 	for i := range 30 {
@@ -21,12 +21,12 @@
 	for p := range Part(Parts) {
 		a, b := all.Owners(p), fewer.Owners(p)
 		if a[0] == a[1] {
-			t.Fatalf("part %d: twice one owner", p)
+			t.Fatalf("part %d: the same owner twice", p)
 		}
 		for _, o := range a {
 			count[o]++
 			if o != "m0" && !slices.Contains(b, o) {
-				t.Fatalf("part %d was of %v, and is of %v", p, a, b)
+				t.Fatalf("part %d: owners were %v, and are %v", p, a, b)
 			}
 		}
 		if !slices.Equal(a, b) {
@@ -38,20 +38,20 @@
 		least, most = min(least, count[m.Name]), max(most, count[m.Name])
 	}
 	if mean := 2 * Parts / 30; least < mean*7/10 || most > mean*13/10 || moved > most {
-		t.Errorf("of a mean of %d: %d to %d; %d moved when one went", mean, least, most, moved)
+		t.Errorf("owned parts: mean %d, range %d to %d; %d moved when one member left", mean, least, most, moved)
 	}
 	if o := NewRing(members[:1], 2).Owners(3); len(o) != 1 {
 		t.Errorf("one member: %v", o)
 	}
 	if o := NewRing(nil, 2).Owners(3); o != nil {
-		t.Errorf("nobody: %v", o)
+		t.Errorf("no members: %v", o)
 	}
 	if r := NewRing([]Member{{"a", 1}, {"a", 2}}, 2); len(r.members) != 1 || r.members[0].Start != 2 {
 		t.Errorf("two processes of one name: %v", r.members)
 	}
 }
 
-// town is a fleet whose records are told at once, for what moves.
+// town is a fleet whose records are sent at once, for tests of ownership changes.
 type town struct {
 	t       *testing.T
 	now     Now
@@ -120,7 +120,7 @@
 	}
 }
 
-// missing counts sessions that some owner does not have, or is not sure of.
+// missing counts the (session, owner) pairs where the owner doesn't have the session, and those where it is not sure.
 func (w *town) missing(keys []Key) (n, unsure int) {
 	r := w.ring("")
 	for _, k := range keys {
@@ -136,8 +136,9 @@
 	return n, unsure
 }
 
-// A planned end, a crash, a start under the old name and one of a new member lose no session and no mark while one owner of two
-// lives; two crashes at once lose what only those had, and nobody then takes it for unknown.
+// Guards against losing sessions and marks when ownership changes. A planned shutdown, a crash, a restart under the old name
+// and a new member must lose nothing while one of two owners lives. Two crashes at once lose what only those two had, and then
+// no owner may be sure.
 func TestSessionsMove(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for _, c := range []struct {
@@ -149,7 +150,7 @@
 			w.send("a", w.tables["a"].Leaving(w.now, w.ring("a"), nil))
 			delete(w.tables, "a")
 			if n, _ := w.missing(w.keys(1)); n != 0 {
-				t.Errorf("%d are missing before anybody was told", n)
+				t.Errorf("%d are missing before the members have the new ring", n)
 			}
 			w.members()
 		}, false, false},
@@ -184,7 +185,7 @@
 				s.Tick(at(3 * MaxKeep))
 			}
 			if _, unsure := w.missing(keys); unsure != 0 {
-				t.Errorf("%d unsure for ever", unsure)
+				t.Errorf("%d still unsure after the marks expired", unsure)
 			}
 		})
 	}
@@ -197,7 +198,7 @@
 	return keys
 }
 
-// A part that comes before its new owner knows that it is one is not asked for again; one that came long ago is.
+// A part that arrives before its new owner knows that it owns it must count as received; one that arrived long before must not.
 func TestAPartThatCameEarly(t *testing.T) {
 	old := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
 	next := NewRing([]Member{{"b", 1}, {"c", 1}}, 2)
@@ -217,7 +218,7 @@
 	}
 }
 
-// Two owners that differ in some sessions find them by digests, and send those ranges alone.
+// Two owners that differ in some sessions must find them by digests, and send only those ranges.
 func TestRepairByDigests(t *testing.T) {
 	a, b := NewSessions(SessionsConfig{Self: Member{"a", 1}, Sessions: 1 << 20}), NewSessions(SessionsConfig{Self: Member{"b", 1}, Sessions: 1 << 20})
 	ring := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
@@ -226,7 +227,7 @@
 	b.Members(now, ring, false, nil)
 	shared := a.Shared("b", nil)
 	if !slices.Equal(shared, b.Shared("a", nil)) {
-		t.Fatal("they do not agree on what they share")
+		t.Fatal("the two owners disagree on the parts that both own")
 	}
 	const total, differ = 50_000, 100
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -267,7 +268,7 @@
 	}
 	for _, p := range shared {
 		if a.Digest(Range{Part: p}) != b.Digest(Range{Part: p}) {
-			t.Fatal("they still differ")
+			t.Fatal("the digests still differ")
 		}
 	}
 	t.Logf("%d sessions, %d differ: %d records, %d bytes and %d digests of 8 bytes; all would be %d records, %d bytes", total, differ, records, bytes, digests, whole, all)
@@ -276,7 +277,7 @@
 	}
 }
 
-// A digest says what is known and not how it came to be known, and each change of it shows.
+// A digest must depend on what is known and not on how it became known, and each change must change it.
 func TestDigest(t *testing.T) {
 	k := Key{9}
 	a, b := NewSessions(SessionsConfig{Self: Member{"a", 1}}), NewSessions(SessionsConfig{Self: Member{"b", 1}})
@@ -297,7 +298,7 @@
 		step()
 		d := a.Digest(r)
 		if seen[d] {
-			t.Errorf("step %d does not show", i)
+			t.Errorf("step %d doesn't change the digest", i)
 		}
 		seen[d] = true
 		if leaves := a.Leaves(r.Part); leaves[LeafOf(k)] != d {
@@ -308,13 +309,13 @@
 		b.Merge(at(0), rec)
 	}
 	if a.Digest(r) != b.Digest(r) {
-		t.Error("the same is known, and the digests differ")
+		t.Error("the same records, but different digests")
 	}
 	neighbour := k
 	neighbour[15]++
 	b.Hold(at(0), neighbour, "box", "", time.Second)
 	b.Tick(at(time.Second + Skew + OldFor))
 	if b.find(neighbour) != nil || a.Digest(r) != b.Digest(r) {
-		t.Error("one that is over stays in the digest")
+		t.Error("an expired session stays in the digest")
 	}
 }
--- a/share/ring.go
+++ b/share/ring.go
@@ -1,7 +1,7 @@
-// Who owns which part of the sessions: rendezvous hashing (Thaler and Ravishankar, 1998).
+// Owners of each part of the sessions, by rendezvous hashing (Thaler and Ravishankar, 1998).
 //
-// Not github.com/dgryski/go-rendezvous: it tells the first owner only, and its Remove reads beyond its slice. What is wanted is the R
-// highest of one loop.
+// github.com/dgryski/go-rendezvous is not used: it returns only the first owner, and its Remove reads beyond its slice. The R
+// highest scores of one loop are needed here.
 package share
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owners is how many members hold a session, where the file says nothing else.
+// Owners is the number of members that hold a session where the settings don't set it.
 const Owners = 2
 
-// Ring names the owners of each part. Owners go by names alone: a process that is started again owns what the one before did, and
-// has to be given it.
+// Ring assigns owners to each part. It identifies owners by name alone: a restarted process owns what its predecessor owned,
+// and the other owners have to send it the records.
 type Ring struct {
 	members []Member // by name, the later start of each
-	r       int      // owners of a part: fewer than asked for where there are fewer members
-	owners  []string // r of each part, the first owner first
+	r       int      // owners per part: fewer than requested where there are fewer members
+	owners  []string // r entries for each part, the first owner first
 }
 
-// NewRing reckons the owners of all parts: about 4096 hashes a member.
+// NewRing computes the owners of all parts. It costs about 4096 hashes a member.
 func NewRing(members []Member, r int) *Ring {
 	g := &Ring{members: slices.Clone(members)}
 	slices.SortFunc(g.members, func(a, b Member) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(b.Start, a.Start)) })
@@ -65,7 +65,7 @@
 	return g
 }
 
-// mix is the finisher of splitmix64: neighbours in, nothing alike out.
+// mix is the finalizer of splitmix64: adjacent inputs give unrelated outputs.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -74,7 +74,7 @@
 	return x ^ x>>31
 }
 
-// Owners are those of a part, the first one first. Not to be changed.
+// Owners returns the owners of a part, the first owner first. The slice is read-only.
 func (g *Ring) Owners(p Part) []string {
 	if g == nil || g.r == 0 {
 		return nil
@@ -82,13 +82,13 @@
 	return g.owners[int(p)*g.r : (int(p)+1)*g.r : (int(p)+1)*g.r]
 }
 
-// Size is how many members there are.
+// Size returns the number of members.
 func (g *Ring) Size() int { return len(g.members) }
 
-// Owns tells whether a member is among them.
+// Owns reports whether a member is an owner of a part.
 func (g *Ring) Owns(name string, p Part) bool { return slices.Contains(g.Owners(p), name) }
 
-// start finds a member's process.
+// start returns the start number of a member's process.
 func (g *Ring) start(name string) (uint64, bool) {
 	if g == nil {
 		return 0, false
@@ -100,7 +100,7 @@
 	return g.members[at].Start, true
 }
 
-// without is the ring as it was before a process was there.
+// without returns the ring without a member: the ring before its process started.
 func (g *Ring) without(name string) *Ring {
 	return NewRing(slices.DeleteFunc(slices.Clone(g.members), func(m Member) bool { return m.Name == name }), max(g.r, 1))
 }
--- a/share/session.go
+++ b/share/session.go
@@ -1,4 +1,4 @@
-// The table of sessions, and the way of a call through it: looked up, marked, decided, ended.
+// The session table, and the steps of a call in it: looked up, marked, decided, ended.
 package share
 
 import (
@@ -10,42 +10,43 @@
 )
 
 const (
-	// MarkFor is how long a mark matters where a Query says nothing else: as long as clients of such calls repeat.
+	// MarkFor is how long a mark matters where a Query doesn't set it: as long as clients repeat such calls.
 	MarkFor = time.Minute
-	// OldFor is how long a call or session is kept past its end, so that a late repeat is failed in words.
+	// OldFor is how long a call or session is kept past its end, so that a late repeat fails with an explanation.
 	OldFor = time.Minute
-	// HoldFor is when a session ends whose end is not told (form 1), after it was said.
+	// HoldFor is how long a session lasts after it was written if its record has no end (form 1).
 	HoldFor = 15 * time.Minute
-	// askFor is the wait for owners where the configuration says nothing else: some round trips within a site.
+	// askFor is the wait for owners where the configuration doesn't set it: some round trips within a site.
 	askFor = 50 * time.Millisecond
 )
 
-// SessionsConfig says whose table it is, which shard, and its bounds.
+// SessionsConfig names the owner of the table and the shard, and sets the bounds. Zero values mean the defaults given at the
+// fields.
 type SessionsConfig struct {
 	Self          Member
-	Shard, Shards int           // it has the keys of the parts p with p%Shards == Shard. 0, 0: all
-	Wait          time.Duration // for owners at the most. 0: 50 ms
-	MarkFor       time.Duration // the longest Query.Keep: an owner that has nobody to take marks over from is sure after it. 0: a minute
+	Shard, Shards int           // it holds the keys of the parts p with p%Shards == Shard. 0, 0: all
+	Wait          time.Duration // longest wait for owners. 0: 50 ms
+	MarkFor       time.Duration // the longest Query.Keep: an owner that can receive marks from nobody is sure after this time. 0: a minute
 	Sessions      int           // 100,000
-	Bytes         int           // of texts, answers among them: 64 MiB
+	Bytes         int           // of answers and of unknown fields: 64 MiB
 	Calls         int           // of one session: 16
-	Form          uint16        // the newest form that this release reads and writes: for trials. 0: the newest
+	Form          uint16        // the newest form that this release reads and writes, for tests. 0: the newest
 }
 
-// Sessions is one shard of the table.
+// Sessions is one shard of the session table.
 type Sessions struct {
 	cfg      SessionsConfig
 	book     *schema.Book
 	ring     *Ring
 	minority bool
 	parts    [Parts]*part
-	unsure   map[Part]time.Duration // parts that this instance owns and is not sure of, until when (own)
-	early    map[Part]time.Duration // parts that came whole before it knew that it owns them, and when (own)
+	unsure   map[Part]time.Duration // parts that this instance owns and is not sure of, and until when (own clock)
+	early    map[Part]time.Duration // parts that arrived whole before this instance knew that it owns them, and when (own clock)
 	makers   map[Member]*maker
 	pending  map[callKey]*pending
 	unacked  map[callKey]*unacked
-	ends     [2]endings        // without and with a call that may have run
-	names    map[string]string // of boxes and groups, each held once
+	ends     [2]endings        // heaps of sessions without and with a call that may have run
+	names    map[string]string // of backends and groups, each stored once
 	stats    SessionStats
 }
 
@@ -54,7 +55,7 @@
 	call uint64
 }
 
-// maker is an instance that has made attempts.
+// maker is an instance that made attempts.
 type maker struct {
 	Member
 	calls int
@@ -64,48 +65,49 @@
 	key        Key
 	held       held
 	calls      []call
-	strange    *schema.Record // what this release does not know, and passes on
+	strange    *schema.Record // fields unknown to this release, which it passes on
 	strangeEnd int64
-	sum        uint64 // its share of its leaf's digest
-	due        int64  // when it is let go of, wall milliseconds
-	place      int    // in endings, by marked; -1: in none yet
+	sum        uint64 // its contribution to its leaf's digest
+	due        int64  // when it is dropped, wall milliseconds
+	place      int    // index in the heap of marked; -1: in none yet
 	marked     uint8  // 1: a call of it may have run
 }
 
-// held is a session that stays with its box.
+// held is the backend that a session stays with.
 type held struct {
-	stamp      uint64 // wall milliseconds, when it was said; 0: none
+	stamp      uint64 // wall milliseconds, when it was written; 0: none
 	box, group string
-	end        uint64 // wall milliseconds; 0: not told
+	end        uint64 // wall milliseconds; 0: not set
 }
 
-// call is what one instance says of its attempts of one call. Only that instance changes it, and its stamp only rises.
+// call is what one instance reports of its attempts of one call. Only that instance changes it, and its stamp only rises.
 type call struct {
 	id    uint64
 	by    *maker
 	stamp uint64 // attempt<<2 | rank
-	stuck bool   // own: an earlier attempt may have run, so that of a later one "never ran" is not said
+	stuck bool   // own calls: an earlier attempt may have run, so "never ran" is not reported of a later one
 	body
 }
 
-// body is what is said with a stamp.
+// body is the rest of a report, replaced as a whole with its stamp.
 type body struct {
 	end        int64 // wall milliseconds
 	box, group string
 	answer     string
-	kept       bool   // there is an answer, though it may be empty
-	extra      string // what a later release has added
+	kept       bool   // there is an answer, which may be empty
+	extra      string // fields that a later release added
 }
 
-// Ranks within an attempt: it is marked before it is made, and what then becomes known stands above the mark. So only the instance
-// that made an attempt can say that it never ran.
+// Ranks of reports about one attempt. The mark is written before the attempt is made, and later knowledge ranks above the mark.
+// So only the instance that made an attempt can report that it never ran.
 const (
 	rankMay      = 1
 	rankNever    = 2
 	rankAnswered = 3
 )
 
-// state of a rank that this release does not know is the one that forbids most.
+// state returns the state for the rank of the stamp. A rank unknown to this release counts as MayHaveRun, the most restrictive
+// state.
 func (c *call) state() State {
 	return [...]State{MayHaveRun, MayHaveRun, NeverRan, Answered}[c.stamp&3]
 }
@@ -114,9 +116,9 @@
 type pending struct {
 	q                    Query
 	to                   []string
-	replied, acked, sure uint32 // bits by place in to
+	replied, acked, sure uint32 // bits by index in to
 	attempt              uint64
-	follow               bool          // to q.Group, which is known to remember the call
+	follow               bool          // send to q.Group, which is known to remember the call
 	since                time.Duration // own
 }
 
@@ -127,7 +129,7 @@
 	sent  time.Duration // own
 }
 
-// NewSessions returns an empty table that knows no other member yet.
+// NewSessions returns an empty table without a ring.
 func NewSessions(cfg SessionsConfig) *Sessions {
 	cfg.Shards = max(cfg.Shards, 1)
 	cfg.Wait = cmp.Or(cfg.Wait, askFor)
@@ -141,15 +143,15 @@
 
 func wallMillis(now Now) int64 { return now.Wall.Milliseconds() }
 
-// Lookup is the first question about a call. What needs nothing is answered at once; a call that must not run twice is marked here
-// and Asked of its owners (Ask): see Decide.
+// Lookup starts a call. A call that needs no other instance is decided at once. A call that must not run twice is marked here,
+// and the result is Ask: its owners have to be asked before Decide.
 func (t *Sessions) Lookup(now Now, q Query) Decision {
 	s := t.find(q.Key)
 	d := Decision{Box: t.box(now, s)}
 	if q.Effect == Safe {
 		return d
 	}
-	if t.cfg.Form < 3 { // such a release knows of no calls
+	if t.cfg.Form < 3 { // such a release has no calls
 		return t.unprotected(d, NotMarked)
 	}
 	k := callKey{q.Key, q.Call}
@@ -158,12 +160,12 @@
 			t.stats.FailedInWords++
 			return Decision{What: Unsure, Why: UnderWay}
 		}
-		delete(t.pending, k) // given up without a word. Its mark stands: this instance can't say that it never ran
+		delete(t.pending, k) // abandoned without Decide or End. Its mark stands: this instance can't know that it never ran
 	}
 	f := t.known(now, s, q.Call, nil)
 	own := t.ownCall(s, q.Call)
 	follow := q.Effect == Keyed && f.group != "" && !f.old && (f.know == knowMay || f.know == knowRan)
-	if follow { // to its group, under a mark of its own: the earlier one may yet be taken back
+	if follow { // sent to its group, under a mark of its own: the earlier mark may still be taken back
 		q.Group = f.group
 	} else if f.know >= knowRan || f.know == knowMay && (t.owns(q.Key) || own != nil && own.state() == MayHaveRun) {
 		return t.answer(d, q, f, ownersSilent)
@@ -179,7 +181,7 @@
 	return t.ask(now, d, &pending{q: q, follow: follow, attempt: c.stamp >> 2})
 }
 
-// ask has a mark that was just made told to the owners.
+// ask returns the decision that sends a new mark to the owners.
 func (t *Sessions) ask(now Now, d Decision, p *pending) Decision {
 	p.since, p.to = now.Own, t.others(p.q.Key)
 	t.pending[callKey{p.q.Key, p.q.Call}] = p
@@ -191,7 +193,8 @@
 	return d
 }
 
-// Replied takes the reply of an owner to any mark (see Reply). done says that nobody is waited for any more before Decide.
+// Replied processes the reply of an owner to any mark (see Reply). done means that no more replies are outstanding and Decide
+// can be called.
 func (t *Sessions) Replied(now Now, key Key, id uint64, from string, r schema.Record, as Standing) (done bool, err error) {
 	k := callKey{key, id}
 	acked := false
@@ -219,7 +222,7 @@
 	return p.replied == 1<<len(p.to)-1, nil
 }
 
-// acked tells whether an owner's record has this instance's last word of a call.
+// acked reports whether an owner's record has this instance's latest report of a call.
 func (t *Sessions) acked(k callKey, from string, r schema.Record) bool {
 	u := t.unacked[k]
 	if u == nil || r.Int(sessCall, callSub(k.call, t.cfg.Self)) < u.stamp {
@@ -231,8 +234,8 @@
 	return true
 }
 
-// Decide says what is done with a call that was Asked. Where it does not go, its mark is taken back. It may be Asked once more: a
-// keyed call whose group was learnt from the owners is marked anew, for that group.
+// Decide returns the decision for a call after Ask. If the call is not sent, its mark is taken back. The result may be Ask once
+// more: if the group of a keyed call was learnt from the owners, the call is marked again, for that group.
 func (t *Sessions) Decide(now Now, key Key, id uint64) Decision {
 	k := callKey{key, id}
 	p := t.pending[k]
@@ -254,22 +257,22 @@
 	f := t.known(now, s, id, own)
 	switch {
 	case !p.follow:
-	case f.know < knowMay: // the mark that it follows is its own, or was taken back since: it may have come there all the same
+	case f.know < knowMay: // the mark that it follows is its own, or was taken back since: the call may have reached that group all the same
 		f = facts{know: knowMay, group: p.q.Group}
 	case f.know == knowMay && f.group != p.q.Group:
-		f.group = "" // there are two by now
+		f.group = "" // by now there are two groups
 	}
 	d := t.answer(Decision{Box: t.box(now, s)}, p.q, f, o)
 	if d.What == GoTo && own != nil && own.group != d.Group {
-		// It was learnt from owners, and the other may have learnt this one's group. Of two that mark and then read, at most one sees
-		// no other group.
+		// The group was learnt from owners, and the other instance may have learnt this one's group. Of two instances that mark
+		// and then read, at most one sees no other group.
 		if c := t.mark(now, k, rankMay, body{end: own.end, group: d.Group}); c != nil {
 			p.q.Group = d.Group
 			return t.ask(now, Decision{Box: d.Box}, &pending{q: p.q, follow: true, attempt: c.stamp >> 2})
 		}
 	}
 	if d.What != Go && d.What != GoTo {
-		if own != nil { // else the cap has pushed it out
+		if own != nil { // otherwise the cap evicted it
 			if c := t.mark(now, k, rankNever, body{end: own.end}); c != nil {
 				d.Tell = Marked{t.record(t.find(key)), t.others(key), id}
 			}
@@ -278,11 +281,11 @@
 	}
 	d.End, d.Attempt = true, p.attempt
 	switch {
-	case o == ownersMinority: // the mark is of no use to the other side
+	case o == ownersMinority: // the other side can't see the mark
 		d = t.unprotected(d, why)
 	case len(p.to) == 0:
 		d = t.unprotected(d, Alone)
-	case p.acked != all: // a cut or a crash may leave one of them alone
+	case p.acked != all: // a partition or a crash may leave one of them alone
 		d = t.unprotected(d, NotMarked)
 	}
 	return d
@@ -294,7 +297,7 @@
 	return d
 }
 
-// answer reads the table. A call that goes from here without Decide has no mark.
+// answer applies the decision table. A call that is sent from here without Decide has no mark.
 func (t *Sessions) answer(d Decision, q Query, f facts, o owners) Decision {
 	d.What, d.Why = decide(situation{q.Effect, f.know, f.old, o, q.Repeat, f.group != ""})
 	switch d.What {
@@ -309,7 +312,8 @@
 	return d
 }
 
-// End takes how an attempt has ended: the record goes to the owners when there is time, and again until all have it (Unacked).
+// End records how an attempt ended. The record goes to the owners when there is time, and again until all of them have it
+// (Unacked).
 func (t *Sessions) End(now Now, e Ended) Marked {
 	if t.cfg.Form < 3 {
 		return Marked{}
@@ -334,8 +338,8 @@
 	case NeverRan:
 		rank = rankNever
 	}
-	// How an attempt ended is said of its own mark alone. One that went to a group under an earlier mark says nothing of that one,
-	// but its answer is the call's.
+	// The outcome of an attempt is reported only for its own mark. An attempt that went to a group under an earlier mark
+	// changes nothing about that mark, but its answer is the answer of the call.
 	if rank != rankAnswered && (own == nil || own.state() != MayHaveRun || own.stamp>>2 != e.Attempt) || own != nil && own.state() == Answered {
 		return Marked{}
 	}
@@ -345,7 +349,7 @@
 	return Marked{t.record(t.find(e.Key)), t.others(e.Key), e.Call}
 }
 
-// mark writes this instance's own word of a call; nil when there is no room.
+// mark writes this instance's own report of a call. It returns nil when there is no room.
 func (t *Sessions) mark(now Now, k callKey, rank uint64, b body) *call {
 	s := t.make(now, k.key)
 	if s == nil {
@@ -356,7 +360,7 @@
 		if c = t.addCall(now, s, k.call, t.cfg.Self); c == nil {
 			return nil
 		}
-		// Higher than any attempt of this process that may have been forgotten, here or elsewhere.
+		// Higher than any forgotten attempt of this process, here or at other members.
 		c.stamp = uint64(wallMillis(now)) << 2
 	}
 	if rank == rankNever && c.stuck {
@@ -372,7 +376,8 @@
 	return c
 }
 
-// Hold says that a session stays with a box. It is told again when half of its time is over: To is empty where there is no news.
+// Hold records that a session stays with a backend. It is sent again after half of its time. The To of the result is empty if
+// there is nothing new to send.
 func (t *Sessions) Hold(now Now, key Key, box, group string, keep time.Duration) Marked {
 	s := t.make(now, key)
 	if s == nil {
@@ -390,7 +395,7 @@
 	return Marked{t.record(s), t.others(key), 0}
 }
 
-// until is when a session ends, in wall milliseconds.
+// until returns when a session ends, in wall milliseconds.
 func (h *held) until() uint64 {
 	if h.end == 0 && h.stamp != 0 {
 		return h.stamp + uint64(HoldFor.Milliseconds())
@@ -405,15 +410,15 @@
 	return s.held.box
 }
 
-// facts are what all instances' words of a call come to.
+// facts is what the reports of all instances about a call add up to.
 type facts struct {
 	know       knowledge
 	old        bool
-	box, group string // group: only when there is one
+	box, group string // group: only when there is exactly one
 	answer     string
 }
 
-// known reads them, without one's own (except).
+// known computes the facts of a call, without the report except.
 func (t *Sessions) known(now Now, s *session, id uint64, except *call) (f facts) {
 	if s == nil {
 		return f
@@ -470,7 +475,7 @@
 	return nil
 }
 
-// others are the owners of a key beside this instance.
+// others returns the owners of a key other than this instance.
 func (t *Sessions) others(key Key) []string {
 	o := t.ring.Owners(PartOf(key))
 	at := slices.Index(o, t.cfg.Self.Name)
--- a/share/session_test.go
+++ b/share/session_test.go
@@ -11,13 +11,13 @@
 	"glencart/schema"
 )
 
-// three are three instances that know each other, and a key that b and c own: a has to ask.
+// three returns three instances that know each other, and a key that b and c own: a has to ask them.
 func three(t testing.TB) (a, b, c *Sessions, key Key) {
 	ring := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
 	a, b, c = NewSessions(SessionsConfig{Self: Member{"a", 1}}), NewSessions(SessionsConfig{Self: Member{"b", 1}}), NewSessions(SessionsConfig{Self: Member{"c", 1}})
 	for _, s := range []*Sessions{a, b, c} {
 		s.Members(at(-2*MaxKeep), ring, false, nil)
-		s.Tick(at(0)) // for so long that they are sure
+		s.Tick(at(0)) // after this time they are sure
 	}
 	for i := range 1000 {
 		key = KeyOf("", fmt.Append(nil, i))
@@ -29,7 +29,7 @@
 	return
 }
 
-// ask brings a call to its owners and back.
+// ask runs a call through Lookup, its owners and Decide.
 func ask(t testing.TB, now Now, from *Sessions, q Query, owners ...*Sessions) Decision {
 	t.Helper()
 	d := from.Lookup(now, q)
@@ -39,7 +39,7 @@
 		}
 		d = askOnce(t, now, from, q, d, owners...)
 	}
-	t.Fatal("asked for ever")
+	t.Fatal("Decide returned Ask three times")
 	return d
 }
 
@@ -66,14 +66,15 @@
 	}
 }
 
-// A client's order is placed at one instance, which is killed; its repeat comes to another.
+// Guards against a second run of a call. A client places an order at one instance, which is killed; the client repeats it at
+// another instance.
 func TestARepeatElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		effect Effect
 		state  State
-		ended  bool // the first instance told how it ended before it was killed
-		silent int  // owners that do not answer the repeat
+		ended  bool // the first instance sent the outcome before it was killed
+		silent int  // owners that don't reply for the repeat
 		group  string
 		after  time.Duration
 		want   string
@@ -92,7 +93,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a, b, o, key := three(t)
-			x := NewSessions(SessionsConfig{Self: Member{"x", 1}}) // the first instance: neither owner nor a
+			x := NewSessions(SessionsConfig{Self: Member{"x", 1}}) // the first instance: neither an owner nor a
 			x.Members(at(0), b.ring, false, nil)
 			q := Query{Key: key, Call: 1, Effect: c.effect, Group: c.group}
 			d := ask(t, at(0), x, q, b, o)
@@ -127,7 +128,8 @@
 	}
 }
 
-// Two instances with one call at the same time: at most one of them goes, in whatever order their messages arrive.
+// Guards against a double run when two instances get the same call at the same time. At most one of them may send it, in
+// whatever order their messages arrive.
 func TestTwoAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ring := NewRing([]Member{{"a", 1}, {"b", 1}}, 2)
@@ -176,13 +178,13 @@
 			}
 		}
 		if len(ran) > 1 || q.Effect == Unsafe && ran["g2"]+ran["g3"] > 1 {
-			t.Fatalf("%v: goes to %v", q.Effect, ran)
+			t.Fatalf("%v: sent to %v", q.Effect, ran)
 		}
-		// And what has gone is still known to have: one more try goes only if neither did, or to the same group.
+		// The call must still be known to have been sent: a third try is sent only if neither was, or to the same group.
 		q.Group = "g4"
 		d := ask2(s[0], q, s[1])
 		if d.What == Go && len(ran) > 0 || d.What == GoTo && ran[d.Group] == 0 {
-			t.Fatalf("went to %v, and a third try: %v %v", ran, d.What, d.Group)
+			t.Fatalf("sent to %v, and a third try: %v %v", ran, d.What, d.Group)
 		}
 	})
 }
@@ -198,7 +200,8 @@
 	return d
 }
 
-// Two requests of one call at one instance: the second one is told so, and one that was given up without a word keeps its mark.
+// Two requests for one call at one instance: the second must fail because the first is under way. A call that was abandoned
+// without End must keep its mark.
 func TestTwoAtOneInstance(t *testing.T) {
 	a, b, c, key := three(t)
 	q := Query{Key: key, Call: 1, Effect: Unsafe}
@@ -207,21 +210,21 @@
 		t.Errorf("the second: %v, %v", d.What, d.Why)
 	}
 	if d := ask(t, at(10*time.Second), a, q, b, c); d.What != Unsure || d.Why != ItMayHaveRun {
-		t.Errorf("after one that was given up: %v, %v", d.What, d.Why)
+		t.Errorf("after an abandoned call: %v, %v", d.What, d.Why)
 	}
 	q.Call = 2
 	given := a.Lookup(at(0), q)
 	a.End(at(0), Ended{Key: key, Call: 2, Attempt: given.Attempt, State: NeverRan})
 	if d := ask(t, at(0), a, q, b, c); d.What != Go || d.Unprotected {
-		t.Errorf("after one that said so: %v, %v", d.What, d.Why)
+		t.Errorf("after one that ended as never ran: %v, %v", d.What, d.Why)
 	}
 	a.End(at(0), Ended{Key: key, Call: 2, Attempt: given.Attempt, State: NeverRan})
 	if d := ask(t, at(0), a, q, b, c); d.What != Unsure {
-		t.Errorf("the end of an earlier attempt is said of a later one: %v", d.What)
+		t.Errorf("the end of an earlier attempt is reported for a later one: %v", d.What)
 	}
 }
 
-// An attempt that may have run is not forgotten for a later one that did not.
+// Guards against forgetting an attempt that may have run because a later attempt of the same call never ran.
 func TestALaterAttemptThatNeverRan(t *testing.T) {
 	x, b, c, key := three(t)
 	y := NewSessions(SessionsConfig{Self: Member{"y", 1}})
@@ -241,7 +244,7 @@
 	}
 }
 
-// What goes without a mark at another owner is counted, with its cause.
+// A call that is sent without a mark at another owner must be counted, with its cause.
 func TestUnprotected(t *testing.T) {
 	q := Query{Key: Key{1}, Call: 1, Effect: Unsafe}
 	a, b, c, key := three(t)
@@ -250,7 +253,7 @@
 		t.Errorf("no owner answers: %+v", d)
 	}
 	d := a.Lookup(at(0), Query{Key: key, Call: 9, Effect: Unsafe})
-	c.ring = NewRing([]Member{{"a", 1}, {"b", 1}}, 2) // to which c is nobody: it may forget what it is told
+	c.ring = NewRing([]Member{{"a", 1}, {"b", 1}}, 2) // a ring in which c is no owner: it may forget what it receives
 	for _, o := range []*Sessions{b, c} {
 		o.Merge(at(0), d.Tell.Record)
 		r, as := o.Reply(key)
@@ -258,21 +261,21 @@
 	}
 	c.ring = b.ring
 	if d = a.Decide(at(0), key, 9); !d.Unprotected || d.Why != NotMarked {
-		t.Errorf("one of two is no owner: %+v", d)
+		t.Errorf("one of two replied as no owner: %+v", d)
 	}
 	q.Call = 2
 	a.minority = true
 	if d := ask(t, at(0), a, q, b, c); d.What != Go || !d.Unprotected || d.Why != Minority {
-		t.Errorf("on the smaller side: %+v", d)
+		t.Errorf("in the minority: %+v", d)
 	}
 	q.Call, q.Repeat = 3, true
 	if d := ask(t, at(0), a, q, b, c); d.What != Unsure || d.Why != Minority {
-		t.Errorf("a repeat on the smaller side: %+v", d)
+		t.Errorf("a repeat in the minority: %+v", d)
 	}
 	alone := NewSessions(SessionsConfig{Self: Member{"a", 1}})
 	alone.Members(at(0), NewRing([]Member{{"a", 1}}, 2), false, nil)
 	if d := alone.Lookup(at(0), q); d.What != Unsure || d.Why != OwnersSilent {
-		t.Errorf("a repeat at one that has just begun: %+v", d)
+		t.Errorf("a repeat at an instance that just started: %+v", d)
 	}
 	q.Repeat = false
 	if d := alone.Lookup(at(0), q); d.What != Go || !d.Unprotected || d.Why != Alone {
@@ -283,7 +286,8 @@
 	}
 }
 
-// A mark that an owner has not taken is sent again until it has, also its end, and also to an owner that is new.
+// Guards against marks that are missing at an owner. A mark and its outcome must be sent again until each owner has
+// acknowledged it, and also to new owners.
 func TestMarksAreSentAgain(t *testing.T) {
 	a, b, c, key := three(t)
 	q := Query{Key: key, Call: 1, Effect: Unsafe}
@@ -302,7 +306,7 @@
 	stale, _ := c.Reply(key)
 	a.Replied(at(2*time.Second), key, 1, "c", stale, SureOwner)
 	if again := a.Unacked(at(4*time.Second), nil); len(again) != 1 || len(again[0].To) != 2 {
-		t.Errorf("a reply to what was said before acknowledges nothing: %v", again)
+		t.Errorf("a reply with an earlier state must not acknowledge: %v", again)
 	}
 	tell(t, at(4*time.Second), m, b, c)
 	for _, o := range []*Sessions{b, c} {
@@ -318,25 +322,26 @@
 	}
 }
 
-// A session stays with the box that was said last, until its end, and is told again only when there is news.
+// A session must stay with the backend that was set last, until its end, and must be sent again only if something changed.
 func TestHold(t *testing.T) {
 	a, b, _, key := three(t)
 	m := a.Hold(at(0), key, "box1", "g", time.Minute)
 	tell(t, at(0), m, b)
 	if again := a.Hold(at(time.Second), key, "box1", "g", time.Minute); len(again.To) != 0 {
-		t.Error("told again without news")
+		t.Error("sent again without a change")
 	}
 	tell(t, at(2*time.Second), a.Hold(at(2*time.Second), key, "box2", "g", time.Minute), b)
-	tell(t, at(3*time.Second), m, b) // late
+	tell(t, at(3*time.Second), m, b) // arrives late
 	if d := b.Lookup(at(3*time.Second), Query{Key: key}); d.Box != "box2" {
 		t.Errorf("held by %q", d.Box)
 	}
 	if d := b.Lookup(at(2*time.Minute), Query{Key: key}); d.Box != "" {
-		t.Errorf("over, and held by %q", d.Box)
+		t.Errorf("expired, and still held by %q", d.Box)
 	}
 }
 
-// Records of a session merge in any order, whole or at older forms: no mark is forgotten, and all who have all know the same.
+// Records of a session must merge in any order, whole or in older forms. No mark may be forgotten, and members with the same
+// records must know the same.
 func TestSessionsMerge(t *testing.T) {
 	book := newBook()
 	rapid.Check(t, func(t *rapid.T) {
@@ -384,7 +389,7 @@
 		for _, i := range rapid.Permutation(order).Draw(t, "order") {
 			r := all[i]
 			if rapid.Bool().Draw(t, "old") {
-				r, _ = book.To(r, 2) // keeps all that there is
+				r, _ = book.To(r, 2) // form 2 keeps all fields
 			}
 			b.Merge(at(0), r)
 			b.Merge(at(0), r)
@@ -402,7 +407,8 @@
 	})
 }
 
-// At the caps those go first that are over, then those without a mark; a mark that is forgotten before its end is counted.
+// At the caps, expired sessions must be evicted first, then those without a mark. A mark that is evicted before its end must be
+// counted.
 func TestSessionsAreBounded(t *testing.T) {
 	s := NewSessions(SessionsConfig{Self: Member{"a", 1}, Sessions: 100, Bytes: 10 << 10, Calls: 2})
 	s.Members(at(0), NewRing([]Member{{"a", 1}}, 2), false, nil)
@@ -413,7 +419,7 @@
 	for i := range 50 {
 		s.Hold(at(0), key(100+i), "box", "", time.Second)
 	}
-	s.Tick(at(10 * time.Second)) // over, and kept as old
+	s.Tick(at(10 * time.Second)) // over, and still stored as old
 	now := at(10 * time.Second)
 	for i := range 50 {
 		s.Hold(now, key(200+i), "box", "", time.Hour)
@@ -444,7 +450,7 @@
 	if n := s.Stats(); n.Bytes > 10<<10 || len(s.find(key(619)).calls) > 2 {
 		t.Errorf("bytes: %+v", n)
 	}
-	// And within a session.
+	// The same within a session.
 	s.Lookup(now, Query{Key: key(700), Call: 1, Effect: Unsafe})
 	for call := uint64(2); call < 5; call++ {
 		s.End(now, Ended{Key: key(700), Call: call, State: Answered})
@@ -454,6 +460,6 @@
 	}
 	s.Tick(at(time.Hour + Skew + OldFor + 11*time.Second))
 	if n := s.Stats(); n.Sessions != 0 || n.Calls != 0 || n.Bytes != 0 || len(s.ends[0])+len(s.ends[1]) != 0 || len(s.makers) != 0 || len(s.unacked) != 0 {
-		t.Errorf("when all is over: %+v, %d %d %d", n, len(s.ends[0])+len(s.ends[1]), len(s.makers), len(s.unacked))
+		t.Errorf("after everything expired: %+v, %d %d %d", n, len(s.ends[0])+len(s.ends[1]), len(s.makers), len(s.unacked))
 	}
 }
--- a/share/sessrec.go
+++ b/share/sessrec.go
@@ -1,4 +1,4 @@
-// Sessions in their place, and as records.
+// Storage of sessions, and their records.
 package share
 
 import (
@@ -21,11 +21,11 @@
 	n      int
 }
 
-// leaf is sorted by key. Keys stand apart from what they lead to: a search reads them alone.
+// leaf is sorted by key. Keys are stored apart from their sessions, so that a search reads keys only.
 type leaf struct {
 	keys   []Key
 	of     []*session
-	digest uint64 // of all that is said in it, whatever the order in which it came
+	digest uint64 // of all sessions in it, independent of the order of arrival
 }
 
 func compareKeys(a, b Key) int { return bytes.Compare(a[:], b[:]) }
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// make finds or makes a session; nil when there is no room.
+// make finds or adds a session. It returns nil when there is no room.
 func (t *Sessions) make(now Now, key Key) *session {
 	if s := t.find(key); s != nil {
 		return s
@@ -76,7 +76,7 @@
 	return s
 }
 
-// drop takes a session out.
+// drop removes a session.
 func (t *Sessions) drop(s *session) {
 	p := t.parts[PartOf(s.key)]
 	l := &p.leaves[LeafOf(s.key)]
@@ -118,7 +118,7 @@
 	return n
 }
 
-// addCall makes room for an instance's word of a call; nil when there is none.
+// addCall adds an empty report of an instance about a call. It returns nil when there is no room.
 func (t *Sessions) addCall(now Now, s *session, id uint64, by Member) *call {
 	if len(s.calls) >= t.cfg.Calls && !t.pushOutCall(now, s) {
 		return nil
@@ -147,7 +147,7 @@
 	t.changed(now, s)
 }
 
-// changed reckons a session's share of its leaf's digest, and when it is looked at again.
+// changed updates a session's contribution to its leaf's digest, and its position in the heaps.
 func (t *Sessions) changed(now Now, s *session) {
 	sum := s.digest()
 	t.parts[PartOf(s.key)].leaves[LeafOf(s.key)].digest ^= s.sum ^ sum
@@ -155,7 +155,7 @@
 	t.place(s)
 }
 
-// digest is the same at all members that know the same, in whatever order they came to know it.
+// digest is equal at all members that know the same, independent of the order of arrival.
 func (s *session) digest() uint64 {
 	var buf [256]byte
 	seed := append(buf[:0], s.key[:]...)
@@ -184,7 +184,7 @@
 	return sum
 }
 
-// end is when nothing of a session matters any more, in wall milliseconds.
+// end returns when nothing of a session matters any more, in wall milliseconds.
 func (s *session) end() int64 {
 	end := s.strangeEnd
 	if u := s.held.until(); u < 1<<62 {
@@ -196,14 +196,14 @@
 	return end
 }
 
-// callSub is the Sub of what an instance says of a call.
+// callSub is the Sub of an instance's report about a call.
 func callSub(id uint64, m Member) string {
 	b := binary.BigEndian.AppendUint64(make([]byte, 0, 16+len(m.Name)), id)
 	return string(append(binary.BigEndian.AppendUint64(b, m.Start), m.Name...))
 }
 
-// OfCall is what a session's record says of one call, and of what holds the session: small enough for a datagram, but for an answer. It
-// is right by itself when it is merged.
+// OfCall returns what a session's record has about one call and about the backend of the session. Without an answer it fits
+// into a datagram. Merging it alone is valid.
 func OfCall(r schema.Record, id uint64) schema.Record {
 	r.Fields = slices.DeleteFunc(slices.Clone(r.Fields), func(f schema.Field) bool {
 		return f.Num == sessCall && (len(f.Sub) < 8 || be64(f.Sub) != id)
@@ -218,9 +218,9 @@
 	return be64(s), Member{Name: s[16:], Start: be64(s[8:])}, true
 }
 
-// Fields of a body, in protobuf's encoding:
+// append appends a body in protobuf's encoding:
 //
-//	message Body { uint64 end = 1; string box = 2; string group = 3; bytes answer = 4 (there only when it is kept); }
+//	message Body { uint64 end = 1; string box = 2; string group = 3; bytes answer = 4 (present only when kept); }
 func (b *body) append(dst []byte) []byte {
 	dst = protowire.AppendVarint(protowire.AppendTag(dst, 1, protowire.VarintType), uint64(b.end))
 	if b.box != "" {
@@ -271,7 +271,7 @@
 	return b, b.end > 0
 }
 
-// record is a session as it is told.
+// record returns a session as it is sent.
 func (t *Sessions) record(s *session) schema.Record {
 	if s == nil {
 		return schema.Record{}
@@ -300,7 +300,8 @@
 	return r
 }
 
-// Reply is what an owner answers when it has merged a mark, or is asked for a session: what it knows, and as who.
+// Reply returns an owner's reply after it has merged a mark, or when it is asked for a session: its record of the session and
+// its standing.
 func (t *Sessions) Reply(key Key) (schema.Record, Standing) {
 	as := NotOwner
 	switch {
@@ -313,8 +314,8 @@
 	return t.record(t.find(key)), as
 }
 
-// Merge takes in what others have told, whole or in part, in any order and any number of times. What is not what its form says, or
-// is over, is left out and counted. An error is of the record as a whole.
+// Merge merges a received record, whole or in part, in any order and any number of times. Fields that don't match their form
+// are left out and counted; expired ones are left out. An error is about the record as a whole.
 func (t *Sessions) Merge(now Now, r schema.Record) (changed bool, err error) {
 	if r.Kind != schema.Session || len(r.Key) != len(Key{}) {
 		return false, fmt.Errorf("share: sessions: %s with a key of %d bytes: not a session", r.Kind, len(r.Key))
@@ -329,7 +330,7 @@
 	s := t.find(key)
 	var strange []schema.Field
 	var h held
-	odd := false // the register has something of a later release: it is kept whole beside what is read of it
+	odd := false // the register has fields of a later release: it is kept whole beside what is read of it
 	for i := range r.Fields {
 		f := &r.Fields[i]
 		register := f.Sub == "" && f.Num >= sessStamp && f.Num < sessStamp+schema.RegisterSize
@@ -422,7 +423,7 @@
 	return s, changed
 }
 
-// name holds a box's or group's name once: a site has few, and each stands in many sessions.
+// name stores the name of a backend or group once: a site has few, and each is part of many sessions.
 func (t *Sessions) name(b []byte) string {
 	n, ok := t.names[string(b)]
 	if !ok {
@@ -435,7 +436,7 @@
 	return n
 }
 
-// compareHeld orders as a merge of records does.
+// compareHeld has the same order as a merge of records.
 func compareHeld(a, b held) int {
 	switch {
 	case a.stamp != b.stamp:
@@ -455,7 +456,8 @@
 	return 0
 }
 
-// keepStrange holds what a later release has written, to be passed on. It goes with its session, or HoldFor after it came.
+// keepStrange stores fields that a later release wrote, to pass them on. They are dropped with their session, or HoldFor after
+// they arrived.
 func (t *Sessions) keepStrange(now Now, s *session, fields []schema.Field) (changed bool, err error) {
 	r := schema.Record{Kind: schema.Session, Schema: NewestSession, Key: string(s.key[:]), Fields: fields}
 	if s.strange != nil {
@@ -468,7 +470,7 @@
 	}
 	if strangeBytes(&r) > maxStrange {
 		t.stats.Strange++
-		return false, nil // one that is empty now goes at the next tick
+		return false, nil // a session that is empty now is dropped at the next tick
 	}
 	t.stats.Bytes += strangeBytes(&r) - strangeBytes(s.strange)
 	s.strange, s.strangeEnd = &r, wallMillis(now)+HoldFor.Milliseconds()
--- a/share/types.go
+++ b/share/types.go
@@ -1,12 +1,12 @@
-// Package share is what instances know together: what each tenant has used (Use, Ages) and what is known of a client's session and
-// of its last unsafe calls (Sessions, Ring). It is pure: plain calls with the time, no I/O, no clock, no goroutine, no log, no
-// global state. A Use and a Sessions are one shard each, for one goroutine at a time; Ring and View are not changed once made and
-// may be read by all.
+// Package share keeps the state that instances share: what each tenant has used (Use, Ages), and a client's session with its
+// latest unsafe calls (Sessions, Ring). It is pure. Callers pass the time; the package has no I/O, clock, goroutine, log or
+// global state. A Use and a Sessions are one shard each, for one goroutine at a time. Ring and View are immutable and may be
+// read concurrently.
 //
-// Records go in and out as schema.Record, at the newest forms (see Forms); the caller moves them to the form of a link with its
-// schema.Book.
+// Records go in and out as schema.Record in the newest forms (see Forms). The caller converts them to the form of a link with
+// its schema.Book.
 //
-// This file has the types that callers see.
+// This file has the types that callers use.
 package share
 
 import (
@@ -18,83 +18,85 @@
 	"glencart/schema"
 )
 
-// Now is an instant on both clocks. Ages and waits go by Own; windows of use and ends of marks, which instances must agree on, by
-// Wall. What a wall clock that is off does to them is said where it matters (see Use, Skew).
+// Now is an instant on both clocks. Ages and waits use Own. Use windows and expiry times of marks, on which instances must
+// agree, use Wall. For the effect of a wall clock that is off, see Use and Skew.
 type Now struct {
-	Own  time.Duration // the instance's own clock, which never goes back
+	Own  time.Duration // monotonic clock of the instance
 	Wall time.Duration // since the Unix epoch
 }
 
-// Member is a process: a name and a start. Of one name the higher start is the later one.
+// Member is a process: a name and a start number. Of two with the same name, the one with the higher start is the later.
 type Member struct {
 	Name  string
 	Start uint64
 }
 
-// Seen is a member that may be there, and how old its last word is, on the own clock (see Ages.Age).
+// Seen is a member that may be running, and the age of its last beat on the own clock (see Ages.Age).
 type Seen struct {
 	Member
 	Age time.Duration
-	Off time.Duration // its wall clock less this one's (see Ages.Off)
+	Off time.Duration // its wall clock minus this one's (see Ages.Off)
 }
 
-// View is the membership as use is reckoned from it. The caller makes a new one for each tick and hands it to every shard.
+// View is the membership that allowances are computed from. The caller makes a new one for each tick and passes it to every
+// shard.
 type View struct {
 	Self    Member
-	Members []Seen // the others that may be there: alive, away, suspect, dead and not forgotten yet; not those that have left
-	N       int    // how many may be there, self counted; in doubt the larger. At least len(Members)+1 is taken
-	CutOff  bool   // this member speaks or hears in vain: it takes its fair part and no more
+	Members []Seen // the other members that may be running: alive, away, suspect, and dead but not yet forgotten. Members that left are not listed
+	N       int    // how many members may be running, including self; the larger number in doubt. At least len(Members)+1 is used
+	CutOff  bool   // this member can't send or can't receive: it uses its fair part and no more
 }
 
-// Limit is what a tenant may use over all instances. 0 is no limit.
+// Limit is what a tenant may use over all instances. 0 means no limit.
 type Limit struct {
 	Requests float64 // a second
-	Work     float64 // seconds of box time a second
-	Plan     string  // carried along for others to see, not reckoned with
-	Loaded   uint64  // which load of the file said so: the higher one's plan holds where instances differ
+	Work     float64 // backend seconds a second
+	Plan     string  // passed on to other instances; not used in computations
+	Loaded   uint64  // number of the file load that set the plan. Where instances differ, the plan of the highest load applies
 }
 
-// Allowance is what this instance may let in of a tenant by itself. It holds until the next window begins or the view changes.
+// Allowance is what this instance may admit for a tenant by itself. It holds until the next window begins or the view changes.
 type Allowance struct {
 	Limited  bool
 	Part     float64       // of the limit, 0..1
 	Rate     float64       // requests a second
-	Burst    float64       // requests at once, after a rest
-	Work     float64       // seconds of box time a second; 0 with WorkFree
+	Burst    float64       // requests at once, after an idle time
+	Work     float64       // backend seconds a second; 0 with WorkFree
 	WorkFree bool          // work has no limit
-	Heard    int           // members whose word is fresh, self counted
-	Of       int           // members that may be there
-	Until    time.Duration // when it is reckoned anew, on the own clock
+	Heard    int           // members with a fresh beat, including self
+	Of       int           // members that may be running
+	Until    time.Duration // when it is computed again, on the own clock
 }
 
-// Bucket is what an instance has left of its allowance. The zero value is full.
+// Bucket is the unused rest of an instance's allowance (a token bucket). The zero value is full.
 type Bucket struct {
 	at       time.Duration
 	begun    bool
 	requests float64
-	work     float64 // seconds; below 0 when calls took longer than was left
+	work     float64 // seconds; negative when calls took longer than what was left
 }
 
-// Count is what was used: Asked with what was refused, Requests without, Work in seconds of box time.
+// Count is what was used. Asked includes rejected requests, Requests doesn't, Work is in backend seconds.
 type Count struct {
 	Asked, Requests uint64
 	Work            float64
 }
 
-// UseStats are what a shard of use has had to do, for metrics.
+// UseStats are the counters of one shard of Use, for metrics.
 type UseStats struct {
-	Tenants, Cells int    // held now: tenants, and (tenant, member) pairs
-	Classes        int    // (tenant, member, class) held now
-	Full           uint64 // counts not taken in, for the caps
-	Strange        uint64 // fields of records that are not what their form says
-	OutOfTime      uint64 // counts of windows that are over, or too far ahead
+	Tenants, Cells int    // current number of tenants, and of (tenant, member) pairs
+	Classes        int    // current number of (tenant, member, class) entries
+	Full           uint64 // counts dropped because a cap was reached
+	Strange        uint64 // fields of records that don't match their form
+	OutOfTime      uint64 // counts of windows that are over or too far in the future
 }
 
-// Key names a session. It is a hash, so that cookies and keys of clients travel in no message; two clients share one with the
-// probability of a collision of 128 bits.
+// Key names a session. It is a hash, so that no message carries cookies or keys of clients. Two clients share a key with the
+// probability of a 128-bit hash collision.
 type Key [16]byte
 
-// KeyOf hashes what the site names as a session's key. space keeps rules apart: the same cookie under two of them is two sessions.
+// KeyOf hashes the value that the settings name as a session's key. space separates rules: the same cookie under two rules is
+// two sessions.
 func KeyOf(space string, b []byte) Key {
 	var buf [256]byte
 	in := append(append(append(buf[:0], space...), 0), b...)
@@ -102,14 +104,14 @@
 	return Key(sum[:16])
 }
 
-// Effect is what running a call twice would do.
+// Effect is what a second run of a call would do.
 type Effect uint8
 
 // Effects.
 const (
 	Safe   Effect = iota // nothing
 	Keyed                // nothing, within the group that remembers the call's key
-	Unsafe               // an order is placed twice
+	Unsafe               // it repeats the effect: an order is placed twice
 	effects
 )
 
@@ -118,10 +120,11 @@
 // State is what is known of a call.
 type State uint8
 
-// States of a call, each said by the instance that made the attempt. Of several instances' words the last in this order holds.
+// States of a call, each reported by the instance that made the attempt. Of several instances' reports the last in this order
+// applies.
 const (
 	Unknown    State = iota
-	NeverRan         // the attempt was never written to a box
+	NeverRan         // the attempt was never written to a backend
 	MayHaveRun       // it may have been
 	Answered         // it ran, and this was the answer
 	states
@@ -131,26 +134,26 @@
 	return [...]string{"unknown", "never ran", "may have run", "answered"}[s]
 }
 
-// Query is a call for which a decision is wanted.
+// Query is a call that needs a decision.
 type Query struct {
 	Key    Key
-	Call   uint64 // which call of the session: a hash of its own key, or of what was sent (see CallOf)
+	Call   uint64 // which call of the session: a hash of the call's own key, or of the request that was sent (see CallOf)
 	Effect Effect
-	Repeat bool          // the client says, or it can be seen, that this is not its first try
-	Group  string        // keyed: the group that the call would go to, and that then remembers it. "" if there is none
-	Keep   time.Duration // how long from now a mark of it matters: as long as clients repeat. MaxKeep at most; 0: a minute
+	Repeat bool          // this is not the first try: the client marked it as a repeat, or it can be recognized as one
+	Group  string        // keyed: the group that the call would go to and that then remembers it. "" if there is none
+	Keep   time.Duration // how long from now a mark of it matters: as long as clients repeat. At most MaxKeep; 0 means a minute
 }
 
-// What is what to do with a call.
+// What is the action for a call.
 type What uint8
 
-// What to do.
+// Actions.
 const (
-	Go     What = iota // to any box, Box first if there is one
-	GoTo               // to Group and nowhere else
-	Known              // no attempt: Answer is the answer
-	Unsure             // no attempt: fail in words (see Why)
-	Ask                // send Tell, take in the replies (Replied), then call Decide: when Replied says so, or after Wait
+	Go     What = iota // send to any backend, to Box first if it is set
+	GoTo               // send only to Group
+	Known              // no attempt: Answer is the final answer
+	Unsure             // no attempt: fail with an explanation (see Why)
+	Ask                // send Tell, pass the replies to Replied, then call Decide: when Replied returns done, or after Wait
 	whats
 )
 
@@ -158,20 +161,20 @@
 	return [...]string{"go", "go to the group", "known answer", "in words", "ask"}[w]
 }
 
-// Cause says why a call is not simply sent on, or goes without protection.
+// Cause is why a call is not simply sent on, or is sent without protection.
 type Cause uint8
 
 // Causes.
 const (
 	NoCause      Cause = iota
 	ItMayHaveRun       // an attempt of this call may have run
-	ItRan              // it has run, and its answer is no longer known
-	UnderWay           // another request for the same call is at this point right now
-	OwnersSilent       // those who would know it have not answered in time, or are not sure
-	Minority           // this side of a partition has not more than half of the members: others may know more
-	Alone              // there is no other instance to tell
-	NotMarked          // not every owner has taken the mark in time
-	NoRoom             // the table is full: the mark is kept nowhere
+	ItRan              // it ran, and its answer is no longer stored
+	UnderWay           // another request for the same call is between Lookup and Decide
+	OwnersSilent       // an owner has not replied in time, or is not sure
+	Minority           // this side of a partition has at most half of the members: the other side may have further marks
+	Alone              // there is no other instance to send the mark to
+	NotMarked          // not every owner has stored the mark in time
+	NoRoom             // the table is full: the mark is stored nowhere
 	causes
 )
 
@@ -181,73 +184,74 @@
 		"not every instance that should has taken the mark", "no room for the mark"}[c]
 }
 
-// Standing is as who a member replies to a mark.
+// Standing is the role in which a member replies to a mark.
 type Standing uint8
 
 // Standings. Their numbers are on the wire.
 const (
-	NotOwner    Standing = iota // by its own ring: the mark may be forgotten
-	UnsureOwner                 // it has the mark, and may lack earlier ones
-	SureOwner                   // it has every mark of the key's part that all its owners have taken
+	NotOwner    Standing = iota // not an owner by its own ring: it may forget the mark
+	UnsureOwner                 // it has the mark, but earlier ones may be missing
+	SureOwner                   // it has every mark of the key's part that all owners of the part have stored
 )
 
-// Decision is what is to be done with a call.
+// Decision is the result of Lookup and Decide for a call.
 type Decision struct {
 	What        What
 	Why         Cause
 	Box, Group  string
 	Answer      string        // with Known
 	Wait        time.Duration // with Ask
-	Tell        Marked        // to be sent before anything else with Ask; with others whenever there is time
-	End         bool          // End has to be called, with Attempt, once it is known how the attempt has ended
-	Attempt     uint64        // the mark that was made for it; 0: none, it is under an earlier one
-	Unprotected bool          // it goes though a repeat elsewhere could run it again; counted
+	Tell        Marked        // with Ask: to be sent before anything else; otherwise whenever there is time
+	End         bool          // End must be called, with Attempt, once the outcome of the attempt is known
+	Attempt     uint64        // the mark that was made for it; 0 means none: it runs under an earlier one
+	Unprotected bool          // it is sent although a repeat at another instance could run it again; counted
 }
 
-// Marked is a record that is to be told to others. The zero value tells nothing to nobody.
+// Marked is a record to send to other members. The zero value sends nothing.
 type Marked struct {
 	Record schema.Record
-	To     []string // names of owners beside this instance. Not to be changed
-	Call   uint64   // of which it is a word; 0 with Hold
+	To     []string // names of the other owners. Read-only
+	Call   uint64   // the call that the record reports; 0 with Hold
 }
 
-// Ended is how an attempt of this instance has ended, or what became known of it.
+// Ended is how an attempt of this instance ended, or what became known of it later.
 type Ended struct {
 	Key     Key
 	Call    uint64
 	Attempt uint64 // of the Decision
-	State   State  // NeverRan only when nothing of it was written to any box
-	Box     string // that has run it, or may have
-	Answer  string // with Answered: one of more than MaxAnswer bytes is not kept
+	State   State  // NeverRan only when nothing of it was written to any backend
+	Box     string // that ran it, or may have
+	Answer  string // with Answered: an answer longer than MaxAnswer bytes is not stored
 }
 
 // Bounds of sessions.
 const (
-	MaxAnswer = 2 << 10         // bytes of an answer that is kept
-	MaxKeep   = 5 * time.Minute // of a mark; a session may be held for longer
-	// Skew is how far apart two wall clocks may be. A mark counts as fresh no later than Skew before its end, and is kept until
-	// Skew after it, so that a clock that is off by this forgets nothing early and sends no repeat to a group that has forgotten.
+	MaxAnswer = 2 << 10         // bytes of a stored answer
+	MaxKeep   = 5 * time.Minute // of a mark; a session may be kept longer
+	// Skew is how far apart two wall clocks may be. A mark counts as fresh until Skew before its end, and is kept until Skew
+	// after it. So a clock that is off by Skew forgets nothing early and sends no repeat to a group that has forgotten the
+	// call.
 	Skew = 5 * time.Second
 )
 
-// Part is a slice of the key space: the owners of sessions are those of their part. (With parts, two owners compare what they hold
-// by the parts that they have in common.)
+// Part is a slice of the key space. Owners are assigned to parts, and the sessions of a part have its owners. Two owners
+// compare what they hold part by part, over the parts that they have in common.
 type Part uint16
 
-// Parts is how many parts there are, Leaves how many ranges each of them has for comparing.
+// Parts is the number of parts, Leaves the number of ranges that each part is divided into for comparison.
 const (
 	Parts  = 4096
 	Leaves = 16
 )
 
-// CallOf hashes what tells one call of a session from another. Two of one session share a number with the probability of a collision
-// of 64 bits.
+// CallOf hashes what distinguishes one call of a session from another. Two calls of one session share a number with the
+// probability of a 64-bit hash collision.
 func CallOf(b []byte) uint64 { return xxhash.Sum64(b) }
 
-// PartOf is the part of a key.
+// PartOf returns the part of a key.
 func PartOf(k Key) Part { return Part(k[0])<<4 | Part(k[1])>>4 }
 
-// LeafOf is the range within its part.
+// LeafOf returns the range of a key within its part.
 func LeafOf(k Key) uint8 { return k[1] & 15 }
 
 // Range is a part, or one leaf of it.
@@ -257,20 +261,20 @@
 	One  bool
 }
 
-// Transfer says that a member is to get all records of a part from this one.
+// Transfer requests that this instance send all records of a part to a member.
 type Transfer struct {
 	Part Part
 	To   string
-	Sure bool // Took is called there for those that are
+	Sure bool // the receiver calls Took for the part when Sure is set
 }
 
-// SessionStats are what a shard of sessions holds and has had to do, for metrics.
+// SessionStats are the contents and counters of one shard of Sessions, for metrics.
 type SessionStats struct {
 	Sessions, Calls, Bytes int
-	Unprotected            uint64 // calls that went without a mark at another owner
+	Unprotected            uint64 // calls that were sent without a mark at another owner
 	FailedInWords          uint64
 	KnownAnswers           uint64
-	ForgottenEarly         uint64 // "may have run" that the cap has pushed out before its end
-	SessionsPushedOut      uint64 // sessions that the cap has pushed out before their end, without such a mark
-	Strange                uint64 // fields of records that are not what their form says
+	ForgottenEarly         uint64 // "may have run" marks that the cap evicted before their end
+	SessionsPushedOut      uint64 // sessions without such a mark that the cap evicted before their end
+	Strange                uint64 // fields of records that don't match their form
 }
--- a/share/use.go
+++ b/share/use.go
@@ -1,4 +1,4 @@
-// The table of use: who has used what of which tenant, in windows, by member.
+// The table of use: which member has used how much of which tenant, in windows.
 package share
 
 import (
@@ -11,32 +11,35 @@
 )
 
 const (
-	// Window is the time by which use is counted and allowances are reckoned: short enough to follow a tenant's clients from one
-	// instance to another, long enough for a word to reach all (see Fresh). Windows are numbered by the wall clock. A member whose
-	// clock is off by e counts into windows that are e apart from the others': what it tells is taken as of its own windows (see
-	// Seen.Off), so its part lags by no more than before, and Total is wrong by what it has used in e.
+	// Window is the unit in which use is counted and allowances are computed. It is short enough to follow a tenant's clients
+	// from one instance to another, and long enough for a message to reach all (see Fresh). Windows are numbered by the wall
+	// clock. A member whose clock is off by e counts into windows that are e apart from those of the others. Its numbers are
+	// read as of its own windows (see Seen.Off), so its part lags by no more than before, and Total is wrong by what the member
+	// has used in e.
 	Window = time.Second
-	// ClassWindow are the windows of the older forms, by class.
+	// ClassWindow is the window of the older forms, and of the counts by class.
 	ClassWindow = 10 * Window
-	// ring is how many seconds are kept: ten for Total, and one on each side for clocks.
+	// ring is how many seconds are kept: ten for Total, and one on each side for clock differences.
 	ring = 12
-	// Ahead and behind, in seconds: how far a count's window may be from the own one. Farther are clocks beyond Skew, or old news.
+	// ahead and behind are how far a count's window may be from the own one, in seconds. Counts farther away come from clocks
+	// off by more than Skew, or are old.
 	ahead, behind = 6, 20
-	// Idle is how long a tenant of whom nothing is heard stays in the table, and a member in a tenant.
+	// Idle is how long a tenant without any activity stays in the table, and a member in a tenant.
 	Idle = 60 * time.Second
 
 	maxName  = 128 // bytes of a member's name
-	maxClass = 64  // bytes of a class's
+	maxClass = 64  // bytes of a class name
 )
 
-// UseConfig says whose table it is, and its bounds. Zero values: a share of an instance with some thousand tenants.
+// UseConfig names the owner of the table and sets its bounds. Zero values mean the defaults given at the fields, which suit a
+// shard of an instance with some thousand tenants.
 type UseConfig struct {
 	Self    Member
 	Tenants int // 10,000
 	Cells   int // (tenant, member) pairs: 200,000
 	Classes int // classes of one tenant and member: 16
-	Strange int // fields of a tenant that this release does not know and only keeps: 256
-	// Form is the newest form that this release reads and writes: for trials of a fleet of several releases. 0: the newest.
+	Strange int // stored fields of a tenant that this release does not know: 256
+	// Form is the newest form that this release reads and writes, for tests of a fleet of several releases. 0: the newest.
 	Form uint16
 }
 
@@ -50,17 +53,17 @@
 	version uint64 // rises with each change of a cell
 	cells   int
 	classes int
-	names   map[string]string // classes, each held once
+	names   map[string]string // class names, each stored once
 	ids     uint32
 	stats   UseStats
 }
 
 type member struct {
 	Member
-	id    uint32 // by order of being heard of
+	id    uint32 // in the order in which members became known
 	cells int
-	view  int32 // its place in the view, -1: not in it
-	hears bool  // its word is fresh, since then, on the own clock
+	view  int32 // its index in the view; -1: not in it
+	hears bool  // its beat is fresh, since the time in since, on the own clock
 	since time.Duration
 }
 
@@ -70,28 +73,28 @@
 	plan    string
 	loaded  uint64
 	planAt  uint64  // version
-	cells   []*cell // by id of their member
+	cells   []*cell // sorted by id of their member
 	own     *cell
-	strange *schema.Record // what this release does not know, and passes on
-	changed time.Duration  // wall: when anything was last counted or heard
+	strange *schema.Record // fields unknown to this release, which it passes on
+	changed time.Duration  // wall: the time of the last count or message
 
 	bucket Bucket
 	allow  Allowance
-	window int64  // for which allow was reckoned
-	view   uint64 // and from which view
+	window int64  // for which allow was computed
+	view   uint64 // the number of the view that allow was computed from
 }
 
-// cell is one member's use of one tenant. Its counters are the member's own: they are only ever joined by maximum.
+// cell is one member's use of one tenant. Its counters are the member's own: they are only merged by maximum.
 type cell struct {
 	m       *member
 	version uint64
-	newest  uint32 // the newest second told
+	newest  uint32 // the newest second with a count
 	share   float64
 	seconds [ring]second // by window modulo ring
 	tens    []ten
 }
 
-// second has 32 bits for each count: 4 billion requests or 71 minutes of box time in one second of one member.
+// second has 32 bits for each count: 4 billion requests, or 71 minutes of backend time, in one second of one member.
 type second struct{ window, asked, let, work uint32 }
 
 type ten struct {
@@ -111,7 +114,7 @@
 	return &Use{cfg: cfg, book: newBook(), tenants: map[string]*tenant{}, members: map[Member]*member{}, names: map[string]string{"": ""}}
 }
 
-// SetLimit says what a tenant may use, and its plan. A tenant without a limit is counted all the same.
+// SetLimit sets a tenant's limit and plan. A tenant without a limit is counted all the same.
 func (u *Use) SetLimit(now Now, name string, l Limit) {
 	t := u.tenant(now, name)
 	if t == nil {
@@ -124,7 +127,7 @@
 	}
 }
 
-// Plan is the tenant's plan by the latest load of a file that any member has told.
+// Plan returns the tenant's plan from the latest settings load that any member reported, and the number of that load.
 func (u *Use) Plan(name string) (plan string, loaded uint64) {
 	if t := u.tenants[name]; t != nil {
 		return t.plan, t.loaded
@@ -132,11 +135,12 @@
 	return "", 0
 }
 
-// Admit counts a request and takes it from what this instance may let in. When it may not, retryIn is when there is room for one.
+// Admit counts a request and takes it from this instance's allowance. If it is rejected, retryIn is the time until there is
+// room for one.
 func (u *Use) Admit(now Now, name, class string) (ok bool, retryIn time.Duration) {
 	t := u.tenant(now, name)
 	if t == nil {
-		return true, 0 // the table is full: who is not counted is not limited
+		return true, 0 // the table is full: a tenant that is not counted is not limited
 	}
 	u.reckon(now, t)
 	let := uint64(0)
@@ -147,14 +151,14 @@
 	return ok, retryIn
 }
 
-// Ask counts requests of a caller that has a bucket of its own.
+// Ask counts requests of a caller with a bucket of its own.
 func (u *Use) Ask(now Now, name, class string, asked, let uint64) {
 	if t := u.tenant(now, name); t != nil {
 		u.count(now, t, class, asked, let, 0)
 	}
 }
 
-// Spend counts what a request has cost, in seconds of box time.
+// Spend counts the cost of a request, in seconds of backend time.
 func (u *Use) Spend(now Now, name, class string, work float64) {
 	if t := u.tenant(now, name); t != nil {
 		t.bucket.Spend(work)
@@ -162,7 +166,7 @@
 	}
 }
 
-// tenant finds or makes one; nil when there is no room.
+// tenant finds or adds a tenant. It returns nil when there is no room.
 func (u *Use) tenant(now Now, name string) *tenant {
 	t := u.tenants[name]
 	if t == nil {
@@ -190,7 +194,7 @@
 	c.version = u.version
 	w := uint32(now.Wall / Window)
 	if u.cfg.Form >= 3 {
-		// A window that has left the ring is not begun again when the clock goes back: its count would fall.
+		// A window that has left the ring is not started again when the clock goes back: its count would fall.
 		if s := &c.seconds[w%ring]; s.window <= w {
 			if s.window < w {
 				*s = second{window: w}
@@ -222,7 +226,7 @@
 
 func plus(a uint32, b uint64) uint32 { return uint32(min(uint64(a)+b, 1<<32-1)) }
 
-// cell finds or makes a member's; nil when there is no room.
+// cell finds or adds a member's cell. It returns nil when there is no room.
 func (u *Use) cell(t *tenant, who Member) *cell {
 	m := u.members[who]
 	if m != nil {
@@ -257,7 +261,7 @@
 	return nil
 }
 
-// ten finds or makes a class's window of ten seconds; nil when there is no room.
+// ten finds or adds a class's window of ten seconds. It returns nil when there is no room.
 func (u *Use) ten(c *cell, window uint32, class string) *ten {
 	if k := c.at(window, class); k != nil {
 		return k
@@ -276,11 +280,11 @@
 	return &c.tens[len(c.tens)-1]
 }
 
-// name holds a class's name once, however many messages bring it.
+// name stores a class name once, however many messages contain it.
 func (u *Use) name(class string) string {
 	n, ok := u.names[class]
 	if !ok {
-		if len(u.names) > 4096 { // of a site's file there are some dozens
+		if len(u.names) > 4096 { // a site's settings have some dozens
 			clear(u.names)
 		}
 		n = strings.Clone(class)
@@ -289,7 +293,7 @@
 	return n
 }
 
-// Tick lets go of what is over. Once a second or so is enough.
+// Tick drops what has expired. One call a second or so is enough.
 func (u *Use) Tick(now Now) {
 	w := uint32(now.Wall / Window)
 	for name, t := range u.tenants {
@@ -313,8 +317,9 @@
 	}
 }
 
-// Total is what is known of a tenant's use in the last ten seconds: by the second; for one class, and for members of older releases,
-// by windows of ten seconds, the last one by the part of it that is not over.
+// Total returns what is known of a tenant's use in the last ten seconds, by the second. Counts by class, and counts of members
+// of older releases, are in windows of ten seconds: of the previous window, the part that is still within the last ten seconds
+// counts.
 func (u *Use) Total(now Now, name, class string) Count {
 	t := u.tenants[name]
 	if t == nil {
@@ -346,7 +351,7 @@
 		}
 	}
 	tens := uint32(now.Wall / ClassWindow)
-	if seconds { // what was told of the seconds may not be all
+	if seconds { // the seconds that were received may be incomplete
 		if k := c.at(tens, class); k != nil && uint64(k.requests) > n.Requests {
 			n.Requests, n.Work = uint64(k.requests), max(n.Work, float64(k.work)/1e6)
 			n.Asked = max(n.Asked, n.Requests)
@@ -368,14 +373,14 @@
 	return n
 }
 
-// Each visits all tenants, in no order, with their use in the last ten seconds.
+// Each visits all tenants, in no particular order, with their use in the last ten seconds.
 func (u *Use) Each(now Now, visit func(name string, total Count)) {
 	for name := range u.tenants {
 		visit(name, u.Total(now, name, ""))
 	}
 }
 
-// Stats are for metrics.
+// Stats returns the counters for metrics.
 func (u *Use) Stats() UseStats {
 	s := u.stats
 	s.Tenants, s.Cells, s.Classes = len(u.tenants), u.cells, u.classes
--- a/share/use_test.go
+++ b/share/use_test.go
@@ -11,8 +11,8 @@
 	"glencart/schema"
 )
 
-// Members count, tell each other at random forms, and messages are lost, late, doubled and out of order. Nobody ever sees a count
-// fall or more than was counted; once all have told all, all know exactly what was.
+// Guards against lost or doubled counts. Members exchange records in random forms, and messages are lost, late, doubled and out
+// of order. No member may ever see a count fall, or more than was counted; after a full exchange all must have the exact count.
 func TestUseIsNeitherLostNorDoubled(t *testing.T) {
 	book := newBook()
 	rapid.Check(t, func(t *rapid.T) {
@@ -36,7 +36,7 @@
 			case 2:
 				flight = u.All(now, flight)
 			case 3:
-				if len(flight) > 0 { // stays in flight: it may come again
+				if len(flight) > 0 { // stays in flight: it may arrive again
 					r := flight[rapid.IntRange(0, len(flight)-1).Draw(t, "message")]
 					if form := uint16(rapid.IntRange(1, 3).Draw(t, "form")); form < 3 {
 						r, _ = book.To(r, form)
@@ -45,13 +45,13 @@
 						t.Fatal(err)
 					}
 				}
-			case 4: // all within ten seconds: nothing is over
+			case 4: // all steps lie within ten seconds: no window expires
 				now = at(min(now.Wall-day+time.Second, 9*time.Second))
 			}
 			for i, u := range members {
 				n := u.Total(now, "shop", "")
 				if n.Requests < seen[i] || n.Asked > asked || n.Requests > let {
-					t.Fatalf("%d: %+v after %d of %d asked and %d let in", i, n, seen[i], asked, let)
+					t.Fatalf("%d: %+v after %d of %d asked and %d admitted", i, n, seen[i], asked, let)
 				}
 				seen[i] = n.Requests
 			}
@@ -65,7 +65,7 @@
 		}
 		for i, u := range members {
 			if n := u.classTotal("shop"); n != let {
-				t.Fatalf("%d knows of %d in windows of ten seconds, %d were let in", i, n, let)
+				t.Fatalf("member %d counts %d in windows of ten seconds, %d were admitted", i, n, let)
 			}
 		}
 	})
@@ -84,7 +84,8 @@
 	return n
 }
 
-// A member of a window that is over is gone, and so is a tenant that nobody asks for; one with a limit stays.
+// Guards against unbounded growth. The caps must hold, and expired members and unused tenants must be removed; a tenant with a
+// limit stays.
 func TestUseIsBounded(t *testing.T) {
 	u := NewUse(UseConfig{Self: Member{"a", 1}, Tenants: 3, Cells: 4, Classes: 2})
 	u.SetLimit(at(0), "limited", Limit{Requests: 5})
@@ -103,11 +104,11 @@
 	}
 	u.Tick(at(2 * Idle))
 	if s := u.Stats(); s.Tenants != 1 || s.Cells != 0 || s.Classes != 0 || len(u.members) != 0 {
-		t.Errorf("when all is over: %+v, %d members", s, len(u.members))
+		t.Errorf("after everything expired: %+v, %d members", s, len(u.members))
 	}
 }
 
-// Counts of windows that no clock within Skew could be in are left out, those of clocks that are off by Skew are not.
+// Counts in windows that no clock within Skew could be in must be dropped; counts from clocks that are off by Skew must not.
 func TestUseOfOtherClocks(t *testing.T) {
 	now := at(time.Hour)
 	for off, want := range map[time.Duration]uint64{-Skew: 1, Skew: 1, time.Minute: 0, -time.Minute: 0} {
@@ -123,7 +124,7 @@
 	}
 }
 
-// The plan of the latest load holds at all, whoever read it, and in whatever order they hear of it.
+// The plan of the latest load must apply at all members, whichever member read it and in whatever order the records arrive.
 func TestPlanOfTheLatestLoad(t *testing.T) {
 	a, b := NewUse(UseConfig{Self: Member{"a", 1}}), NewUse(UseConfig{Self: Member{"b", 1}})
 	a.SetLimit(at(0), "shop", Limit{Plan: "gold", Loaded: 2})
@@ -144,7 +145,8 @@
 	}
 }
 
-// An allowance is the limit where there is one instance, a part where there are several, and the fair part where none is heard.
+// An allowance must be the whole limit for a single instance, a part of it for several, and the fair part if no other member is
+// fresh.
 func TestAllowance(t *testing.T) {
 	u := NewUse(UseConfig{Self: Member{"a", 1}})
 	u.SetLimit(at(0), "shop", Limit{Requests: 90, Work: 9})
@@ -154,18 +156,18 @@
 	}
 	u.View(at(0), View{N: 3, Members: []Seen{{Member: Member{"b", 1}, Age: AgeLimit}}})
 	if a := u.Allowance(at(0), "shop"); math.Abs(a.Rate-30) > 1e-9 || a.Heard != 1 || a.Of != 3 {
-		t.Errorf("of three, one known, none heard: %+v", a)
+		t.Errorf("three members, one known, none fresh: %+v", a)
 	}
 	if a := u.Allowance(at(0), "who?"); a.Limited {
 		t.Errorf("no limit: %+v", a)
 	}
 	u.SetLimit(at(0), "free", Limit{})
 	if ok, _ := u.Admit(at(0), "free", ""); !ok {
-		t.Error("a tenant without a limit is refused")
+		t.Error("a tenant without a limit is rejected")
 	}
 }
 
-// A part falls from what it was to the fair one: never to nothing, never to all, as the words of the others age.
+// As the beats of the others age, a part must move from its last value to the fair part, and never to nothing or to all.
 func TestAllowanceFallsWhenOthersAreSilent(t *testing.T) {
 	u, b := NewUse(UseConfig{Self: Member{"a", 1}}), NewUse(UseConfig{Self: Member{"b", 1}})
 	u.SetLimit(at(0), "shop", Limit{Requests: 100})
@@ -184,7 +186,8 @@
 		u.View(now, View{N: 2, Members: []Seen{{Member: Member{"b", 1}, Age: now.Own - said}}})
 		parts = append(parts, fmt.Sprintf("%.2f", u.Allowance(now, "shop").Part))
 	}
-	// Four seconds until the other is heard, its words until they are two seconds old, then less and less of what it had is left to it.
+	// The other member counts after four seconds, and until its last beat is two seconds old. Then less and less of what it had
+	// is left to it.
 	want := "[0.50 0.50 0.50 0.50 0.12 0.12 0.12 0.12 0.12 0.12 0.12 0.12 0.41 0.50 0.50 0.50 0.50 0.50]"
 	if got := fmt.Sprint(parts); got != want {
 		t.Errorf("parts by second:\n%s, want\n%s", got, want)
@@ -195,8 +198,8 @@
 	}
 }
 
-// A bucket lets in its rate over time and its burst after a rest, makes up for work that was more than was left, and tells when to
-// come again.
+// A bucket must admit its rate over time and its burst after an idle time, make up for work beyond what was left, and return
+// when to retry.
 func TestBucket(t *testing.T) {
 	a := Allowance{Limited: true, Rate: 10, Burst: 10, Work: 1}
 	var b Bucket
@@ -205,22 +208,22 @@
 		if ok, in := b.Take(time.Duration(ms)*time.Millisecond, a); ok {
 			let++
 		} else if in <= 0 || in > 100*time.Millisecond {
-			t.Fatalf("come again in %v", in)
+			t.Fatalf("retry in %v", in)
 		}
 	}
 	if let != 10+49 {
-		t.Errorf("%d let in in 5 s", let)
+		t.Errorf("%d admitted in 5 s", let)
 	}
 	b.Spend(3)
 	if ok, in := b.Take(6*time.Second, a); ok || in < time.Second || in > 2*time.Second {
 		t.Errorf("a second after 3 s of work of 1 s a second: %v, %v", ok, in)
 	}
 	if ok, _ := b.Take(9*time.Second, a); !ok {
-		t.Error("not made up for")
+		t.Error("no request admitted after the work was made up for")
 	}
 }
 
-// An age counts from when a beat came here, whichever way; only a higher beat is a word.
+// An age must count from the arrival of a beat, direct or passed on. Only a higher beat may reset it.
 func TestAges(t *testing.T) {
 	a, b, c := NewAges(Member{"a", 1}), NewAges(Member{"b", 1}), NewAges(Member{"c", 1})
 	beat := b.Beat(Now{Wall: day + 5*time.Second})
@@ -235,14 +238,14 @@
 		t.Errorf("passed on: %v", age)
 	}
 	if r, _ := a.Changed(upTo); len(r.Fields) != 0 {
-		t.Errorf("nothing new: %v", r)
+		t.Errorf("sent again although nothing is new: %v", r)
 	}
 	if age := c.Age(at(0), Member{"b", 2}); age != AgeLimit {
-		t.Errorf("another process of the name: %v", age)
+		t.Errorf("another process of the same name: %v", age)
 	}
 }
 
-// Parts of a record are right by themselves.
+// Each part of a split record must be valid by itself.
 func TestSplit(t *testing.T) {
 	u := NewUse(UseConfig{Self: Member{"a", 1}})
 	for i := range 8 {
@@ -264,6 +267,6 @@
 		}
 	}
 	if !schema.Equal(sum, whole) {
-		t.Errorf("parts come to %v, want %v", sum, whole)
+		t.Errorf("merged parts: %v, want %v", sum, whole)
 	}
 }
--- a/share/userec.go
+++ b/share/userec.go
@@ -1,4 +1,4 @@
-// Use as records: what is told to others and taken in from them.
+// Records of use, as sent to and received from other members.
 package share
 
 import (
@@ -9,12 +9,12 @@
 	"glencart/schema"
 )
 
-// told is how many seconds of a count are told: the one that is under way, and two that are over. Each is told in every round of
-// these, so that a few lost messages cost nothing; settle relies on it.
+// told is how many seconds of a count are sent: the current one and two that are over. Each is sent in every round of that
+// time, so that a few lost messages have no effect; settle relies on it.
 const told = 3
 
-// Own are this instance's counts that others may not know yet, and the plans that it has read in its file. Each record is partial:
-// merging it into what is known is right, putting it in its place is not.
+// Own appends this instance's counts that other members may not know yet, and the plans that it has read from its settings.
+// Each record is partial: it may be merged into what is known, but must not replace it.
 func (u *Use) Own(now Now, out []schema.Record) []schema.Record {
 	from := len(out)
 	for name, t := range u.tenants {
@@ -25,14 +25,14 @@
 	return byKey(out, from)
 }
 
-// byKey sorts what was appended: a map has no order, and the same events give the same messages.
+// byKey sorts what was appended: a map has no order, and the same events must give the same messages.
 func byKey(out []schema.Record, from int) []schema.Record {
 	slices.SortFunc(out[from:], func(a, b schema.Record) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
-// Changed are the counts of all members, and plans, that came to be known after a version, and the version now. A version is this
-// table's own and means nothing to others.
+// Changed appends the counts of all members, and the plans, that became known after a version. It also returns the current
+// version. A version is valid for this table only.
 func (u *Use) Changed(now Now, since uint64, out []schema.Record) ([]schema.Record, uint64) {
 	from := len(out)
 	for name, t := range u.tenants {
@@ -43,7 +43,7 @@
 	return byKey(out, from), u.version
 }
 
-// All are all counts that are held, for one who has just come, or a snapshot.
+// All appends all counts in the table, for a new member or a snapshot.
 func (u *Use) All(now Now, out []schema.Record) []schema.Record {
 	out, _ = u.Changed(now, 0, out)
 	return out
@@ -68,8 +68,8 @@
 	return r, len(r.Fields) > 0
 }
 
-// fields are the counts of a cell that may still matter to somebody: clocks may be Skew apart, so it is judged by the newest that
-// the member itself has told.
+// fields appends the counts of a cell that may still matter to another member. Clocks may be Skew apart, so the newest window
+// that the member itself reported is the reference.
 func (c *cell) fields(now Now, out []schema.Field) []schema.Field {
 	newest := uint64(c.newest)
 	if w := uint64(now.Wall / Window); newest+uint64(behind) < w {
@@ -121,8 +121,8 @@
 	return 0
 }
 
-// Merge takes in what others have told, whole or in part, in any order and any number of times. A count that is over, or too far
-// ahead, is left out, and what is not what its form says is left out and counted. An error is of the record as a whole.
+// Merge merges a received record, whole or in part, in any order and any number of times. A count that is over, or too far
+// ahead, is left out. A field that doesn't match its form is left out and counted. An error is about the record as a whole.
 func (u *Use) Merge(now Now, r schema.Record) error {
 	if r.Kind != schema.Use || r.Key == beatKey {
 		return fmt.Errorf("share: use: %s %q: not a tenant's use", r.Kind, r.Key)
@@ -153,7 +153,7 @@
 	return u.keepStrange(t, r.Key, strange)
 }
 
-// knows tells whether a release at Form reads a field.
+// knows reports whether a release at Form reads a field.
 func (u *Use) knows(f *schema.Field) bool {
 	switch f.Num {
 	case useRequests:
@@ -181,7 +181,7 @@
 	w := uint64(now.Wall / Window)
 	first, last := window, window
 	if f.Num == useRequests || f.Num == useWork {
-		if window > w { // and so that it does not overflow
+		if window > w { // this also avoids an overflow below
 			u.stats.OutOfTime++
 			return
 		}
@@ -253,7 +253,7 @@
 	return false
 }
 
-// keepStrange holds what a later release has written, to be passed on. It goes with the tenant.
+// keepStrange stores fields that a later release wrote, to pass them on. They are dropped with the tenant.
 func (u *Use) keepStrange(t *tenant, key string, fields []schema.Field) error {
 	if len(fields) == 0 {
 		return nil
@@ -267,13 +267,14 @@
 	}
 	if len(r.Fields) > u.cfg.Strange {
 		u.stats.Strange++
-		r.Fields = r.Fields[len(r.Fields)-u.cfg.Strange:] // windows rise with their Subs: the newest of the highest number
+		r.Fields = r.Fields[len(r.Fields)-u.cfg.Strange:] // windows rise with their Subs: this keeps the newest of the highest number
 	}
 	t.strange = &r
 	return nil
 }
 
-// Split cuts a record into ones of about so many bytes, for messages that hold no more. Each is right by itself when it is merged.
+// Split splits a record into ones of at most about the given number of bytes, for messages of limited size. Each can be merged
+// by itself.
 func Split(out []schema.Record, r schema.Record, bytes int) []schema.Record {
 	from, size := 0, 0
 	for i, f := range r.Fields {
