--- a/share/forms.go
+++ b/share/forms.go
@@ -41,8 +41,8 @@
 		{Kind: schema.Use, Number: 2, Name: "by tenant and class, with work", Tells: useTells, Fields: []schema.FieldDef{
 			{Num: useRequests, Name: "requests", Join: schema.Max}, {Num: useWork, Name: "work", Join: schema.Max},
 			{Num: useBeat, Name: "beat", Join: schema.Max}},
-			Up:   schema.Step{Do: useOneTwo, What: "requests are those of all classes together"},
-			Down: schema.Step{Do: useTwoOne, What: "classes and work are kept, unread"}},
+			Up:   schema.Step{Do: useOneTwo, What: "the requests of form 1 are those of all classes together"},
+			Down: schema.Step{Do: useTwoOne, What: "classes and work are stored, but not read"}},
 		{Kind: schema.Use, Number: 3, Name: "sliding windows, with plan", Tells: useTells, Fields: []schema.FieldDef{
 			{Num: usePlan, Name: "plan", Join: schema.Keep},
 			{Num: useRequests, Name: "requests", Join: schema.Max}, {Num: useWork, Name: "work", Join: schema.Max},
@@ -52,22 +52,22 @@
 			// An older release would keep each second's count for as long as the tenant exists: it can't see that the second is
 			// over.
 			Down: schema.Step{Do: useThreeTwo, What: "seconds and plan are left out",
-				Loss: schema.Named("ten seconds' counts stand for those of their seconds; no plan", usePlan, useAsked, useLet, useLetWork)}},
+				Loss: schema.Named("counts of ten seconds replace those of single seconds; no plan", usePlan, useAsked, useLet, useLetWork)}},
 
 		{Kind: schema.Session, Number: 1, Name: "key and box", Tells: sessTells, Fields: []schema.FieldDef{
 			{Num: sessBox, Name: "box", Join: schema.Keep}}},
 		{Kind: schema.Session, Number: 2, Name: "with group and end", Tells: sessTells, Fields: []schema.FieldDef{
 			{Num: sessStamp, Name: "said at", Join: schema.Register}, {Num: sessHeld, Name: "box", Join: schema.Register},
 			{Num: sessGroup, Name: "group", Join: schema.Register}, {Num: sessEnd, Name: "end", Join: schema.Register}},
-			Up: schema.Step{Do: sessOneTwo, What: "no group; it ends as it did before, some time after it was said"},
-			Down: schema.Step{Do: sessTwoOne, What: "group and end are left out: apart from their box they would be joined with another's",
-				Loss: schema.Named("no group; ends a quarter of an hour after it was said", sessGroup, sessEnd)}},
+			Up: schema.Step{Do: sessOneTwo, What: "no group; the session ends some time after it was written, as in form 1"},
+			Down: schema.Step{Do: sessTwoOne, What: "group and end are left out: without their box they would be merged with those of another box",
+				Loss: schema.Named("no group; ends a quarter of an hour after it was written", sessGroup, sessEnd)}},
 		{Kind: schema.Session, Number: 3, Name: "with the last unsafe calls", Tells: sessTells, Fields: []schema.FieldDef{
 			{Num: sessCall, Name: "call", Join: schema.Keep},
 			{Num: sessStamp, Name: "said at", Join: schema.Register}, {Num: sessHeld, Name: "box", Join: schema.Register},
 			{Num: sessGroup, Name: "group", Join: schema.Register}, {Num: sessEnd, Name: "end", Join: schema.Register}},
 			Up:   schema.Step{What: "no call is known"},
-			Down: schema.Step{What: "calls are kept, unread: a mark outlives a release that does not know it"}},
+			Down: schema.Step{What: "calls are stored, but not read: a mark outlives a release that does not know it"}},
 	}
 }
 
