--- a/share/ages.go
+++ b/share/ages.go
@@ -22,17 +22,17 @@
 // An age is counted from the arrival of a beat here, on the own clock. So it is too low by the beat's time in transit, and a
 // beat that other members passed on counts like one that came directly.
 type Ages struct {
-	self  Member
-	beats map[Member]*beat
-	own   uint64
-	said  uint64 // version
+	self        Member
+	beats       map[Member]*beat
+	ownBeat     uint64
+	lastVersion uint64 // version
 }
 
 type beat struct {
-	n       uint64
-	at      time.Duration // own
-	off     time.Duration
-	version uint64
+	number      uint64
+	arrivedAt   time.Duration // own
+	clockOffset time.Duration
+	version     uint64
 }
 
 // NewAges returns an Ages without any beats.
@@ -41,12 +41,12 @@
 // Beat returns a new beat of this member, to be sent with its counts, in the same message or after them.
 func (a *Ages) Beat(now Now) schema.Record {
 	for m, b := range a.beats {
-		if now.Own-b.at > AgeLimit {
+		if now.Own-b.arrivedAt > AgeLimit {
 			delete(a.beats, m)
 		}
 	}
-	a.own = max(a.own+1, uint64(now.Wall.Milliseconds()))
-	return schema.Record{Kind: schema.Use, Schema: NewestUse, Key: beatKey, Fields: []schema.Field{beatField(a.self, a.own)}}
+	a.ownBeat = max(a.ownBeat+1, uint64(now.Wall.Milliseconds()))
+	return schema.Record{Kind: schema.Use, Schema: NewestUse, Key: beatKey, Fields: []schema.Field{beatField(a.self, a.ownBeat)}}
 }
 
 func beatField(m Member, n uint64) schema.Field {
@@ -62,11 +62,11 @@
 	r := schema.Record{Kind: schema.Use, Schema: NewestUse, Key: beatKey}
 	for m, b := range a.beats {
 		if b.version > since {
-			r.Fields = append(r.Fields, beatField(m, b.n))
+			r.Fields = append(r.Fields, beatField(m, b.number))
 		}
 	}
 	slices.SortFunc(r.Fields, compareFields)
-	return r, a.said
+	return r, a.lastVersion
 }
 
 // Merge merges received beats.
@@ -87,19 +87,19 @@
 			b = &beat{}
 			a.beats[m] = b
 		}
-		if f.Int <= b.n {
+		if f.Int <= b.number {
 			continue
 		}
 		// The beat with the shortest transit time gives the best clock offset; a delayed one only makes the clock seem to be
 		// behind.
 		off := time.Duration(f.Int)*time.Millisecond - now.Wall
-		if b.n == 0 || off > b.off {
-			b.off = off
+		if b.number == 0 || off > b.clockOffset {
+			b.clockOffset = off
 		} else {
-			b.off -= (b.off - off) / 16
+			b.clockOffset -= (b.clockOffset - off) / 16
 		}
-		a.said++
-		b.n, b.at, b.version = f.Int, now.Own, a.said
+		a.lastVersion++
+		b.number, b.arrivedAt, b.version = f.Int, now.Own, a.lastVersion
 	}
 	return nil
 }
@@ -107,7 +107,7 @@
 // Age returns the age of a member's last beat, or AgeLimit if there is none.
 func (a *Ages) Age(now Now, m Member) time.Duration {
 	if b := a.beats[m]; b != nil {
-		return min(now.Own-b.at, AgeLimit)
+		return min(now.Own-b.arrivedAt, AgeLimit)
 	}
 	return AgeLimit
 }
@@ -116,7 +116,7 @@
 // makes it too low.
 func (a *Ages) Off(m Member) time.Duration {
 	if b := a.beats[m]; b != nil {
-		return b.off
+		return b.clockOffset
 	}
 	return 0
 }
--- a/share/allowance.go
+++ b/share/allowance.go
@@ -18,32 +18,32 @@
 	Fresh = 2 * Window
 	// Silent is the age of a member's beat from which no more than its fair part is left to it.
 	Silent = 5 * Window
-	// catchUp is how long a member's beats must be fresh before its numbers count: until all summed windows lie within that
+	// catchUpWindow is how long a member's beats must be fresh before its numbers count: until all summed windows lie within that
 	// time. Sides of a partition that meet again, and new members, have their fair parts until then.
-	catchUp = (settle + smooth) * Window
-	// smooth is the number of windows that demand is summed over. With one, an instance with some requests a second would get
+	catchUpWindow = (settleWindows + demandWindows) * Window
+	// demandWindows is the number of windows that demand is summed over. With one, an instance with some requests a second would get
 	// between half and twice its part at random. With many, allowances would follow the clients late.
-	smooth = 2
-	// settle is how many windows back the last summed window lies: the one before the current one is still being sent.
-	settle = 2
-	// spread is the minimum share of the limit that is divided equally, so that clients that move to another instance are not
+	demandWindows = 2
+	// settleWindows is how many windows back the last summed window lies: the one before the current one is still being sent.
+	settleWindows = 2
+	// minEqualShare is the minimum share of the limit that is divided equally, so that clients that move to another instance are not
 	// rejected until all members know of them. Of the capacity without demand, half is also divided equally; the other half
 	// goes to the instances with clients.
-	spread = 0.05
-	// burst is the time for which an unused allowance accumulates. leastBurst and leastWork are the minimum capacities: a
+	minEqualShare = 0.05
+	// burstWindow is the time for which an unused allowance accumulates. minBurst and minWork are the minimum capacities: a
 	// second's part may be less than one request.
-	burst      = time.Second
-	leastBurst = 2.0 // requests
-	leastWork  = 0.1 // seconds of backend time
+	burstWindow = time.Second
+	minBurst    = 2.0 // requests
+	minWork     = 0.1 // seconds of backend time
 )
 
 // view is a View with its members looked up.
 type view struct {
 	View
-	n       int
-	number  uint64    // rises when the view changes in a way that affects the parts
-	members []*member // parallel to Members
-	heard   []bool    // parallel to Members: whose numbers count
+	n          int
+	generation uint64    // rises when the view changes in a way that affects the parts
+	members    []*member // parallel to Members
+	counted    []bool    // parallel to Members: whose numbers count
 }
 
 // View sets a new view. Its cost grows with the number of members. Parts are computed again at the next call for a tenant, if
@@ -53,28 +53,28 @@
 	for _, m := range old.members {
 		m.view = -1
 	}
-	u.view = view{View: v, number: old.number, n: max(v.N, len(v.Members)+1), members: old.members[:0], heard: old.heard[:0]}
-	same := old.n == u.view.n && old.CutOff == v.CutOff && len(old.Members) == len(v.Members)
+	u.view = view{View: v, generation: old.generation, n: max(v.N, len(v.Members)+1), members: old.members[:0], counted: old.counted[:0]}
+	unchanged := old.n == u.view.n && old.CutOff == v.CutOff && len(old.Members) == len(v.Members)
 	for i, s := range v.Members {
 		m := u.members[s.Member]
 		if m == nil {
-			u.ids++
-			m = &member{Member: s.Member, id: u.ids}
+			u.lastID++
+			m = &member{Member: s.Member, id: u.lastID}
 			u.members[s.Member] = m
 		}
 		m.view = int32(i)
 		if s.Age > Fresh || v.CutOff {
-			m.hears = false
-		} else if !m.hears {
-			m.hears, m.since = true, now.Own
+			m.isFresh = false
+		} else if !m.isFresh {
+			m.isFresh, m.freshSince = true, now.Own
 		}
-		heard := m.hears && now.Own-m.since >= catchUp
-		same = same && old.Members[i].Member == s.Member && heard == old.heard[i] && windowsOff(old.Members[i].Off) == windowsOff(s.Off)
+		counts := m.isFresh && now.Own-m.freshSince >= catchUpWindow
+		unchanged = unchanged && old.Members[i].Member == s.Member && counts == old.counted[i] && windowsOff(old.Members[i].Off) == windowsOff(s.Off)
 		u.view.members = append(u.view.members, m)
-		u.view.heard = append(u.view.heard, heard)
+		u.view.counted = append(u.view.counted, counts)
 	}
-	if !same {
-		u.view.number++
+	if !unchanged {
+		u.view.generation++
 	}
 	for who, m := range u.members {
 		if m.view < 0 && m.cells == 0 {
@@ -89,74 +89,74 @@
 	if t == nil {
 		return Allowance{Until: now.Own + Window}
 	}
-	u.reckon(now, t)
-	return t.allow
+	u.updateAllowance(now, t)
+	return t.allowance
 }
 
-func (u *Use) reckon(now Now, t *tenant) {
+func (u *Use) updateAllowance(now Now, t *tenant) {
 	w := int64(now.Wall / Window)
-	if t.window == w && t.view == u.view.number && now.Own < t.allow.Until {
+	if t.allowanceWindow == w && t.allowanceView == u.view.generation && now.Own < t.allowance.Until {
 		return
 	}
-	t.window, t.view = w, u.view.number
+	t.allowanceWindow, t.allowanceView = w, u.view.generation
 	a := Allowance{Limited: t.limit.Requests > 0 || t.limit.Work > 0, Until: now.Own + Window - now.Wall%Window}
-	a.Part, a.Heard, a.Of = u.part(t, w)
+	a.Part, a.Heard, a.Of = u.ownPart(t, w)
 	a.Rate, a.Work = t.limit.Requests*a.Part, t.limit.Work*a.Part
-	a.Burst = max(leastBurst, a.Rate*burst.Seconds())
+	a.Burst = max(minBurst, a.Rate*burstWindow.Seconds())
 	if t.limit.Requests == 0 {
 		a.Rate, a.Burst = math.Inf(1), math.Inf(1)
 	}
 	a.WorkFree = t.limit.Work == 0
-	t.allow = a
+	t.allowance = a
 }
 
-// part returns this instance's part of a tenant's limit in a window.
-func (u *Use) part(t *tenant, w int64) (part float64, heard, of int) {
+// ownPart returns this instance's part of a tenant's limit in a window.
+func (u *Use) ownPart(t *tenant, w int64) (part float64, fresh, of int) {
 	n := max(u.view.n, 1)
 	fair := 1 / float64(n)
 	if n == 1 {
 		return 1, 1, 1
 	}
-	var own, all, silent float64
+	var own, all, reserved float64
 	if t.own != nil {
 		own = t.own.demand(w, 0)
 	}
-	all, heard = own, 1
-	for _, h := range u.view.heard {
+	all, fresh = own, 1
+	for _, h := range u.view.counted {
 		if h {
-			heard++
+			fresh++
 		}
 	}
 	for _, c := range t.cells {
-		if c.m.view < 0 || c == t.own {
+		if c.owner.view < 0 || c == t.own {
 			continue
 		}
-		s := &u.view.Members[c.m.view]
+		s := &u.view.Members[c.owner.view]
 		switch {
-		case u.view.heard[c.m.view]:
+		case u.view.counted[c.owner.view]:
 			all += c.demand(w, windowsOff(s.Off))
 		case s.Age > Fresh: // what it had decreases to nothing by Silent; its fair part is left to it all the same
-			silent += c.share * min(1, max(0, float64(Silent-s.Age)/float64(Silent-Fresh)))
+			reserved += c.lastPart * min(1, max(0, float64(Silent-s.Age)/float64(Silent-Fresh)))
 		}
 	}
-	left := 1 - max(silent, fair*float64(n-heard))
-	left = max(left, fair*spread) // shares computed at different times may add up to more than 1
-	alike := spread
+	available := 1 - max(reserved, fair*float64(n-fresh))
+	available = max(available, fair*minEqualShare) // shares computed at different times may add up to more than 1
+	equalShare := minEqualShare
 	if t.limit.Requests > 0 {
-		alike = max(spread, (1-all/(t.limit.Requests*left*smooth*Window.Seconds()))/2)
+		equalShare = max(minEqualShare, (1-all/(t.limit.Requests*available*demandWindows*Window.Seconds()))/2)
 	}
 	partOf := func(asked float64) float64 {
 		if all == 0 {
-			return left / float64(heard)
+			return available / float64(fresh)
 		}
-		return left * ((1-alike)*asked/all + alike/float64(heard))
+		return available * ((1-equalShare)*asked/all + equalShare/float64(fresh))
 	}
 	for _, c := range t.cells {
-		if c.m.view >= 0 && c != t.own && u.view.heard[c.m.view] {
-			c.share = partOf(c.demand(w, windowsOff(u.view.Members[c.m.view].Off)))
+		if c.owner.view >= 0 && c != t.own && u.view.counted[c.owner.view] {
+			c.lastPart = partOf(c.demand(w, windowsOff(u.view.Members[c.owner.view].Off)))
 		}
 	}
-	return partOf(own), heard, n
+	return partOf(own), fresh, n
 }
 
 // windowsOff returns by how many windows a member's clock is off. It is 0 while delays could be the cause.
@@ -170,25 +170,25 @@
 // demand returns the requests at a member, summed over windows that all members know by now.
 func (c *cell) demand(w, off int64) float64 {
 	var sum uint64
-	told := false
+	hasSeconds := false
 	for i := range c.seconds {
 		s := &c.seconds[i]
 		if s.window == 0 {
 			continue
 		}
-		told = true
-		if last := w + off - settle; int64(s.window) <= last && int64(s.window) > last-smooth {
+		hasSeconds = true
+		if last := w + off - settleWindows; int64(s.window) <= last && int64(s.window) > last-demandWindows {
 			sum += uint64(s.asked)
 		}
 	}
-	if told {
+	if hasSeconds {
 		return float64(sum)
 	}
 	// A release that counts only by ten seconds: its last whole window.
-	last := (w+off-settle+1)/10 - 1
+	last := (w+off-settleWindows+1)/10 - 1
 	for i := range c.tens {
 		if k := &c.tens[i]; k.class == "" && int64(k.window) == last {
-			return float64(k.requests) * smooth / 10
+			return float64(k.requests) * demandWindows / 10
 		}
 	}
 	return 0
@@ -197,12 +197,12 @@
 // Take takes one request if there is one left. Otherwise retryIn is the time until there is one, provided that nobody else
 // takes it.
 func (b *Bucket) Take(own time.Duration, a Allowance) (ok bool, retryIn time.Duration) {
-	workBurst := max(leastWork, a.Work*burst.Seconds())
+	workBurst := max(minWork, a.Work*burstWindow.Seconds())
 	switch {
 	case !a.Limited:
 		return true, 0
-	case !b.begun:
-		*b = Bucket{at: own, begun: true, requests: a.Burst, work: workBurst}
+	case !b.started:
+		*b = Bucket{at: own, started: true, requests: a.Burst, work: workBurst}
 	case own > b.at:
 		passed := (own - b.at).Seconds()
 		b.requests += a.Rate * passed
--- a/share/bench_test.go
+++ b/share/bench_test.go
@@ -81,7 +81,7 @@
 }
 
 // Guards against allocations on the ordinary path. This is a test because a benchmark result fails no build.
-func TestKnownAllocatesNothing(t *testing.T) {
+func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	u := NewUse(UseConfig{Self: Member{"a", 1}})
 	u.SetLimit(at(0), "shop", Limit{Requests: 1e9})
 	u.View(at(0), View{N: 3, Members: []Seen{{Member: Member{"b", 1}}}})
--- a/share/bound.go
+++ b/share/bound.go
@@ -11,79 +11,79 @@
 const (
 	// maxHold is the longest time that a session may stay with its backend.
 	maxHold = 7 * 24 * time.Hour
-	// maxStrange is how many bytes of unknown fields, written by later releases, a session may keep.
-	maxStrange = 16 << 10
+	// maxUnknownBytes is how many bytes of unknown fields, written by later releases, a session may keep.
+	maxUnknownBytes = 16 << 10
 )
 
-// endings is a heap of sessions by the time at which they are dropped.
-type endings []*session
+// dropHeap is a heap of sessions by the time at which they are dropped.
+type dropHeap []*session
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].due < e[j].due }
-func (e endings) Swap(i, j int) {
+func (e dropHeap) Len() int           { return len(e) }
+func (e dropHeap) Less(i, j int) bool { return e[i].dropAt < e[j].dropAt }
+func (e dropHeap) Swap(i, j int) {
 	e[i], e[j] = e[j], e[i]
-	e[i].place, e[j].place = i, j
+	e[i].heapIndex, e[j].heapIndex = i, j
 }
-func (e *endings) Push(x any) {
+func (e *dropHeap) Push(x any) {
 	s := x.(*session)
-	s.place = len(*e)
+	s.heapIndex = len(*e)
 	*e = append(*e, s)
 }
-func (e *endings) Pop() any {
+func (e *dropHeap) Pop() any {
 	last := len(*e) - 1
 	s := (*e)[last]
 	(*e)[last] = nil
 	*e = (*e)[:last]
-	s.place = -1
+	s.heapIndex = -1
 	return s
 }
 
-// place moves a session to its position in the heaps after a change of its end or its marks.
-func (t *Sessions) place(s *session) {
+// reposition moves a session to its position in the heaps after a change of its end or its marks.
+func (t *Sessions) reposition(s *session) {
 	marked := uint8(0)
 	for i := range s.calls {
 		if s.calls[i].state() == MayHaveRun {
 			marked = 1
 		}
 	}
-	due := s.forgotten()
+	due := s.dropTime()
 	switch {
-	case s.place < 0:
+	case s.heapIndex < 0:
 	case s.marked != marked:
-		heap.Remove(&t.ends[s.marked], s.place)
-	case s.due != due:
-		s.due = due
-		heap.Fix(&t.ends[marked], s.place)
+		heap.Remove(&t.dropHeaps[s.marked], s.heapIndex)
+	case s.dropAt != due:
+		s.dropAt = due
+		heap.Fix(&t.dropHeaps[marked], s.heapIndex)
 		return
 	default:
 		return
 	}
-	s.due, s.marked = due, marked
-	heap.Push(&t.ends[marked], s)
+	s.dropAt, s.marked = due, marked
+	heap.Push(&t.dropHeaps[marked], s)
 }
 
-// forgotten returns when a session is dropped. By then the clocks of all members have passed its end, and late repeats have had
+// dropTime returns when a session is dropped. By then the clocks of all members have passed its end, and late repeats have had
 // their time.
-func (s *session) forgotten() int64 {
+func (s *session) dropTime() int64 {
 	return s.end() + Skew.Milliseconds() + OldFor.Milliseconds()
 }
 
 // Tick drops what has expired. One call a second or so is enough.
 func (t *Sessions) Tick(now Now) {
 	wall := wallMillis(now)
-	for m := range t.ends {
-		for len(t.ends[m]) > 0 && t.ends[m][0].due <= wall {
-			t.drop(t.ends[m][0])
+	for m := range t.dropHeaps {
+		for len(t.dropHeaps[m]) > 0 && t.dropHeaps[m][0].dropAt <= wall {
+			t.drop(t.dropHeaps[m][0])
 		}
 	}
-	for p, until := range t.unsure {
+	for p, until := range t.unsureUntil {
 		if now.Own >= until {
-			delete(t.unsure, p)
+			delete(t.unsureUntil, p)
 		}
 	}
-	for p, at := range t.early {
-		if now.Own-at >= earlyFor {
-			delete(t.early, p)
+	for p, at := range t.earlyParts {
+		if now.Own-at >= earlyPartWindow {
+			delete(t.earlyParts, p)
 		}
 	}
 	for k, p := range t.pending {
@@ -93,24 +93,24 @@
 	}
 }
 
-// pushOut evicts one session to make room for another one, or for bytes. It takes the one that ends first: an expired one, else
+// evict evicts one session to make room for another one, or for bytes. It takes the one that ends first: an expired one, else
 // one without an unexpired mark, else one with such a mark, which is counted. It returns false if except, the session that the
 // room is for, is the only one.
-func (t *Sessions) pushOut(now Now, except *session) bool {
+func (t *Sessions) evict(now Now, except *session) bool {
 	wall := wallMillis(now)
 	if except != nil {
-		heap.Remove(&t.ends[except.marked], except.place)
-		defer func() { heap.Push(&t.ends[except.marked], except) }()
+		heap.Remove(&t.dropHeaps[except.marked], except.heapIndex)
+		defer func() { heap.Push(&t.dropHeaps[except.marked], except) }()
 	}
-	for m := range t.ends {
-		if e := t.ends[m]; len(e) > 0 && e[0].end()+Skew.Milliseconds() <= wall {
+	for m := range t.dropHeaps {
+		if e := t.dropHeaps[m]; len(e) > 0 && e[0].end()+Skew.Milliseconds() <= wall {
 			t.drop(e[0])
 			return true
 		}
 	}
-	for m := range t.ends {
-		if e := t.ends[m]; len(e) > 0 {
-			if n := e[0].marks(wall); n > 0 {
+	for m := range t.dropHeaps {
+		if e := t.dropHeaps[m]; len(e) > 0 {
+			if n := e[0].activeMarks(wall); n > 0 {
 				t.stats.ForgottenEarly += uint64(n)
 			} else {
 				t.stats.SessionsPushedOut++
@@ -122,8 +122,8 @@
 	return false
 }
 
-// marks counts the calls that may have run and have not expired.
-func (s *session) marks(wall int64) (n int) {
+// activeMarks counts the calls that may have run and have not expired.
+func (s *session) activeMarks(wall int64) (n int) {
 	for i := range s.calls {
 		if c := &s.calls[i]; c.state() == MayHaveRun && c.end+Skew.Milliseconds() > wall {
 			n++
@@ -132,11 +132,11 @@
 	return n
 }
 
-// pushOutCall evicts a call of a session to make room for another: an expired one, else the one that matters least for
+// evictCall evicts a call of a session to make room for another: an expired one, else the one that matters least for
 // decisions. Of equals it takes the one that ends first.
-func (t *Sessions) pushOutCall(now Now, s *session) bool {
+func (t *Sessions) evictCall(now Now, s *session) bool {
 	wall := wallMillis(now)
-	worth := func(c *call) int64 {
+	severity := func(c *call) int64 {
 		switch {
 		case c.end+Skew.Milliseconds() <= wall:
 			return 0
@@ -147,20 +147,20 @@
 		}
 		return 3
 	}
-	least := 0
+	lowest := 0
 	for i := range s.calls {
-		a, b := &s.calls[i], &s.calls[least]
-		if w, v := worth(a), worth(b); w < v || w == v && a.end < b.end {
-			least = i
+		a, b := &s.calls[i], &s.calls[lowest]
+		if w, v := severity(a), severity(b); w < v || w == v && a.end < b.end {
+			lowest = i
 		}
 	}
-	c := &s.calls[least]
-	if worth(c) == 3 {
+	c := &s.calls[lowest]
+	if severity(c) == 3 {
 		t.stats.ForgottenEarly++
 	}
 	t.dropCall(s, c)
-	s.calls = slices.Delete(s.calls, least, least+1)
-	t.changed(now, s)
+	s.calls = slices.Delete(s.calls, lowest, lowest+1)
+	t.refresh(now, s)
 	return true
 }
 
@@ -179,7 +179,7 @@
 		}
 		u.sent = now.Own
 		var to []string
-		for _, o := range t.others(k.key) {
+		for _, o := range t.otherOwners(k.key) {
 			if !slices.Contains(u.acked, o) {
 				to = append(to, o)
 			}
--- a/share/calls_test.go
+++ b/share/calls_test.go
@@ -15,19 +15,19 @@
 // one after the other: crashes, planned restarts with another release, partitions, pauses. It is a discrete-event simulation:
 // the same seed gives the same run.
 type callFleet struct {
-	rng     *rand.Rand
-	now     time.Duration
-	events  callEvents
-	seq     int
-	loss    float64
-	mixed   bool // some restart as a release without marks
-	book    *schema.Book
-	nodes   []*callNode
-	left    int // members that left by plan
-	groups  [2]map[int]string
-	waits   []time.Duration
-	answers map[string]int // the answers that clients got
-	calls   []*clientCall
+	rng      *rand.Rand
+	now      time.Duration
+	events   callEvents
+	seq      int
+	loss     float64
+	mixed    bool // some restart as a release without marks
+	book     *schema.Book
+	nodes    []*callNode
+	departed int // members that left by plan
+	groups   [2]map[int]string
+	waits    []time.Duration
+	answers  map[string]int // the answers that clients got
+	calls    []*clientCall
 }
 
 type callNode struct {
@@ -51,8 +51,8 @@
 	done   bool
 	// Cases without a guarantee: an attempt that was counted as unprotected, a repeat that is not marked as one, a release
 	// without marks.
-	unprotected, unflagged, old bool
-	log                         []string
+	unprotected, unflagged, oldRelease bool
+	log                                []string
 }
 
 type callEvent struct {
@@ -80,8 +80,8 @@
 	heap.Push(&f.events, callEvent{f.now + d, f.seq, do})
 }
 
-func (f *callFleet) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(f.rng.Int64N(int64(most-least)))
+func (f *callFleet) between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(f.rng.Int64N(int64(longest-shortest)))
 }
 
 func (f *callFleet) at(n *callNode) Now {
@@ -158,7 +158,7 @@
 			m = append(m, Member{o.name, o.start})
 		}
 	}
-	for _, t := range n.table.Members(f.at(n), NewRing(m, 2), 2*len(m) <= len(f.nodes)-f.left, nil) {
+	for _, t := range n.table.Members(f.at(n), NewRing(m, 2), 2*len(m) <= len(f.nodes)-f.departed, nil) {
 		f.transfer(n, t, 6)
 	}
 }
@@ -182,11 +182,11 @@
 	})
 }
 
-// changed refreshes all nodes after a delay.
-func (f *callFleet) changed(least, most time.Duration) {
+// refreshAll refreshes all nodes after a delay.
+func (f *callFleet) refreshAll(shortest, longest time.Duration) {
 	for _, n := range f.nodes {
 		if n.alive {
-			f.on(n, f.between(least, most), func() { f.refresh(n) })
+			f.on(n, f.between(shortest, longest), func() { f.refresh(n) })
 		}
 	}
 }
@@ -195,7 +195,7 @@
 func (f *callFleet) tick(n *callNode) {
 	n.table.Tick(f.at(n))
 	for _, m := range n.table.Unacked(f.at(n), nil) {
-		f.tell(n, m)
+		f.sendMark(n, m)
 	}
 	if o := f.nodes[f.rng.IntN(len(f.nodes))]; o != n && o.alive && o.side == n.side && f.now >= o.paused {
 		for _, p := range n.table.Shared(o.name, nil) {
@@ -222,8 +222,8 @@
 	f.on(n, time.Second, func() { f.tick(n) })
 }
 
-// tell sends a mark to its owners, and processes their replies.
-func (f *callFleet) tell(n *callNode, m Marked) {
+// sendMark sends a mark to its owners, and processes their replies.
+func (f *callFleet) sendMark(n *callNode, m Marked) {
 	if m.Record.Key == "" {
 		return
 	}
@@ -277,8 +277,8 @@
 	f.on(n, time.Millisecond, func() { f.handle(n, c, repeat) })
 }
 
-// got records a client's answer.
-func (f *callFleet) got(c *clientCall, what string, again bool) {
+// answered records a client's answer.
+func (f *callFleet) answered(c *clientCall, what string, again bool) {
 	if c.done {
 		return
 	}
@@ -295,7 +295,7 @@
 	})
 }
 
-func (c *clientCall) say(f *callFleet, n *callNode, what string, args ...any) {
+func (c *clientCall) logf(f *callFleet, n *callNode, what string, args ...any) {
 	c.log = append(c.log, fmt.Sprintf("%8.3f %s/%d: %s", f.now.Seconds(), n.name, n.start, fmt.Sprintf(what, args...)))
 }
 
@@ -307,10 +307,10 @@
 	}
 	asked := f.now
 	d := n.table.Lookup(f.at(n), q)
-	c.say(f, n, "repeat %v: %v %v to %v", repeat, d.What, d.Why, d.Tell.To)
+	c.logf(f, n, "repeat %v: %v %v to %v", repeat, d.What, d.Why, d.Tell.To)
 	if d.What != Ask {
 		if n.form < 3 {
-			c.old = true
+			c.oldRelease = true
 		}
 		f.proceed(n, c, d, group)
 		return
@@ -320,8 +320,8 @@
 	decided = func() {
 		f.waits = append(f.waits, f.now-asked)
 		d := n.table.Decide(f.at(n), c.key, uint64(c.id))
-		c.say(f, n, "decided: %v %v unprotected %v", d.What, d.Why, d.Unprotected)
-		f.tell(n, d.Tell)
+		c.logf(f, n, "decided: %v %v unprotected %v", d.What, d.Why, d.Unprotected)
+		f.sendMark(n, d.Tell)
 		if d.What == Ask {
 			n.waiting[k] = decided
 			f.on(n, d.Wait, func() { f.decide(n, k) })
@@ -330,7 +330,7 @@
 		f.proceed(n, c, d, group)
 	}
 	n.waiting[k] = decided
-	f.tell(n, d.Tell)
+	f.sendMark(n, d.Tell)
 	f.on(n, d.Wait, func() { f.decide(n, k) })
 }
 
@@ -338,13 +338,13 @@
 	switch d.What {
 	case Known:
 		if d.Answer != fmt.Sprint("answer ", c.id) {
-			c.say(f, n, "WRONG ANSWER %q", d.Answer)
+			c.logf(f, n, "WRONG ANSWER %q", d.Answer)
 			c.runs += 100
 		}
-		f.got(c, "the stored answer", false)
+		f.answered(c, "the stored answer", false)
 		return
 	case Unsure:
-		f.got(c, "in words: "+d.Why.String(), c.tries < 3)
+		f.answered(c, "in words: "+d.Why.String(), c.tries < 3)
 		return
 	case GoTo:
 		group = int(d.Group[1] - '0')
@@ -352,31 +352,31 @@
 	c.unprotected = c.unprotected || d.Unprotected
 	end := func(s State, answer string) {
 		if d.End {
-			f.tell(n, n.table.End(f.at(n), Ended{Key: c.key, Call: uint64(c.id), Attempt: d.Attempt, State: s, Answer: answer}))
+			f.sendMark(n, n.table.End(f.at(n), Ended{Key: c.key, Call: uint64(c.id), Attempt: d.Attempt, State: s, Answer: answer}))
 		}
 	}
 	f.on(n, f.between(time.Millisecond, 3*time.Millisecond), func() {
 		if f.rng.IntN(30) == 0 { // the backend was not reached
 			end(NeverRan, "")
-			f.got(c, "no backend was reached", true)
+			f.answered(c, "no backend was reached", true)
 			return
 		}
 		answer := fmt.Sprint("answer ", c.id)
 		if c.effect == Keyed && f.groups[group][c.id] != "" {
-			c.say(f, n, "dropped by group %d", group)
+			c.logf(f, n, "dropped by group %d", group)
 		} else {
 			c.runs++
-			c.say(f, n, "ran")
+			c.logf(f, n, "ran")
 			f.groups[group][c.id] = answer
 		}
 		f.on(n, f.between(5*time.Millisecond, 100*time.Millisecond), func() {
 			if f.rng.IntN(20) == 0 { // the answer was lost on the way
 				end(MayHaveRun, "")
-				f.got(c, "the backend's answer was lost", true)
+				f.answered(c, "the backend's answer was lost", true)
 				return
 			}
 			end(Answered, answer)
-			f.got(c, "the backend's answer", false)
+			f.answered(c, "the backend's answer", false)
 		})
 	})
 }
@@ -392,10 +392,10 @@
 	case 0, 1: // crash
 		n.alive = false
 		back := f.between(100*time.Millisecond, 6*time.Second)
-		f.changed(3*time.Second, 5*time.Second)
+		f.refreshAll(3*time.Second, 5*time.Second)
 		f.after(back, func() {
 			f.begin(n, form)
-			f.changed(200*time.Millisecond, time.Second)
+			f.refreshAll(200*time.Millisecond, time.Second)
 		})
 	case 2: // planned restart
 		var m []Member
@@ -409,24 +409,24 @@
 		}
 		f.after(time.Second, func() {
 			n.alive = false
-			f.left++
-			f.changed(10*time.Millisecond, 300*time.Millisecond)
+			f.departed++
+			f.refreshAll(10*time.Millisecond, 300*time.Millisecond)
 		})
 		f.after(3*time.Second, func() {
-			f.left--
+			f.departed--
 			f.begin(n, form)
-			f.changed(200*time.Millisecond, time.Second)
+			f.refreshAll(200*time.Millisecond, time.Second)
 		})
 	case 3: // partition
 		for i, at := range f.rng.Perm(len(f.nodes)) {
 			f.nodes[at].side = i % 2
 		}
-		f.changed(3*time.Second, 5*time.Second)
+		f.refreshAll(3*time.Second, 5*time.Second)
 		f.after(f.between(time.Second, 8*time.Second), func() {
 			for _, o := range f.nodes {
 				o.side = 0
 			}
-			f.changed(200*time.Millisecond, 1500*time.Millisecond)
+			f.refreshAll(200*time.Millisecond, 1500*time.Millisecond)
 		})
 	case 4: // pause; some nodes take the member for dead
 		n.paused = f.now + f.between(200*time.Millisecond, 6*time.Second)
@@ -434,7 +434,7 @@
 	f.after(f.between(12*time.Second, 18*time.Second), f.fault)
 }
 
-func playCalls(seed uint64, calls int, every time.Duration, loss float64, mixed bool) *callFleet {
+func runCallFleet(seed uint64, calls int, every time.Duration, loss float64, mixed bool) *callFleet {
 	f := &callFleet{rng: rand.New(rand.NewPCG(seed, 7)), loss: loss, mixed: mixed, book: newBook(), answers: map[string]int{}}
 	f.groups = [2]map[int]string{{}, {}}
 	for i := range 5 {
@@ -445,7 +445,7 @@
 	for _, n := range f.nodes {
 		f.begin(n, NewestSession)
 	}
-	f.changed(10*time.Millisecond, 100*time.Millisecond)
+	f.refreshAll(10*time.Millisecond, 100*time.Millisecond)
 	begin := 2 * time.Minute // by then all are sure
 	f.after(begin, f.fault)
 	for i := range calls {
@@ -478,7 +478,7 @@
 	for _, c := range courses {
 		t.Run(fmt.Sprintf("%.0f%% loss, mixed %v", 100*c.loss, c.mixed), func(t *testing.T) {
 			for seed := range seeds {
-				f := playCalls(uint64(seed), calls, every, c.loss, c.mixed)
+				f := runCallFleet(uint64(seed), calls, every, c.loss, c.mixed)
 				var twice, unprotected, unflagged, old, broken, done, times int
 				for _, call := range f.calls {
 					if call.done {
@@ -492,7 +492,7 @@
 					}
 					times++
 					switch {
-					case call.old:
+					case call.oldRelease:
 						old++
 					case call.unprotected:
 						twice++
@@ -511,8 +511,8 @@
 				if done < len(f.calls)*9/10 {
 					t.Errorf("seed %d: %d of %d calls were answered", seed, done, len(f.calls))
 				}
-				if most := f.waits[len(f.waits)-1]; most > askFor+6*time.Second || f.waits[len(f.waits)*99/100] > askFor {
-					t.Errorf("seed %d: waits: maximum %v", seed, most)
+				if longest := f.waits[len(f.waits)-1]; longest > defaultOwnerWait+6*time.Second || f.waits[len(f.waits)*99/100] > defaultOwnerWait {
+					t.Errorf("seed %d: waits: maximum %v", seed, longest)
 				}
 			}
 		})
--- a/share/decide.go
+++ b/share/decide.go
@@ -7,8 +7,8 @@
 
 const (
 	knowNothing knowledge = iota
-	knowNever
-	knowMay
+	knowNeverRan
+	knowMayHaveRun
 	knowRan    // it ran, and the answer was not stored
 	knowAnswer // it ran, and the answer is stored here
 	knowledges
@@ -64,30 +64,30 @@
 // row is the action for the situations that it fits.
 type row struct {
 	effect, know, old, owners, repeat, group set
-	what                                     What
-	why                                      Cause
-	because                                  string
+	action                                   What
+	cause                                    Cause
+	reason                                   string
 }
 
 var table = []row{
-	{effect: of(Safe), what: Go,
-		because: "a second run has no effect"},
-	{know: of(knowAnswer), what: Known,
-		because: "the client gets the answer of the run"},
-	{effect: of(Keyed), know: of(knowMay, knowRan), old: no, group: yes, what: GoTo,
-		because: "its group drops a second run, and answers with the first's result"},
-	{know: of(knowRan), what: Unsure, why: ItRan,
-		because: "it ran, and no instance has its answer"},
-	{know: of(knowMay), what: Unsure, why: ItMayHaveRun,
-		because: "a second run can't be ruled out"},
-	{know: of(knowNothing, knowNever), owners: of(ownersSure), what: Go,
-		because: "a mark of an earlier run would be known"},
-	{know: of(knowNothing, knowNever), owners: of(ownersSilent, ownersMinority), repeat: no, what: Go,
-		because: "a first try has no earlier run; a repeat that does not say so would run twice, so it is counted"},
-	{know: of(knowNothing, knowNever), owners: of(ownersSilent), repeat: yes, what: Unsure, why: OwnersSilent,
-		because: "its first try may have run, and the owners that would know it do not reply"},
-	{know: of(knowNothing, knowNever), owners: of(ownersMinority), repeat: yes, what: Unsure, why: Minority,
-		because: "its first try may have run on the other side of the partition"},
+	{effect: of(Safe), action: Go,
+		reason: "a second run has no effect"},
+	{know: of(knowAnswer), action: Known,
+		reason: "the client gets the answer of the run"},
+	{effect: of(Keyed), know: of(knowMayHaveRun, knowRan), old: no, group: yes, action: GoTo,
+		reason: "its group drops a second run, and answers with the first's result"},
+	{know: of(knowRan), action: Unsure, cause: ItRan,
+		reason: "it ran, and no instance has its answer"},
+	{know: of(knowMayHaveRun), action: Unsure, cause: ItMayHaveRun,
+		reason: "a second run can't be ruled out"},
+	{know: of(knowNothing, knowNeverRan), owners: of(ownersSure), action: Go,
+		reason: "a mark of an earlier run would be known"},
+	{know: of(knowNothing, knowNeverRan), owners: of(ownersSilent, ownersMinority), repeat: no, action: Go,
+		reason: "a first try has no earlier run; a repeat that does not say so would run twice, so it is counted"},
+	{know: of(knowNothing, knowNeverRan), owners: of(ownersSilent), repeat: yes, action: Unsure, cause: OwnersSilent,
+		reason: "its first try may have run, and the owners that would know it do not reply"},
+	{know: of(knowNothing, knowNeverRan), owners: of(ownersMinority), repeat: yes, action: Unsure, cause: Minority,
+		reason: "its first try may have run on the other side of the partition"},
 }
 
 func (r *row) fits(s situation) bool {
@@ -100,7 +100,7 @@
 func decide(s situation) (What, Cause) {
 	for i := range table {
 		if r := &table[i]; r.fits(s) {
-			return r.what, r.why
+			return r.action, r.cause
 		}
 	}
 	return Unsure, OwnersSilent
--- a/share/decide_test.go
+++ b/share/decide_test.go
@@ -26,7 +26,7 @@
 
 // Guards against gaps and unsafe actions in the decision table. Each combination must have a row, and no row may break a rule
 // of the table.
-func TestEveryCell(t *testing.T) {
+func TestDecisionTableCoversEverySituation(t *testing.T) {
 	used := map[int]int{}
 	eachSituation(func(s situation) {
 		at := -1
@@ -41,7 +41,7 @@
 		}
 		used[at]++
 		what, why := decide(s)
-		ran := s.know >= knowMay
+		ran := s.know >= knowMayHaveRun
 		for _, rule := range []struct {
 			broken bool
 			rule   string
@@ -65,13 +65,13 @@
 	})
 	for i := range table {
 		if used[i] == 0 {
-			t.Errorf("row %d (%s) applies to no situation", i, table[i].because)
+			t.Errorf("row %d (%s) applies to no situation", i, table[i].reason)
 		}
 	}
 }
 
 // The table in readable form is testdata/decisions.txt. Regenerate it with -rewrite.
-func TestDecisionsAreAsWritten(t *testing.T) {
+func TestDecisionTableMatchesGoldenFile(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decisions.txt", func(t *testing.T, d *datadriven.TestData) string {
 		var b strings.Builder
 		eachSituation(func(s situation) {
--- a/share/fleet_test.go
+++ b/share/fleet_test.go
@@ -13,26 +13,26 @@
 // useFleet is a group of members that count one tenant's requests and exchange their counts in rounds. Messages are lost, late
 // (by up to a second, so out of order) and doubled; links are cut; clocks are off.
 type useFleet struct {
-	rng     *rand.Rand
-	round   time.Duration
-	loss    float64
-	members []*useMember
-	now     time.Duration // since the start
-	late    [16][]useWord // by the round in which they arrive
-	let     []float64     // by round
-	asked   []float64
+	rng      *rand.Rand
+	round    time.Duration
+	loss     float64
+	members  []*useMember
+	now      time.Duration // since the start
+	inFlight [16][]useWord // by the round in which they arrive
+	admitted []float64     // by round
+	asked    []float64
 }
 
 type useMember struct {
-	use  *Use
-	ages *Ages
-	self Member
-	off  time.Duration
-	side int
-	dead bool
-	mute bool // it receives, but what it sends is lost
-	cut  bool // its view has CutOff
-	n    int  // the fleet size that this member uses
+	use      *Use
+	ages     *Ages
+	self     Member
+	off      time.Duration
+	side     int
+	dead     bool
+	cantSend bool // it receives, but what it sends is lost
+	cutOff   bool // its view has CutOff
+	n        int  // the fleet size that this member uses
 }
 
 type useWord struct {
@@ -72,7 +72,7 @@
 // step runs one round: arriving messages, a view, client requests, outgoing messages.
 func (f *useFleet) step(demand func(i int) float64) {
 	at := int(f.now / f.round)
-	for _, w := range f.late[at%len(f.late)] {
+	for _, w := range f.inFlight[at%len(f.inFlight)] {
 		m := f.members[w.to]
 		if m.dead || m.side != f.members[w.from].side {
 			continue
@@ -85,14 +85,14 @@
 			}
 		}
 	}
-	f.late[at%len(f.late)] = f.late[at%len(f.late)][:0]
+	f.inFlight[at%len(f.inFlight)] = f.inFlight[at%len(f.inFlight)][:0]
 	var let, asked float64
 	for i, m := range f.members {
 		if m.dead {
 			continue
 		}
 		now := f.at(m)
-		v := View{Self: m.self, N: m.n, CutOff: m.cut}
+		v := View{Self: m.self, N: m.n, CutOff: m.cutOff}
 		for j, o := range f.members {
 			if j != i {
 				v.Members = append(v.Members, m.ages.Seen(now, o.self))
@@ -107,17 +107,17 @@
 				let++
 			}
 		}
-		f.tell(i, m, at)
+		f.sendCounts(i, m, at)
 	}
-	f.let, f.asked = append(f.let, let), append(f.asked, asked)
+	f.admitted, f.asked = append(f.admitted, let), append(f.asked, asked)
 	f.now += f.round
 }
 
-func (f *useFleet) tell(i int, m *useMember, at int) {
+func (f *useFleet) sendCounts(i int, m *useMember, at int) {
 	recs := m.use.Own(f.at(m), nil)
 	recs = append(recs, m.ages.Beat(f.at(m)))
 	for j, o := range f.members {
-		if j == i || o.dead || o.side != m.side || m.mute {
+		if j == i || o.dead || o.side != m.side || m.cantSend {
 			continue
 		}
 		for range 1 + f.rng.IntN(20)/19 { // some arrive twice
@@ -128,23 +128,23 @@
 			if f.rng.IntN(50) == 0 {
 				in = 1 + f.rng.IntN(int(time.Second/f.round))
 			}
-			f.late[(at+in)%len(f.late)] = append(f.late[(at+in)%len(f.late)], useWord{to: j, from: i, recs: recs})
+			f.inFlight[(at+in)%len(f.inFlight)] = append(f.inFlight[(at+in)%len(f.inFlight)], useWord{to: j, from: i, recs: recs})
 		}
 	}
 }
 
-// over returns the maximum admitted in any window of this length between two times, beyond the limit, as a fraction of the
+// excess returns the maximum admitted in any window of this length between two times, beyond the limit, as a fraction of the
 // limit.
-func (f *useFleet) over(limit float64, window, from, to time.Duration) float64 {
-	k, most := int(window/f.round), 0.0
-	for end := int(from/f.round) + k; end <= int(to/f.round) && end <= len(f.let); end++ {
+func (f *useFleet) excess(limit float64, window, from, to time.Duration) float64 {
+	k, highest := int(window/f.round), 0.0
+	for end := int(from/f.round) + k; end <= int(to/f.round) && end <= len(f.admitted); end++ {
 		sum := 0.0
-		for _, n := range f.let[end-k : end] {
+		for _, n := range f.admitted[end-k : end] {
 			sum += n
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return most/(limit*window.Seconds()) - 1
+	return highest/(limit*window.Seconds()) - 1
 }
 
 func (f *useFleet) part(of []float64, from, to time.Duration) (sum float64) {
@@ -156,25 +156,25 @@
 
 // useResult has the figures of one run, each as a fraction of the limit.
 type useResult struct {
-	refused                                       float64 // without a flood, as a fraction of the requests
-	onset, flood, cut, parted, mend, h            float64 // beyond the limit: over ten seconds at the start of a flood; during it; at a partition; during it; at its end; with one member dead
-	moves                                         float64 // in a flood whose clients move between instances
-	unused, unusedMoves, unusedParted, unusedDead float64
+	refused                                                      float64 // without a flood, as a fraction of the requests
+	onset, flood, partitionStart, partition, partitionEnd, crash float64 // beyond the limit: over ten seconds at the start of a flood; during it; at a partition; during it; at its end; with one member dead
+	moves                                                        float64 // in a flood whose clients move between instances
+	unused, unusedMoves, unusedPartition, unusedDead             float64
 }
 
-// worst is the stated bound on what may be admitted in a window, as a fraction of the limit beyond it, by the events within the
+// maxExcess is the stated bound on what may be admitted in a window, as a fraction of the limit beyond it, by the events within the
 // window. It was stated before any measurement: see the design note.
-func worst(limit float64, n int, window time.Duration, cuts int) float64 {
-	extra := limit*burst.Seconds() + leastBurst*float64(n)
+func maxExcess(limit float64, n int, window time.Duration, cuts int) float64 {
+	extra := limit*burstWindow.Seconds() + minBurst*float64(n)
 	extra += float64(cuts) * limit * (Fresh - Window + 300*time.Millisecond).Seconds()
 	return extra / (limit * window.Seconds())
 }
 
 const tenantLimit = 1000.0
 
-// playUse runs a sequence: normal load, a flood whose clients move, a partition into halves with floods on both sides, the
+// runUseFleet runs a sequence: normal load, a flood whose clients move, a partition into halves with floods on both sides, the
 // halves together again, and a member that dies.
-func playUse(seed uint64, n int, loss float64, parted time.Duration) (r useResult) {
+func runUseFleet(seed uint64, n int, loss float64, parted time.Duration) (r useResult) {
 	round := 100 * time.Millisecond
 	if n > 100 {
 		round = 200 * time.Millisecond
@@ -207,42 +207,42 @@
 	window := 10 * time.Second
 	until(8*time.Second, tenantLimit/2)
 	from, to := until(12*time.Second, tenantLimit/2)
-	r.refused = 1 - f.part(f.let, from, to)/f.part(f.asked, from, to)
+	r.refused = 1 - f.part(f.admitted, from, to)/f.part(f.asked, from, to)
 
 	moves = false
 	from, to = until(30*time.Second, 3*tenantLimit)
-	r.onset = f.over(tenantLimit, window, from-window, from+window)
-	r.flood = f.over(tenantLimit, window, from+2*time.Second, to)
-	r.unused = 1 - f.part(f.let, from+6*time.Second, to)/(tenantLimit*(to-from-6*time.Second).Seconds())
+	r.onset = f.excess(tenantLimit, window, from-window, from+window)
+	r.flood = f.excess(tenantLimit, window, from+2*time.Second, to)
+	r.unused = 1 - f.part(f.admitted, from+6*time.Second, to)/(tenantLimit*(to-from-6*time.Second).Seconds())
 	moves = true
 	from, to = until(20*time.Second, 3*tenantLimit)
-	r.moves = f.over(tenantLimit, window, from, to)
-	r.unusedMoves = 1 - f.part(f.let, from, to)/(tenantLimit*(to-from).Seconds())
+	r.moves = f.excess(tenantLimit, window, from, to)
+	r.unusedMoves = 1 - f.part(f.admitted, from, to)/(tenantLimit*(to-from).Seconds())
 
 	for i, m := range f.members {
 		m.side = i % 2
 	}
 	from, to = until(parted, 10*tenantLimit)
-	r.cut = f.over(tenantLimit, window, from-window, from+window)
-	r.parted = f.over(tenantLimit, window, from+6*time.Second, to)
-	r.unusedParted = 1 - f.part(f.let, from+6*time.Second, to)/(tenantLimit*(to-from-6*time.Second).Seconds())
+	r.partitionStart = f.excess(tenantLimit, window, from-window, from+window)
+	r.partition = f.excess(tenantLimit, window, from+6*time.Second, to)
+	r.unusedPartition = 1 - f.part(f.admitted, from+6*time.Second, to)/(tenantLimit*(to-from-6*time.Second).Seconds())
 
 	for _, m := range f.members {
 		m.side = 0
 	}
 	from, to = until(20*time.Second, 3*tenantLimit)
-	r.mend = f.over(tenantLimit, window, from-window, to)
+	r.partitionEnd = f.excess(tenantLimit, window, from-window, to)
 
 	f.members[0].dead = true
 	from, to = until(20*time.Second, 3*tenantLimit)
-	r.h = f.over(tenantLimit, window, from-window, to)
-	r.unusedDead = 1 - f.part(f.let, from+8*time.Second, to)/(tenantLimit*(to-from-8*time.Second).Seconds())
+	r.crash = f.excess(tenantLimit, window, from-window, to)
+	r.unusedDead = 1 - f.part(f.admitted, from+8*time.Second, to)/(tenantLimit*(to-from-8*time.Second).Seconds())
 	return r
 }
 
 // Guards against a fleet that admits more than a tenant's limit. For each seed the excess must stay within the bound that was
 // stated before; in the steady state at 1 % loss it must be at most 2 %.
-func TestFleetKeepsALimit(t *testing.T) {
+func TestFleetKeepsTenantLimit(t *testing.T) {
 	sizes, seeds, losses, parted := []int{3, 12}, 1, []float64{0.01, 0.3}, 20*time.Second
 	if *campaign > 0 {
 		sizes, seeds, losses, parted = []int{3, 30, 300}, *campaign, []float64{0, 0.01, 0.1, 0.3}, time.Minute
@@ -253,28 +253,28 @@
 				t.Parallel()
 				var w useResult
 				for seed := range seeds {
-					r := playUse(uint64(seed), n, loss, parted)
+					r := runUseFleet(uint64(seed), n, loss, parted)
 					for _, c := range []struct {
-						what string
-						got  float64
-						most float64
-						into *float64
+						what    string
+						got     float64
+						maximum float64
+						into    *float64
 					}{
-						{"at the start of a flood", r.onset, worst(tenantLimit, n, 10*time.Second, 0), &w.onset},
-						{"in a flood", r.flood, steadyMost(loss), &w.flood},
-						{"when clients move", r.moves, worst(tenantLimit, n, 10*time.Second, 0), &w.moves},
-						{"at a partition", r.cut, worst(tenantLimit, n, 10*time.Second, 1), &w.cut},
-						{"during a partition", r.parted, steadyMost(loss), &w.parted},
-						{"after a partition", r.mend, worst(tenantLimit, n, 10*time.Second, 0), &w.mend},
-						{"at a crash", r.h, worst(tenantLimit, n, 10*time.Second, 0), &w.h},
+						{"at the start of a flood", r.onset, maxExcess(tenantLimit, n, 10*time.Second, 0), &w.onset},
+						{"in a flood", r.flood, maxSteadyExcess(loss), &w.flood},
+						{"when clients move", r.moves, maxExcess(tenantLimit, n, 10*time.Second, 0), &w.moves},
+						{"at a partition", r.partitionStart, maxExcess(tenantLimit, n, 10*time.Second, 1), &w.partitionStart},
+						{"parted", r.partition, maxSteadyExcess(loss), &w.partition},
+						{"after a partition", r.partitionEnd, maxExcess(tenantLimit, n, 10*time.Second, 0), &w.partitionEnd},
+						{"at a crash", r.crash, maxExcess(tenantLimit, n, 10*time.Second, 0), &w.crash},
 						{"rejected at normal load", r.refused, 0.15, &w.refused},
 						{"unused in a flood", r.unused, 0.05, &w.unused},
 						{"unused when clients move", r.unusedMoves, 0.2, &w.unusedMoves},
-						{"unused during a partition", r.unusedParted, 0.6, &w.unusedParted},
+						{"unused during a partition", r.unusedPartition, 0.6, &w.unusedPartition},
 						{"unused with one dead", r.unusedDead, 0.13 + 1/float64(n), &w.unusedDead},
 					} {
-						if c.got > c.most {
-							t.Errorf("seed %d: %s: %.4f, maximum %.4f", seed, c.what, c.got, c.most)
+						if c.got > c.maximum {
+							t.Errorf("seed %d: %s: %.4f, maximum %.4f", seed, c.what, c.got, c.maximum)
 						}
 						if seed == 0 || c.got > *c.into {
 							*c.into = c.got
@@ -282,8 +282,8 @@
 					}
 				}
 				t.Logf("| %d | %.0f %% | %+.1f %% | %+.1f %% | %+.1f %% | %+.1f %% | %+.1f %% | %+.1f %% | %.1f %% | %.1f %% | %.1f %% | %.1f %% | %.1f %% | most %+.1f %%, at a cut %+.1f %%", n, 100*loss,
-					100*w.onset, 100*w.flood, 100*w.cut, 100*w.parted, 100*w.mend, 100*w.moves, 100*w.refused, 100*w.unused, 100*w.unusedMoves, 100*w.unusedParted, 100*w.unusedDead,
-					100*worst(tenantLimit, n, 10*time.Second, 0), 100*worst(tenantLimit, n, 10*time.Second, 1))
+					100*w.onset, 100*w.flood, 100*w.partitionStart, 100*w.partition, 100*w.partitionEnd, 100*w.moves, 100*w.refused, 100*w.unused, 100*w.unusedMoves, 100*w.unusedPartition, 100*w.unusedDead,
+					100*maxExcess(tenantLimit, n, 10*time.Second, 0), 100*maxExcess(tenantLimit, n, 10*time.Second, 1))
 			})
 		}
 	}
@@ -291,18 +291,18 @@
 
 // Guards against one member with a wrong clock, or one that receives but can't send. The excess over the limit must stay within
 // the stated bound, and there must be almost none once that member knows that it is cut off.
-func TestFleetWithOneThatIsOff(t *testing.T) {
+func TestFleetWithOneFaultyMember(t *testing.T) {
 	const n = 5
 	for _, c := range []struct {
-		name string
-		do   func(f *useFleet, m *useMember)
-		most float64
+		name    string
+		do      func(f *useFleet, m *useMember)
+		maximum float64
 	}{
 		{"five seconds behind", func(f *useFleet, m *useMember) { m.off = -Skew }, 0.02},
 		{"five seconds ahead", func(f *useFleet, m *useMember) { m.off = Skew }, 0.02},
 		{"jumps each second", func(f *useFleet, m *useMember) { m.off = time.Duration(f.rng.Int64N(int64(2*Skew))) - Skew }, 1},
-		{"can't send", func(f *useFleet, m *useMember) { m.mute = true }, 1 - 1.0/n},
-		{"can't send, and its view has CutOff", func(f *useFleet, m *useMember) { m.mute, m.cut = true, true }, 0.02},
+		{"can't send", func(f *useFleet, m *useMember) { m.cantSend = true }, 1 - 1.0/n},
+		{"can't send, and its view has CutOff", func(f *useFleet, m *useMember) { m.cantSend, m.cutOff = true, true }, 0.02},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newUseFleet(1, n, 100*time.Millisecond, 0.01, Limit{Requests: tenantLimit})
@@ -314,18 +314,18 @@
 					return []float64{3, 0.75}[min(i, 1)] * tenantLimit
 				})
 			}
-			over := f.over(tenantLimit, 10*time.Second, 30*time.Second, f.now)
-			t.Logf("%+.3f, maximum %.3f", over, c.most)
-			if over > c.most {
-				t.Errorf("%.3f over, maximum %.3f", over, c.most)
+			over := f.excess(tenantLimit, 10*time.Second, 30*time.Second, f.now)
+			t.Logf("%+.3f, maximum %.3f", over, c.maximum)
+			if over > c.maximum {
+				t.Errorf("%.3f over, maximum %.3f", over, c.maximum)
 			}
 		})
 	}
 }
 
-// steadyMost is the maximum that a flood may admit beyond the limit after the initial burst: only the disagreement that lost
+// maxSteadyExcess is the maximum that a flood may admit beyond the limit after the initial burst: only the disagreement that lost
 // messages cause between members.
-func steadyMost(loss float64) float64 {
+func maxSteadyExcess(loss float64) float64 {
 	if loss <= 0.01 {
 		return 0.02
 	}
--- a/share/forms.go
+++ b/share/forms.go
@@ -14,57 +14,57 @@
 // Field numbers of use and sessions, and the newest forms. Counters are merged by maximum: each has one writer, the member in
 // its Sub, which only raises it.
 const (
-	usePlan       = 1    // Int: number of the file load; Text: the plan
-	useOldTotal   = 1000 // form 1: requests, by a Sub in text form (see oldSub)
-	useRequests   = 1001 // requests by member, window of ten seconds and class; class "" is the sum of all
-	useWork       = 1002 // the same in microseconds of backend time
-	useAsked      = 1003 // requests including rejected ones, by member and second
-	useLet        = 1004 // requests without rejected ones, by member and second
-	useLetWork    = 1005 // microseconds of backend time, by member and second
-	useBeat       = 1006 // in the record beatKey: a member's last beat, in wall milliseconds that only rise
-	beatKey       = "\x00beat"
-	NewestUse     = 3
-	sessBox       = 1    // form 1: Int: when it was written, in wall milliseconds; Text: the backend
-	sessCall      = 2    // what is known of a call, by call and member (see callSub). Int: attempt and rank; Text: see body
-	sessStamp     = 4000 // a register: when the rest was written, in wall milliseconds
-	sessHeld      = 4001 // the backend
-	sessGroup     = 4002
-	sessEnd       = 4003 // in wall milliseconds
-	NewestSession = 3
+	usePlan          = 1    // Int: number of the file load; Text: the plan
+	useRequestsForm1 = 1000 // form 1: requests, by a Sub in text form (see subForm1)
+	useRequests      = 1001 // requests by member, window of ten seconds and class; class "" is the sum of all
+	useWork          = 1002 // the same in microseconds of backend time
+	useAsked         = 1003 // requests including rejected ones, by member and second
+	useAdmitted      = 1004 // requests without rejected ones, by member and second
+	useSecondWork    = 1005 // microseconds of backend time, by member and second
+	useBeat          = 1006 // in the record beatKey: a member's last beat, in wall milliseconds that only rise
+	beatKey          = "\x00beat"
+	NewestUse        = 3
+	sessBackendForm1 = 1    // form 1: Int: when it was written, in wall milliseconds; Text: the backend
+	sessCall         = 2    // what is known of a call, by call and member (see callSub). Int: attempt and rank; Text: see body
+	sessStamp        = 4000 // a register: when the rest was written, in wall milliseconds
+	sessBackend      = 4001 // the backend
+	sessGroup        = 4002
+	sessEnd          = 4003 // in wall milliseconds
+	NewestSession    = 3
 )
 
 // Forms returns the forms of use and of sessions, oldest first.
 func Forms() []schema.Form {
 	return []schema.Form{
-		{Kind: schema.Use, Number: 1, Name: "fixed windows by tenant", Tells: useTells, Fields: []schema.FieldDef{
-			{Num: useOldTotal, Name: "requests", Join: schema.Max}, {Num: useBeat, Name: "beat", Join: schema.Max}}},
-		{Kind: schema.Use, Number: 2, Name: "by tenant and class, with work", Tells: useTells, Fields: []schema.FieldDef{
+		{Kind: schema.Use, Number: 1, Name: "fixed windows by tenant", Tells: useCounts, Fields: []schema.FieldDef{
+			{Num: useRequestsForm1, Name: "requests", Join: schema.Max}, {Num: useBeat, Name: "beat", Join: schema.Max}}},
+		{Kind: schema.Use, Number: 2, Name: "by tenant and class, with work", Tells: useCounts, Fields: []schema.FieldDef{
 			{Num: useRequests, Name: "requests", Join: schema.Max}, {Num: useWork, Name: "work", Join: schema.Max},
 			{Num: useBeat, Name: "beat", Join: schema.Max}},
-			Up:   schema.Step{Do: useOneTwo, What: "the requests of form 1 are those of all classes together"},
-			Down: schema.Step{Do: useTwoOne, What: "classes and work are stored, but not read"}},
-		{Kind: schema.Use, Number: 3, Name: "sliding windows, with plan", Tells: useTells, Fields: []schema.FieldDef{
+			Up:   schema.Step{Do: useForm1To2, What: "the requests of form 1 are those of all classes together"},
+			Down: schema.Step{Do: useForm2To1, What: "classes and work are stored, but not read"}},
+		{Kind: schema.Use, Number: 3, Name: "sliding windows, with plan", Tells: useCounts, Fields: []schema.FieldDef{
 			{Num: usePlan, Name: "plan", Join: schema.Keep},
 			{Num: useRequests, Name: "requests", Join: schema.Max}, {Num: useWork, Name: "work", Join: schema.Max},
-			{Num: useAsked, Name: "asked by the second", Join: schema.Max}, {Num: useLet, Name: "requests by the second", Join: schema.Max},
-			{Num: useLetWork, Name: "work by the second", Join: schema.Max}, {Num: useBeat, Name: "beat", Join: schema.Max}},
+			{Num: useAsked, Name: "asked by the second", Join: schema.Max}, {Num: useAdmitted, Name: "requests by the second", Join: schema.Max},
+			{Num: useSecondWork, Name: "work by the second", Join: schema.Max}, {Num: useBeat, Name: "beat", Join: schema.Max}},
 			Up: schema.Step{What: "seconds and plan are not known"},
 			// An older release would keep each second's count for as long as the tenant exists: it can't see that the second is
 			// over.
-			Down: schema.Step{Do: useThreeTwo, What: "seconds and plan are left out",
-				Loss: schema.Named("counts of ten seconds replace those of single seconds; no plan", usePlan, useAsked, useLet, useLetWork)}},
+			Down: schema.Step{Do: useForm3To2, What: "seconds and plan are left out",
+				Loss: schema.Named("counts of ten seconds replace those of single seconds; no plan", usePlan, useAsked, useAdmitted, useSecondWork)}},
 
-		{Kind: schema.Session, Number: 1, Name: "key and box", Tells: sessTells, Fields: []schema.FieldDef{
-			{Num: sessBox, Name: "box", Join: schema.Keep}}},
-		{Kind: schema.Session, Number: 2, Name: "with group and end", Tells: sessTells, Fields: []schema.FieldDef{
-			{Num: sessStamp, Name: "said at", Join: schema.Register}, {Num: sessHeld, Name: "box", Join: schema.Register},
+		{Kind: schema.Session, Number: 1, Name: "key and box", Tells: sessionMarks, Fields: []schema.FieldDef{
+			{Num: sessBackendForm1, Name: "box", Join: schema.Keep}}},
+		{Kind: schema.Session, Number: 2, Name: "with group and end", Tells: sessionMarks, Fields: []schema.FieldDef{
+			{Num: sessStamp, Name: "said at", Join: schema.Register}, {Num: sessBackend, Name: "box", Join: schema.Register},
 			{Num: sessGroup, Name: "group", Join: schema.Register}, {Num: sessEnd, Name: "end", Join: schema.Register}},
-			Up: schema.Step{Do: sessOneTwo, What: "no group; the session ends some time after it was written, as in form 1"},
-			Down: schema.Step{Do: sessTwoOne, What: "group and end are left out: without their box they would be merged with those of another box",
+			Up: schema.Step{Do: sessionForm1To2, What: "no group; the session ends some time after it was written, as in form 1"},
+			Down: schema.Step{Do: sessionForm2To1, What: "group and end are left out: without their box they would be merged with those of another box",
 				Loss: schema.Named("no group; ends a quarter of an hour after it was written", sessGroup, sessEnd)}},
-		{Kind: schema.Session, Number: 3, Name: "with the last unsafe calls", Tells: sessTells, Fields: []schema.FieldDef{
+		{Kind: schema.Session, Number: 3, Name: "with the last unsafe calls", Tells: sessionMarks, Fields: []schema.FieldDef{
 			{Num: sessCall, Name: "call", Join: schema.Keep},
-			{Num: sessStamp, Name: "said at", Join: schema.Register}, {Num: sessHeld, Name: "box", Join: schema.Register},
+			{Num: sessStamp, Name: "said at", Join: schema.Register}, {Num: sessBackend, Name: "box", Join: schema.Register},
 			{Num: sessGroup, Name: "group", Join: schema.Register}, {Num: sessEnd, Name: "end", Join: schema.Register}},
 			Up:   schema.Step{What: "no call is known"},
 			Down: schema.Step{What: "calls are stored, but not read: a mark outlives a release that does not know it"}},
@@ -114,14 +114,14 @@
 	return v
 }
 
-// oldSub is the Sub of form 1 for a member and a window of ten seconds: "window#start#name". The name is last so that it may
+// subForm1 is the Sub of form 1 for a member and a window of ten seconds: "window#start#name". The name is last so that it may
 // contain a '#'.
-func oldSub(window uint64, m Member) string {
+func subForm1(window uint64, m Member) string {
 	return strconv.FormatUint(window, 10) + "#" + strconv.FormatUint(m.Start, 16) + "#" + m.Name
 }
 
-// readOldSub accepts exactly what oldSub writes, so that a conversion in both directions changes nothing.
-func readOldSub(s string) (window uint64, m Member, ok bool) {
+// readSubForm1 accepts exactly what subForm1 writes, so that a conversion in both directions changes nothing.
+func readSubForm1(s string) (window uint64, m Member, ok bool) {
 	w, rest, _ := strings.Cut(s, "#")
 	start, name, _ := strings.Cut(rest, "#")
 	window, err := strconv.ParseUint(w, 10, 64)
@@ -132,29 +132,29 @@
 		return 0, Member{}, false
 	}
 	m.Name = name
-	return window, m, 0 < len(name) && len(name) < 256 && oldSub(window, m) == s
+	return window, m, 0 < len(name) && len(name) < 256 && subForm1(window, m) == s
 }
 
 // A Sub that doesn't match its form stays as it is under its number, in both directions.
 
-func useOneTwo(r schema.Record) (schema.Record, error) {
-	return renumber(r, useOldTotal, func(f schema.Field) (schema.Field, bool) {
-		window, m, ok := readOldSub(f.Sub)
+func useForm1To2(r schema.Record) (schema.Record, error) {
+	return renumber(r, useRequestsForm1, func(f schema.Field) (schema.Field, bool) {
+		window, m, ok := readSubForm1(f.Sub)
 		f.Num, f.Sub = useRequests, countSub(window, m, "")
 		return f, ok
 	}), nil
 }
 
-func useTwoOne(r schema.Record) (schema.Record, error) {
+func useForm2To1(r schema.Record) (schema.Record, error) {
 	return renumber(r, useRequests, func(f schema.Field) (schema.Field, bool) {
 		window, m, class, ok := readCountSub(f.Sub)
-		f.Num, f.Sub = useOldTotal, oldSub(window, m)
+		f.Num, f.Sub = useRequestsForm1, subForm1(window, m)
 		return f, ok && class == "" && len(f.Sub) <= schema.MaxSub
 	}), nil
 }
 
-func useThreeTwo(r schema.Record) (schema.Record, error) {
-	r.Drop(usePlan, useAsked, useLet, useLetWork)
+func useForm3To2(r schema.Record) (schema.Record, error) {
+	r.Drop(usePlan, useAsked, useAdmitted, useSecondWork)
 	return r, nil
 }
 
@@ -192,32 +192,32 @@
 	return c > 0
 }
 
-func sessOneTwo(r schema.Record) (schema.Record, error) {
-	box, ok := r.Get(sessBox, "")
+func sessionForm1To2(r schema.Record) (schema.Record, error) {
+	box, ok := r.Get(sessBackendForm1, "")
 	if !ok {
 		return r, nil
 	}
-	r.Fields = slices.DeleteFunc(r.Fields, func(f schema.Field) bool { return f.Num == sessBox && f.Sub == "" })
+	r.Fields = slices.DeleteFunc(r.Fields, func(f schema.Field) bool { return f.Num == sessBackendForm1 && f.Sub == "" })
 	stamp, had := r.Get(sessStamp, "")
-	held, _ := r.Get(sessHeld, "")
+	held, _ := r.Get(sessBackend, "")
 	if had && !(box.Int > stamp.Int || box.Int == stamp.Int && larger(schema.Field{Text: box.Text, Rest: box.Rest}, schema.Field{Text: held.Text, Rest: held.Rest})) {
 		return r, nil
 	}
 	dropRegister(&r)
 	r.Set(schema.Field{Num: sessStamp, Int: box.Int})
-	r.Set(schema.Field{Num: sessHeld, Text: box.Text, Rest: box.Rest})
+	r.Set(schema.Field{Num: sessBackend, Text: box.Text, Rest: box.Rest})
 	return r, nil
 }
 
-func sessTwoOne(r schema.Record) (schema.Record, error) {
+func sessionForm2To1(r schema.Record) (schema.Record, error) {
 	stamp, ok := r.Get(sessStamp, "")
 	if !ok {
 		return r, nil
 	}
-	held, _ := r.Get(sessHeld, "")
+	held, _ := r.Get(sessBackend, "")
 	dropRegister(&r)
-	f := schema.Field{Num: sessBox, Int: stamp.Int, Text: held.Text, Rest: held.Rest}
-	if have, ok := r.Get(sessBox, ""); !ok || larger(f, have) {
+	f := schema.Field{Num: sessBackendForm1, Int: stamp.Int, Text: held.Text, Rest: held.Rest}
+	if have, ok := r.Get(sessBackendForm1, ""); !ok || larger(f, have) {
 		r.Set(f)
 	}
 	return r, nil
@@ -234,13 +234,13 @@
 	r.Fields = kept
 }
 
-// useTells returns the counts by member, window and class.
-func useTells(r schema.Record) map[string]uint64 {
+// useCounts returns the counts by member, window and class.
+func useCounts(r schema.Record) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, f := range r.Fields {
 		switch f.Num {
-		case useOldTotal:
-			if window, m, ok := readOldSub(f.Sub); ok {
+		case useRequestsForm1:
+			if window, m, ok := readSubForm1(f.Sub); ok {
 				out["requests "+countSub(window, m, "")] = max(f.Int, out["requests "+countSub(window, m, "")])
 			}
 		case useRequests:
@@ -252,8 +252,8 @@
 	return out
 }
 
-// sessTells returns the marks by call and member. A mark that falls is a forgotten mark.
-func sessTells(r schema.Record) map[string]uint64 {
+// sessionMarks returns the marks by call and member. A mark that falls is a forgotten mark.
+func sessionMarks(r schema.Record) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, f := range r.All(sessCall) {
 		out["call "+f.Sub] = f.Int
--- a/share/forms_test.go
+++ b/share/forms_test.go
@@ -32,7 +32,7 @@
 			f.Sub = "not what the form says"
 		}
 		if f.Num == useRequests && form == 1 && (class == "" || pick == 5) {
-			f.Num, f.Sub = useOldTotal, oldSub(window, m)
+			f.Num, f.Sub = useRequestsForm1, subForm1(window, m)
 			if pick == 5 {
 				f.Sub = "1#2"
 			}
@@ -47,10 +47,10 @@
 	if stamp := uint64(rapid.IntRange(0, 2).Draw(t, what)); stamp > 0 {
 		box := []byte(rapid.SampledFrom([]string{"", "box", "box2"}).Draw(t, "box"))
 		if form == 1 {
-			r.Set(schema.Field{Num: sessBox, Int: stamp, Text: box})
+			r.Set(schema.Field{Num: sessBackendForm1, Int: stamp, Text: box})
 		} else {
 			r.Set(schema.Field{Num: sessStamp, Int: stamp})
-			r.Set(schema.Field{Num: sessHeld, Text: box})
+			r.Set(schema.Field{Num: sessBackend, Text: box})
 			if g := rapid.SampledFrom([]string{"", "g", "h"}).Draw(t, "group"); g != "" {
 				r.Set(schema.Field{Num: sessGroup, Text: []byte(g)})
 			}
@@ -58,7 +58,7 @@
 		}
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "calls") { // an older form stores them unread
-		b := body{end: int64(rapid.IntRange(1, 2).Draw(t, "end")), group: "g", kept: rapid.Bool().Draw(t, "kept")}
+		b := body{end: int64(rapid.IntRange(1, 2).Draw(t, "end")), group: "g", hasAnswer: rapid.Bool().Draw(t, "kept")}
 		r.Set(schema.Field{Num: sessCall, Sub: callSub(uint64(rapid.IntRange(1, 2).Draw(t, "call")), rapid.SampledFrom(someMembers).Draw(t, "by")),
 			Int: uint64(rapid.IntRange(1, 11).Draw(t, "stamp")), Text: b.append(nil)})
 	}
@@ -67,7 +67,7 @@
 
 // Guards against conversions between forms that lose counts or marks. For every pair of forms, converting a merge up must equal
 // merging the converted records, a conversion down and up may lose only what is declared, and no count or mark may fall.
-func TestFormsKeepTheLaw(t *testing.T) {
+func TestFormConversionsKeepCountsAndMarks(t *testing.T) {
 	book := newBook()
 	for _, draw := range []func(*rapid.T, uint16, string) schema.Record{drawUse, drawSession} {
 		for x := uint16(1); x <= 3; x++ {
@@ -95,9 +95,9 @@
 
 // Guards against losing the counts of the first release. A record of form 1 must count in a current table, and must convert
 // back exactly.
-func TestUseOfTheFirstRelease(t *testing.T) {
+func TestUseOfFirstReleaseIsCounted(t *testing.T) {
 	now := at(0)
-	old := schema.Record{Kind: schema.Use, Schema: 1, Key: "shop", Fields: []schema.Field{{Num: useOldTotal, Sub: "172800000#7#a", Int: 40}}}
+	old := schema.Record{Kind: schema.Use, Schema: 1, Key: "shop", Fields: []schema.Field{{Num: useRequestsForm1, Sub: "172800000#7#a", Int: 40}}}
 	u := NewUse(UseConfig{Self: Member{"b", 1}})
 	if err := u.Merge(now, old); err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 
 // Guards against older releases dropping fields that they don't know. A record that passes through a table of an older release
 // must arrive complete at a newer one.
-func TestOldReleasesPassOn(t *testing.T) {
+func TestOldReleasePassesOnUnknownFields(t *testing.T) {
 	now := at(0)
 	for form := uint16(1); form <= 3; form++ {
 		book := newBook()
--- a/share/move.go
+++ b/share/move.go
@@ -13,8 +13,8 @@
 	"glencart/schema"
 )
 
-// earlyFor is how far apart two members may learn of a change. A part may arrive before this member learns that it owns it.
-const earlyFor = 30 * time.Second
+// earlyPartWindow is how far apart two members may learn of a change. A part may arrive before this member learns that it owns it.
+const earlyPartWindow = 30 * time.Second
 
 // Members sets a new ring, and whether this side of a partition has at most half of the members. It appends the transfers that
 // this instance has to make.
@@ -27,43 +27,43 @@
 	if ring == old {
 		return out
 	}
-	stays := func(name string) bool { // and is the same process: a new one has no records
-		was, there := old.start(name)
-		is, here := ring.start(name)
+	survives := func(name string) bool { // and is the same process: a new one has no records
+		was, there := old.startOf(name)
+		is, here := ring.startOf(name)
 		return there && here && was == is
 	}
-	var gone []string
+	var departed []string
 	for part := t.cfg.Shard; part < Parts; part += t.cfg.Shards {
 		p := Part(part)
 		before, after := old.Owners(p), ring.Owners(p)
-		gone = gone[:0]
-		lives := false
+		departed = departed[:0]
+		hasSurvivor := false
 		for _, o := range before {
-			if stays(o) {
-				lives = true
+			if survives(o) {
+				hasSurvivor = true
 			} else {
-				gone = append(gone, o)
+				departed = append(departed, o)
 			}
 		}
-		had, has := slices.Contains(before, self), slices.Contains(after, self)
+		wasOwner, isOwner := slices.Contains(before, self), slices.Contains(after, self)
 		sure := t.Sure(p)
-		if has && !had {
-			if at, ok := t.early[p]; !ok || now.Own-at >= earlyFor {
-				t.unsure[p] = now.Own + t.cfg.MarkFor + 2*Skew
+		if isOwner && !wasOwner {
+			if at, ok := t.earlyParts[p]; !ok || now.Own-at >= earlyPartWindow {
+				t.unsureUntil[p] = now.Own + t.cfg.MarkFor + 2*Skew
 			}
 		}
-		if has {
-			delete(t.early, p)
+		if isOwner {
+			delete(t.earlyParts, p)
 		}
-		if !slices.Equal(before, after) || len(gone) > 0 {
-			t.markAgain(now, p)
+		if !slices.Equal(before, after) || len(departed) > 0 {
+			t.resendMarks(now, p)
 		}
 		// All former owners send the part: one may have what another lacks. If none of them lives, every member that has
 		// records of it sends them.
-		if had || !lives && t.parts[p] != nil {
+		if wasOwner || !hasSurvivor && t.parts[p] != nil {
 			for _, o := range after {
-				if o != self && !(slices.Contains(before, o) && stays(o)) {
-					out = append(out, Transfer{Part: p, To: o, Sure: had && sure})
+				if o != self && !(slices.Contains(before, o) && survives(o)) {
+					out = append(out, Transfer{Part: p, To: o, Sure: wasOwner && sure})
 				}
 			}
 		}
@@ -71,14 +71,14 @@
 	return out
 }
 
-// markAgain queues the marks of this instance for sending to the new owners of a part: an earlier owner may have transferred
+// resendMarks queues the marks of this instance for sending to the new owners of a part: an earlier owner may have transferred
 // the part before it stored the mark.
-func (t *Sessions) markAgain(now Now, p Part) {
+func (t *Sessions) resendMarks(now Now, p Part) {
 	if t.parts[p] == nil {
 		return
 	}
 	for i := range t.parts[p].leaves {
-		for _, s := range t.parts[p].leaves[i].of {
+		for _, s := range t.parts[p].leaves[i].sessions {
 			for c := range s.calls {
 				if c := &s.calls[c]; c.by.Member == t.cfg.Self && c.end > wallMillis(now) {
 					t.unacked[callKey{s.key, c.id}] = &unacked{stamp: c.stamp, sent: now.Own - time.Second}
@@ -109,16 +109,16 @@
 
 // Took records that all of a part has arrived from a member that was sure of it, by a Transfer or by comparison.
 func (t *Sessions) Took(now Now, p Part) {
-	if _, ok := t.unsure[p]; ok {
-		delete(t.unsure, p)
+	if _, ok := t.unsureUntil[p]; ok {
+		delete(t.unsureUntil, p)
 	} else if !t.ring.Owns(t.cfg.Self.Name, p) {
-		t.early[p] = now.Own
+		t.earlyParts[p] = now.Own
 	}
 }
 
 // Sure reports whether this instance has all that may be known of a part. It applies to owners only.
 func (t *Sessions) Sure(p Part) bool {
-	_, unsure := t.unsure[p]
+	_, unsure := t.unsureUntil[p]
 	return !unsure
 }
 
@@ -167,7 +167,7 @@
 		if r.One && i != int(r.Leaf) {
 			continue
 		}
-		for _, s := range p.leaves[i].of {
+		for _, s := range p.leaves[i].sessions {
 			if s.end()+Skew.Milliseconds() > wallMillis(now) {
 				out = append(out, t.record(s))
 			}
--- a/share/move_test.go
+++ b/share/move_test.go
@@ -33,12 +33,12 @@
 			moved++
 		}
 	}
-	least, most := Parts, 0
+	fewest, most := Parts, 0
 	for _, m := range members {
-		least, most = min(least, count[m.Name]), max(most, count[m.Name])
+		fewest, most = min(fewest, count[m.Name]), max(most, count[m.Name])
 	}
-	if mean := 2 * Parts / 30; least < mean*7/10 || most > mean*13/10 || moved > most {
-		t.Errorf("owned parts: mean %d, range %d to %d; %d moved when one member left", mean, least, most, moved)
+	if mean := 2 * Parts / 30; fewest < mean*7/10 || most > mean*13/10 || moved > most {
+		t.Errorf("owned parts: mean %d, range %d to %d; %d moved when one member left", mean, fewest, most, moved)
 	}
 	if o := NewRing(members[:1], 2).Owners(3); len(o) != 1 {
 		t.Errorf("one member: %v", o)
@@ -51,8 +51,8 @@
 	}
 }
 
-// town is a fleet whose records are sent at once, for tests of ownership changes.
-type town struct {
+// moveFleet is a fleet whose records are sent at once, for tests of ownership changes.
+type moveFleet struct {
 	t       *testing.T
 	now     Now
 	tables  map[string]*Sessions
@@ -60,8 +60,8 @@
 	records int // sent in transfers
 }
 
-func newTown(t *testing.T, names ...string) *town {
-	w := &town{t: t, now: at(0), tables: map[string]*Sessions{}, starts: map[string]uint64{}}
+func newMoveFleet(t *testing.T, names ...string) *moveFleet {
+	w := &moveFleet{t: t, now: at(0), tables: map[string]*Sessions{}, starts: map[string]uint64{}}
 	for _, name := range names {
 		w.start(name)
 	}
@@ -73,12 +73,12 @@
 	return w
 }
 
-func (w *town) start(name string) {
+func (w *moveFleet) start(name string) {
 	w.starts[name]++
 	w.tables[name] = NewSessions(SessionsConfig{Self: Member{name, w.starts[name]}})
 }
 
-func (w *town) ring(without string) *Ring {
+func (w *moveFleet) ring(without string) *Ring {
 	var m []Member
 	for name := range w.tables {
 		if name != without {
@@ -88,7 +88,7 @@
 	return NewRing(m, 2)
 }
 
-func (w *town) members() {
+func (w *moveFleet) members() {
 	r := w.ring("")
 	moves := map[string][]Transfer{}
 	for name, s := range w.tables {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (w *town) send(from string, list []Transfer) {
+func (w *moveFleet) send(from string, list []Transfer) {
 	for _, m := range list {
 		to := w.tables[m.To]
 		for _, r := range w.tables[from].Range(w.now, Range{Part: m.Part}, nil) {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (w *town) tell(m Marked) {
+func (w *moveFleet) tell(m Marked) {
 	for _, o := range m.To {
 		if s := w.tables[o]; s != nil {
 			s.Merge(w.now, m.Record)
@@ -121,7 +121,7 @@
 }
 
 // missing counts the (session, owner) pairs where the owner doesn't have the session, and those where it is not sure.
-func (w *town) missing(keys []Key) (n, unsure int) {
+func (w *moveFleet) missing(keys []Key) (n, unsure int) {
 	r := w.ring("")
 	for _, k := range keys {
 		for _, o := range r.Owners(PartOf(k)) {
@@ -139,14 +139,14 @@
 // Guards against losing sessions and marks when ownership changes. A planned shutdown, a crash, a restart under the old name
 // and a new member must lose nothing while one of two owners lives. Two crashes at once lose what only those two had, and then
 // no owner may be sure.
-func TestSessionsMove(t *testing.T) {
+func TestOwnershipChangeKeepsSessions(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for _, c := range []struct {
 		name         string
-		change       func(w *town)
+		change       func(w *moveFleet)
 		lost, unsure bool
 	}{
-		{"planned end", func(w *town) {
+		{"planned end", func(w *moveFleet) {
 			w.send("a", w.tables["a"].Leaving(w.now, w.ring("a"), nil))
 			delete(w.tables, "a")
 			if n, _ := w.missing(w.keys(1)); n != 0 {
@@ -154,12 +154,12 @@
 			}
 			w.members()
 		}, false, false},
-		{"crash", func(w *town) { delete(w.tables, "a"); w.members() }, false, false},
-		{"crash, then another", func(w *town) { delete(w.tables, "a"); w.members(); delete(w.tables, "b"); w.members() }, false, false},
-		{"killed and started again", func(w *town) { w.start("a"); w.members() }, false, false},
-		{"a new one", func(w *town) { w.start("f"); w.members() }, false, false},
-		{"two crash at once", func(w *town) { delete(w.tables, "a"); delete(w.tables, "b"); w.members() }, true, true},
-		{"all start again", func(w *town) {
+		{"crash", func(w *moveFleet) { delete(w.tables, "a"); w.members() }, false, false},
+		{"crash, then another", func(w *moveFleet) { delete(w.tables, "a"); w.members(); delete(w.tables, "b"); w.members() }, false, false},
+		{"killed and started again", func(w *moveFleet) { w.start("a"); w.members() }, false, false},
+		{"a new one", func(w *moveFleet) { w.start("f"); w.members() }, false, false},
+		{"two crash at once", func(w *moveFleet) { delete(w.tables, "a"); delete(w.tables, "b"); w.members() }, true, true},
+		{"all start again", func(w *moveFleet) {
 			for _, n := range names {
 				w.start(n)
 			}
@@ -167,7 +167,7 @@
 		}, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newTown(t, names...)
+			w := newMoveFleet(t, names...)
 			keys := w.keys(5000)
 			for i, k := range keys {
 				w.tell(w.tables[names[i%5]].Hold(w.now, k, "box", "", time.Hour))
@@ -191,7 +191,7 @@
 	}
 }
 
-func (w *town) keys(n int) (keys []Key) {
+func (w *moveFleet) keys(n int) (keys []Key) {
 	for i := range n {
 		keys = append(keys, KeyOf("", fmt.Append(nil, i)))
 	}
@@ -199,10 +199,10 @@
 }
 
 // A part that arrives before its new owner knows that it owns it must count as received; one that arrived long before must not.
-func TestAPartThatCameEarly(t *testing.T) {
+func TestEarlyTransferCounts(t *testing.T) {
 	old := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
 	next := NewRing([]Member{{"b", 1}, {"c", 1}}, 2)
-	for late, want := range map[time.Duration]bool{time.Second: true, earlyFor: false} {
+	for late, want := range map[time.Duration]bool{time.Second: true, earlyPartWindow: false} {
 		c := NewSessions(SessionsConfig{Self: Member{"c", 1}})
 		c.Members(at(0), old, false, nil)
 		c.Tick(at(2 * MarkFor))
--- a/share/ring.go
+++ b/share/ring.go
@@ -17,9 +17,9 @@
 // Ring assigns owners to each part. It identifies owners by name alone: a restarted process owns what its predecessor owned,
 // and the other owners have to send it the records.
 type Ring struct {
-	members []Member // by name, the later start of each
-	r       int      // owners per part: fewer than requested where there are fewer members
-	owners  []string // r entries for each part, the first owner first
+	members       []Member // by name, the later start of each
+	ownersPerPart int      // owners per part: fewer than requested where there are fewer members
+	owners        []string // r entries for each part, the first owner first
 }
 
 // NewRing computes the owners of all parts. It costs about 4096 hashes a member.
@@ -27,8 +27,8 @@
 	g := &Ring{members: slices.Clone(members)}
 	slices.SortFunc(g.members, func(a, b Member) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(b.Start, a.Start)) })
 	g.members = slices.CompactFunc(g.members, func(a, b Member) bool { return a.Name == b.Name })
-	g.r = min(max(r, 1), len(g.members))
-	if g.r == 0 {
+	g.ownersPerPart = min(max(r, 1), len(g.members))
+	if g.ownersPerPart == 0 {
 		return g
 	}
 	seeds := make([]uint64, len(g.members))
@@ -39,17 +39,17 @@
 		score uint64
 		at    int
 	}
-	best := make([]score, g.r)
-	g.owners = make([]string, 0, Parts*g.r)
+	best := make([]score, g.ownersPerPart)
+	g.owners = make([]string, 0, Parts*g.ownersPerPart)
 	for p := range Parts {
 		part := mix(uint64(p) + 1)
 		n := 0
 		for i, seed := range seeds {
 			s := score{mix(seed ^ part), i}
-			if n == g.r && s.score <= best[n-1].score {
+			if n == g.ownersPerPart && s.score <= best[n-1].score {
 				continue
 			}
-			if n < g.r {
+			if n < g.ownersPerPart {
 				n++
 			}
 			at := n - 1
@@ -76,10 +76,10 @@
 
 // Owners returns the owners of a part, the first owner first. The slice is read-only.
 func (g *Ring) Owners(p Part) []string {
-	if g == nil || g.r == 0 {
+	if g == nil || g.ownersPerPart == 0 {
 		return nil
 	}
-	return g.owners[int(p)*g.r : (int(p)+1)*g.r : (int(p)+1)*g.r]
+	return g.owners[int(p)*g.ownersPerPart : (int(p)+1)*g.ownersPerPart : (int(p)+1)*g.ownersPerPart]
 }
 
 // Size returns the number of members.
@@ -88,8 +88,8 @@
 // Owns reports whether a member is an owner of a part.
 func (g *Ring) Owns(name string, p Part) bool { return slices.Contains(g.Owners(p), name) }
 
-// start returns the start number of a member's process.
-func (g *Ring) start(name string) (uint64, bool) {
+// startOf returns the start number of a member's process.
+func (g *Ring) startOf(name string) (uint64, bool) {
 	if g == nil {
 		return 0, false
 	}
@@ -102,5 +102,5 @@
 
 // without returns the ring without a member: the ring before its process started.
 func (g *Ring) without(name string) *Ring {
-	return NewRing(slices.DeleteFunc(slices.Clone(g.members), func(m Member) bool { return m.Name == name }), max(g.r, 1))
+	return NewRing(slices.DeleteFunc(slices.Clone(g.members), func(m Member) bool { return m.Name == name }), max(g.ownersPerPart, 1))
 }
--- a/share/session.go
+++ b/share/session.go
@@ -16,8 +16,8 @@
 	OldFor = time.Minute
 	// HoldFor is how long a session lasts after it was written if its record has no end (form 1).
 	HoldFor = 15 * time.Minute
-	// askFor is the wait for owners where the configuration doesn't set it: some round trips within a site.
-	askFor = 50 * time.Millisecond
+	// defaultOwnerWait is the wait for owners where the configuration doesn't set it: some round trips within a site.
+	defaultOwnerWait = 50 * time.Millisecond
 )
 
 // SessionsConfig names the owner of the table and the shard, and sets the bounds. Zero values mean the defaults given at the
@@ -35,19 +35,19 @@
 
 // Sessions is one shard of the session table.
 type Sessions struct {
-	cfg      SessionsConfig
-	book     *schema.Book
-	ring     *Ring
-	minority bool
-	parts    [Parts]*part
-	unsure   map[Part]time.Duration // parts that this instance owns and is not sure of, and until when (own clock)
-	early    map[Part]time.Duration // parts that arrived whole before this instance knew that it owns them, and when (own clock)
-	makers   map[Member]*maker
-	pending  map[callKey]*pending
-	unacked  map[callKey]*unacked
-	ends     [2]endings        // heaps of sessions without and with a call that may have run
-	names    map[string]string // of backends and groups, each stored once
-	stats    SessionStats
+	cfg         SessionsConfig
+	book        *schema.Book
+	ring        *Ring
+	minority    bool
+	parts       [Parts]*part
+	unsureUntil map[Part]time.Duration // parts that this instance owns and is not sure of, and until when (own clock)
+	earlyParts  map[Part]time.Duration // parts that arrived whole before this instance knew that it owns them, and when (own clock)
+	reporters   map[Member]*reporter
+	pending     map[callKey]*pending
+	unacked     map[callKey]*unacked
+	dropHeaps   [2]dropHeap       // heaps of sessions without and with a call that may have run
+	interned    map[string]string // of backends and groups, each stored once
+	stats       SessionStats
 }
 
 type callKey struct {
@@ -55,26 +55,26 @@
 	call uint64
 }
 
-// maker is an instance that made attempts.
-type maker struct {
+// reporter is an instance that made attempts.
+type reporter struct {
 	Member
 	calls int
 }
 
 type session struct {
 	key        Key
-	held       held
+	binding    binding
 	calls      []call
-	strange    *schema.Record // fields unknown to this release, which it passes on
-	strangeEnd int64
-	sum        uint64 // its contribution to its leaf's digest
-	due        int64  // when it is dropped, wall milliseconds
-	place      int    // index in the heap of marked; -1: in none yet
+	unknown    *schema.Record // fields unknown to this release, which it passes on
+	unknownEnd int64
+	digestPart uint64 // its contribution to its leaf's digest
+	dropAt     int64  // when it is dropped, wall milliseconds
+	heapIndex  int    // index in the heap of marked; -1: in none yet
 	marked     uint8  // 1: a call of it may have run
 }
 
-// held is the backend that a session stays with.
-type held struct {
+// binding is the backend that a session stays with.
+type binding struct {
 	stamp      uint64 // wall milliseconds, when it was written; 0: none
 	box, group string
 	end        uint64 // wall milliseconds; 0: not set
@@ -82,28 +82,28 @@
 
 // call is what one instance reports of its attempts of one call. Only that instance changes it, and its stamp only rises.
 type call struct {
-	id    uint64
-	by    *maker
-	stamp uint64 // attempt<<2 | rank
-	stuck bool   // own calls: an earlier attempt may have run, so "never ran" is not reported of a later one
+	id               uint64
+	by               *reporter
+	stamp            uint64 // attempt<<2 | rank
+	mayHaveRunBefore bool   // own calls: an earlier attempt may have run, so "never ran" is not reported of a later one
 	body
 }
 
 // body is the rest of a report, replaced as a whole with its stamp.
 type body struct {
-	end        int64 // wall milliseconds
-	box, group string
-	answer     string
-	kept       bool   // there is an answer, which may be empty
-	extra      string // fields that a later release added
+	end           int64 // wall milliseconds
+	box, group    string
+	answer        string
+	hasAnswer     bool   // there is an answer, which may be empty
+	unknownFields string // fields that a later release added
 }
 
 // Ranks of reports about one attempt. The mark is written before the attempt is made, and later knowledge ranks above the mark.
 // So only the instance that made an attempt can report that it never ran.
 const (
-	rankMay      = 1
-	rankNever    = 2
-	rankAnswered = 3
+	rankMayHaveRun = 1
+	rankNeverRan   = 2
+	rankAnswered   = 3
 )
 
 // state returns the state for the rank of the stamp. A rank unknown to this release counts as MayHaveRun, the most restrictive
@@ -114,11 +114,11 @@
 
 // pending is a call of this instance between Lookup and Decide.
 type pending struct {
-	q                    Query
-	to                   []string
-	replied, acked, sure uint32 // bits by index in to
+	query                Query
+	owners               []string
+	replied, acked, sure uint32 // bits by index in owners
 	attempt              uint64
-	follow               bool          // send to q.Group, which is known to remember the call
+	followsGroup         bool          // send to query.Group, which is known to remember the call
 	since                time.Duration // own
 }
 
@@ -132,13 +132,13 @@
 // NewSessions returns an empty table without a ring.
 func NewSessions(cfg SessionsConfig) *Sessions {
 	cfg.Shards = max(cfg.Shards, 1)
-	cfg.Wait = cmp.Or(cfg.Wait, askFor)
+	cfg.Wait = cmp.Or(cfg.Wait, defaultOwnerWait)
 	cfg.MarkFor = min(cmp.Or(cfg.MarkFor, MarkFor), MaxKeep)
 	cfg.Sessions = cmp.Or(cfg.Sessions, 100_000)
 	cfg.Bytes = cmp.Or(cfg.Bytes, 64<<20)
 	cfg.Calls = cmp.Or(cfg.Calls, 16)
 	cfg.Form = cmp.Or(cfg.Form, NewestSession)
-	return &Sessions{cfg: cfg, book: newBook(), unsure: map[Part]time.Duration{}, early: map[Part]time.Duration{}, makers: map[Member]*maker{}, pending: map[callKey]*pending{}, unacked: map[callKey]*unacked{}, names: map[string]string{}}
+	return &Sessions{cfg: cfg, book: newBook(), unsureUntil: map[Part]time.Duration{}, earlyParts: map[Part]time.Duration{}, reporters: map[Member]*reporter{}, pending: map[callKey]*pending{}, unacked: map[callKey]*unacked{}, interned: map[string]string{}}
 }
 
 func wallMillis(now Now) int64 { return now.Wall.Milliseconds() }
@@ -147,7 +147,7 @@
 // and the result is Ask: its owners have to be asked before Decide.
 func (t *Sessions) Lookup(now Now, q Query) Decision {
 	s := t.find(q.Key)
-	d := Decision{Box: t.box(now, s)}
+	d := Decision{Box: t.boundBackend(now, s)}
 	if q.Effect == Safe {
 		return d
 	}
@@ -162,34 +162,34 @@
 		}
 		delete(t.pending, k) // abandoned without Decide or End. Its mark stands: this instance can't know that it never ran
 	}
-	f := t.known(now, s, q.Call, nil)
+	f := t.collectFacts(now, s, q.Call, nil)
 	own := t.ownCall(s, q.Call)
-	follow := q.Effect == Keyed && f.group != "" && !f.old && (f.know == knowMay || f.know == knowRan)
+	follow := q.Effect == Keyed && f.group != "" && !f.old && (f.know == knowMayHaveRun || f.know == knowRan)
 	if follow { // sent to its group, under a mark of its own: the earlier mark may still be taken back
 		q.Group = f.group
-	} else if f.know >= knowRan || f.know == knowMay && (t.owns(q.Key) || own != nil && own.state() == MayHaveRun) {
-		return t.answer(d, q, f, ownersSilent)
+	} else if f.know >= knowRan || f.know == knowMayHaveRun && (t.owns(q.Key) || own != nil && own.state() == MayHaveRun) {
+		return t.applyTable(d, q, f, ownersSilent)
 	}
 	q.Keep = min(cmp.Or(q.Keep, t.cfg.MarkFor), t.cfg.MarkFor)
-	c := t.mark(now, k, rankMay, body{end: wallMillis(now) + q.Keep.Milliseconds(), group: q.Group})
+	c := t.writeMark(now, k, rankMayHaveRun, body{end: wallMillis(now) + q.Keep.Milliseconds(), group: q.Group})
 	if c == nil {
-		if d = t.answer(d, q, f, ownersSilent); d.What == Go {
+		if d = t.applyTable(d, q, f, ownersSilent); d.What == Go {
 			return t.unprotected(d, NoRoom)
 		}
 		return d
 	}
-	return t.ask(now, d, &pending{q: q, follow: follow, attempt: c.stamp >> 2})
+	return t.askOwners(now, d, &pending{query: q, followsGroup: follow, attempt: c.stamp >> 2})
 }
 
-// ask returns the decision that sends a new mark to the owners.
-func (t *Sessions) ask(now Now, d Decision, p *pending) Decision {
-	p.since, p.to = now.Own, t.others(p.q.Key)
-	t.pending[callKey{p.q.Key, p.q.Call}] = p
-	if len(p.to) == 0 {
-		return t.Decide(now, p.q.Key, p.q.Call)
+// askOwners returns the decision that sends a new mark to the owners.
+func (t *Sessions) askOwners(now Now, d Decision, p *pending) Decision {
+	p.since, p.owners = now.Own, t.otherOwners(p.query.Key)
+	t.pending[callKey{p.query.Key, p.query.Call}] = p
+	if len(p.owners) == 0 {
+		return t.Decide(now, p.query.Key, p.query.Call)
 	}
 	d.What, d.Wait, d.Attempt = Ask, t.cfg.Wait, p.attempt
-	d.Tell = Marked{t.record(t.find(p.q.Key)), p.to, p.q.Call}
+	d.Tell = Marked{t.record(t.find(p.query.Key)), p.owners, p.query.Call}
 	return d
 }
 
@@ -208,7 +208,7 @@
 	if p == nil {
 		return false, nil
 	}
-	at := slices.Index(p.to, from)
+	at := slices.Index(p.owners, from)
 	if at < 0 || at > 31 {
 		return false, nil
 	}
@@ -219,7 +219,7 @@
 	if as == SureOwner {
 		p.sure |= 1 << at
 	}
-	return p.replied == 1<<len(p.to)-1, nil
+	return p.replied == 1<<len(p.owners)-1, nil
 }
 
 // acked reports whether an owner's record has this instance's latest report of a call.
@@ -247,34 +247,34 @@
 	s := t.find(key)
 	own := t.ownCall(s, id)
 	o, why := ownersSure, NoCause
-	all := uint32(1)<<len(p.to) - 1
+	all := uint32(1)<<len(p.owners) - 1
 	switch {
 	case t.minority:
 		o, why = ownersMinority, Minority
 	case p.sure != all || t.ring == nil || t.owns(key) && !t.Sure(PartOf(key)):
 		o, why = ownersSilent, OwnersSilent
 	}
-	f := t.known(now, s, id, own)
+	f := t.collectFacts(now, s, id, own)
 	switch {
-	case !p.follow:
-	case f.know < knowMay: // the mark that it follows is its own, or was taken back since: the call may have reached that group all the same
-		f = facts{know: knowMay, group: p.q.Group}
-	case f.know == knowMay && f.group != p.q.Group:
+	case !p.followsGroup:
+	case f.know < knowMayHaveRun: // the mark that it follows is its own, or was taken back since: the call may have reached that group all the same
+		f = facts{know: knowMayHaveRun, group: p.query.Group}
+	case f.know == knowMayHaveRun && f.group != p.query.Group:
 		f.group = "" // by now there are two groups
 	}
-	d := t.answer(Decision{Box: t.box(now, s)}, p.q, f, o)
+	d := t.applyTable(Decision{Box: t.boundBackend(now, s)}, p.query, f, o)
 	if d.What == GoTo && own != nil && own.group != d.Group {
 		// The group was learnt from owners, and the other instance may have learnt this one's group. Of two instances that mark
 		// and then read, at most one sees no other group.
-		if c := t.mark(now, k, rankMay, body{end: own.end, group: d.Group}); c != nil {
-			p.q.Group = d.Group
-			return t.ask(now, Decision{Box: d.Box}, &pending{q: p.q, follow: true, attempt: c.stamp >> 2})
+		if c := t.writeMark(now, k, rankMayHaveRun, body{end: own.end, group: d.Group}); c != nil {
+			p.query.Group = d.Group
+			return t.askOwners(now, Decision{Box: d.Box}, &pending{query: p.query, followsGroup: true, attempt: c.stamp >> 2})
 		}
 	}
 	if d.What != Go && d.What != GoTo {
 		if own != nil { // otherwise the cap evicted it
-			if c := t.mark(now, k, rankNever, body{end: own.end}); c != nil {
-				d.Tell = Marked{t.record(t.find(key)), t.others(key), id}
+			if c := t.writeMark(now, k, rankNeverRan, body{end: own.end}); c != nil {
+				d.Tell = Marked{t.record(t.find(key)), t.otherOwners(key), id}
 			}
 		}
 		return d
@@ -283,7 +283,7 @@
 	switch {
 	case o == ownersMinority: // the other side can't see the mark
 		d = t.unprotected(d, why)
-	case len(p.to) == 0:
+	case len(p.owners) == 0:
 		d = t.unprotected(d, Alone)
 	case p.acked != all: // a partition or a crash may leave one of them alone
 		d = t.unprotected(d, NotMarked)
@@ -297,8 +297,8 @@
 	return d
 }
 
-// answer applies the decision table. A call that is sent from here without Decide has no mark.
-func (t *Sessions) answer(d Decision, q Query, f facts, o owners) Decision {
+// applyTable applies the decision table. A call that is sent from here without Decide has no mark.
+func (t *Sessions) applyTable(d Decision, q Query, f facts, o owners) Decision {
 	d.What, d.Why = decide(situation{q.Effect, f.know, f.old, o, q.Repeat, f.group != ""})
 	switch d.What {
 	case Known:
@@ -328,29 +328,29 @@
 	if own != nil {
 		b.end, b.group = own.end, own.group
 	}
-	rank := uint64(rankMay)
+	rank := uint64(rankMayHaveRun)
 	switch e.State {
 	case Answered:
 		rank = rankAnswered
 		if len(e.Answer) <= MaxAnswer {
-			b.answer, b.kept = e.Answer, true
+			b.answer, b.hasAnswer = e.Answer, true
 		}
 	case NeverRan:
-		rank = rankNever
+		rank = rankNeverRan
 	}
 	// The outcome of an attempt is reported only for its own mark. An attempt that went to a group under an earlier mark
 	// changes nothing about that mark, but its answer is the answer of the call.
 	if rank != rankAnswered && (own == nil || own.state() != MayHaveRun || own.stamp>>2 != e.Attempt) || own != nil && own.state() == Answered {
 		return Marked{}
 	}
-	if t.mark(now, k, rank, b) == nil {
+	if t.writeMark(now, k, rank, b) == nil {
 		return Marked{}
 	}
-	return Marked{t.record(t.find(e.Key)), t.others(e.Key), e.Call}
+	return Marked{t.record(t.find(e.Key)), t.otherOwners(e.Key), e.Call}
 }
 
-// mark writes this instance's own report of a call. It returns nil when there is no room.
-func (t *Sessions) mark(now Now, k callKey, rank uint64, b body) *call {
+// writeMark writes this instance's own report of a call. It returns nil when there is no room.
+func (t *Sessions) writeMark(now Now, k callKey, rank uint64, b body) *call {
 	s := t.make(now, k.key)
 	if s == nil {
 		return nil
@@ -363,10 +363,10 @@
 		// Higher than any forgotten attempt of this process, here or at other members.
 		c.stamp = uint64(wallMillis(now)) << 2
 	}
-	if rank == rankNever && c.stuck {
+	if rank == rankNeverRan && c.mayHaveRunBefore {
 		return nil
 	}
-	c.stuck = c.stuck || c.stamp&3 == rankMay && rank == rankMay
+	c.mayHaveRunBefore = c.mayHaveRunBefore || c.stamp&3 == rankMayHaveRun && rank == rankMayHaveRun
 	attempt := c.stamp >> 2
 	if rank <= c.stamp&3 {
 		attempt++
@@ -384,30 +384,30 @@
 		return Marked{}
 	}
 	wall := uint64(wallMillis(now))
-	h := held{stamp: max(wall, s.held.stamp+1), box: box, group: group, end: wall + uint64(keep.Milliseconds())}
+	h := binding{stamp: max(wall, s.binding.stamp+1), box: box, group: group, end: wall + uint64(keep.Milliseconds())}
 	if t.cfg.Form < 2 {
 		h.group, h.end = "", 0
 	}
-	if s.held.box == box && s.held.group == h.group && s.held.until() > wall+uint64(keep.Milliseconds())/2 {
+	if s.binding.box == box && s.binding.group == h.group && s.binding.until() > wall+uint64(keep.Milliseconds())/2 {
 		return Marked{}
 	}
-	t.setHeld(now, s, h)
-	return Marked{t.record(s), t.others(key), 0}
+	t.setBinding(now, s, h)
+	return Marked{t.record(s), t.otherOwners(key), 0}
 }
 
 // until returns when a session ends, in wall milliseconds.
-func (h *held) until() uint64 {
+func (h *binding) until() uint64 {
 	if h.end == 0 && h.stamp != 0 {
 		return h.stamp + uint64(HoldFor.Milliseconds())
 	}
 	return h.end
 }
 
-func (t *Sessions) box(now Now, s *session) string {
-	if s == nil || s.held.until() <= uint64(wallMillis(now)) {
+func (t *Sessions) boundBackend(now Now, s *session) string {
+	if s == nil || s.binding.until() <= uint64(wallMillis(now)) {
 		return ""
 	}
-	return s.held.box
+	return s.binding.box
 }
 
 // facts is what the reports of all instances about a call add up to.
@@ -418,8 +418,8 @@
 	answer     string
 }
 
-// known computes the facts of a call, without the report except.
-func (t *Sessions) known(now Now, s *session, id uint64, except *call) (f facts) {
+// collectFacts computes the facts of a call, without the report except.
+func (t *Sessions) collectFacts(now Now, s *session, id uint64, except *call) (f facts) {
 	if s == nil {
 		return f
 	}
@@ -453,14 +453,14 @@
 func (c *call) know() knowledge {
 	switch c.state() {
 	case NeverRan:
-		return knowNever
+		return knowNeverRan
 	case Answered:
-		if c.kept {
+		if c.hasAnswer {
 			return knowAnswer
 		}
 		return knowRan
 	}
-	return knowMay
+	return knowMayHaveRun
 }
 
 func (t *Sessions) ownCall(s *session, id uint64) *call {
@@ -475,8 +475,8 @@
 	return nil
 }
 
-// others returns the owners of a key other than this instance.
-func (t *Sessions) others(key Key) []string {
+// otherOwners returns the owners of a key other than this instance.
+func (t *Sessions) otherOwners(key Key) []string {
 	o := t.ring.Owners(PartOf(key))
 	at := slices.Index(o, t.cfg.Self.Name)
 	if at < 0 {
--- a/share/session_test.go
+++ b/share/session_test.go
@@ -11,8 +11,8 @@
 	"glencart/schema"
 )
 
-// three returns three instances that know each other, and a key that b and c own: a has to ask them.
-func three(t testing.TB) (a, b, c *Sessions, key Key) {
+// threeInstances returns three instances that know each other, and a key that b and c own: a has to ask them.
+func threeInstances(t testing.TB) (a, b, c *Sessions, key Key) {
 	ring := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
 	a, b, c = NewSessions(SessionsConfig{Self: Member{"a", 1}}), NewSessions(SessionsConfig{Self: Member{"b", 1}}), NewSessions(SessionsConfig{Self: Member{"c", 1}})
 	for _, s := range []*Sessions{a, b, c} {
@@ -68,7 +68,7 @@
 
 // Guards against a second run of a call. A client places an order at one instance, which is killed; the client repeats it at
 // another instance.
-func TestARepeatElsewhere(t *testing.T) {
+func TestRepeatAtAnotherInstance(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		effect Effect
@@ -92,7 +92,7 @@
 		{"safe", Safe, 0, false, 2, "", 0, "go"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a, b, o, key := three(t)
+			a, b, o, key := threeInstances(t)
 			x := NewSessions(SessionsConfig{Self: Member{"x", 1}}) // the first instance: neither an owner nor a
 			x.Members(at(0), b.ring, false, nil)
 			q := Query{Key: key, Call: 1, Effect: c.effect, Group: c.group}
@@ -130,7 +130,7 @@
 
 // Guards against a double run when two instances get the same call at the same time. At most one of them may send it, in
 // whatever order their messages arrive.
-func TestTwoAtOnce(t *testing.T) {
+func TestSameCallAtTwoInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ring := NewRing([]Member{{"a", 1}, {"b", 1}}, 2)
 		var s [4]*Sessions
@@ -182,14 +182,14 @@
 		}
 		// The call must still be known to have been sent: a third try is sent only if neither was, or to the same group.
 		q.Group = "g4"
-		d := ask2(s[0], q, s[1])
+		d := askOneOwner(s[0], q, s[1])
 		if d.What == Go && len(ran) > 0 || d.What == GoTo && ran[d.Group] == 0 {
 			t.Fatalf("sent to %v, and a third try: %v %v", ran, d.What, d.Group)
 		}
 	})
 }
 
-func ask2(from *Sessions, q Query, owner *Sessions) Decision {
+func askOneOwner(from *Sessions, q Query, owner *Sessions) Decision {
 	d := from.Lookup(at(0), q)
 	for d.What == Ask {
 		owner.Merge(at(0), d.Tell.Record)
@@ -202,8 +202,8 @@
 
 // Two requests for one call at one instance: the second must fail because the first is under way. A call that was abandoned
 // without End must keep its mark.
-func TestTwoAtOneInstance(t *testing.T) {
-	a, b, c, key := three(t)
+func TestSameCallTwiceAtOneInstance(t *testing.T) {
+	a, b, c, key := threeInstances(t)
 	q := Query{Key: key, Call: 1, Effect: Unsafe}
 	a.Lookup(at(0), q)
 	if d := a.Lookup(at(0), q); d.What != Unsure || d.Why != UnderWay {
@@ -225,8 +225,8 @@
 }
 
 // Guards against forgetting an attempt that may have run because a later attempt of the same call never ran.
-func TestALaterAttemptThatNeverRan(t *testing.T) {
-	x, b, c, key := three(t)
+func TestLaterAttemptKeepsEarlierMark(t *testing.T) {
+	x, b, c, key := threeInstances(t)
 	y := NewSessions(SessionsConfig{Self: Member{"y", 1}})
 	y.Members(at(0), b.ring, false, nil)
 	q := Query{Key: key, Call: 1, Effect: Keyed, Group: "g"}
@@ -245,9 +245,9 @@
 }
 
 // A call that is sent without a mark at another owner must be counted, with its cause.
-func TestUnprotected(t *testing.T) {
+func TestUnprotectedCallIsCounted(t *testing.T) {
 	q := Query{Key: Key{1}, Call: 1, Effect: Unsafe}
-	a, b, c, key := three(t)
+	a, b, c, key := threeInstances(t)
 	q.Key = key
 	if d := ask(t, at(0), a, q); d.What != Go || !d.Unprotected || d.Why != NotMarked {
 		t.Errorf("no owner answers: %+v", d)
@@ -288,8 +288,8 @@
 
 // Guards against marks that are missing at an owner. A mark and its outcome must be sent again until each owner has
 // acknowledged it, and also to new owners.
-func TestMarksAreSentAgain(t *testing.T) {
-	a, b, c, key := three(t)
+func TestUnacknowledgedMarksAreResent(t *testing.T) {
+	a, b, c, key := threeInstances(t)
 	q := Query{Key: key, Call: 1, Effect: Unsafe}
 	ask(t, at(0), a, q, b)
 	again := a.Unacked(at(time.Second), nil)
@@ -323,8 +323,8 @@
 }
 
 // A session must stay with the backend that was set last, until its end, and must be sent again only if something changed.
-func TestHold(t *testing.T) {
-	a, b, _, key := three(t)
+func TestSessionStaysWithLastBackend(t *testing.T) {
+	a, b, _, key := threeInstances(t)
 	m := a.Hold(at(0), key, "box1", "g", time.Minute)
 	tell(t, at(0), m, b)
 	if again := a.Hold(at(time.Second), key, "box1", "g", time.Minute); len(again.To) != 0 {
@@ -459,7 +459,7 @@
 		t.Errorf("a mark among answers: %v, %+v", d.What, s.Stats())
 	}
 	s.Tick(at(time.Hour + Skew + OldFor + 11*time.Second))
-	if n := s.Stats(); n.Sessions != 0 || n.Calls != 0 || n.Bytes != 0 || len(s.ends[0])+len(s.ends[1]) != 0 || len(s.makers) != 0 || len(s.unacked) != 0 {
-		t.Errorf("after everything expired: %+v, %d %d %d", n, len(s.ends[0])+len(s.ends[1]), len(s.makers), len(s.unacked))
+	if n := s.Stats(); n.Sessions != 0 || n.Calls != 0 || n.Bytes != 0 || len(s.dropHeaps[0])+len(s.dropHeaps[1]) != 0 || len(s.reporters) != 0 || len(s.unacked) != 0 {
+		t.Errorf("after everything expired: %+v, %d %d %d", n, len(s.dropHeaps[0])+len(s.dropHeaps[1]), len(s.reporters), len(s.unacked))
 	}
 }
--- a/share/sessrec.go
+++ b/share/sessrec.go
@@ -17,15 +17,15 @@
 
 // part has the sessions of a Part, by leaf.
 type part struct {
-	leaves [Leaves]leaf
-	n      int
+	leaves       [Leaves]leaf
+	sessionCount int
 }
 
 // leaf is sorted by key. Keys are stored apart from their sessions, so that a search reads keys only.
 type leaf struct {
-	keys   []Key
-	of     []*session
-	digest uint64 // of all sessions in it, independent of the order of arrival
+	keys     []Key
+	sessions []*session
+	digest   uint64 // of all sessions in it, independent of the order of arrival
 }
 
 func compareKeys(a, b Key) int { return bytes.Compare(a[:], b[:]) }
@@ -47,7 +47,7 @@
 		}
 	}
 	if lo < len(l.keys) && l.keys[lo] == key {
-		return l.of[lo]
+		return l.sessions[lo]
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 	if s := t.find(key); s != nil {
 		return s
 	}
-	if t.stats.Sessions >= t.cfg.Sessions && !t.pushOut(now, nil) {
+	if t.stats.Sessions >= t.cfg.Sessions && !t.evict(now, nil) {
 		return nil
 	}
 	p := t.parts[PartOf(key)]
@@ -67,12 +67,12 @@
 	}
 	l := &p.leaves[LeafOf(key)]
 	at, _ := slices.BinarySearchFunc(l.keys, key, compareKeys)
-	s := &session{key: key, place: -1}
+	s := &session{key: key, heapIndex: -1}
 	l.keys = slices.Insert(l.keys, at, key)
-	l.of = slices.Insert(l.of, at, s)
-	p.n++
+	l.sessions = slices.Insert(l.sessions, at, s)
+	p.sessionCount++
 	t.stats.Sessions++
-	t.place(s)
+	t.reposition(s)
 	return s
 }
 
@@ -82,23 +82,23 @@
 	l := &p.leaves[LeafOf(s.key)]
 	at, _ := slices.BinarySearchFunc(l.keys, s.key, compareKeys)
 	l.keys = slices.Delete(l.keys, at, at+1)
-	l.of = slices.Delete(l.of, at, at+1)
-	l.digest ^= s.sum
+	l.sessions = slices.Delete(l.sessions, at, at+1)
+	l.digest ^= s.digestPart
 	for i := range s.calls {
 		t.dropCall(s, &s.calls[i])
 	}
 	s.calls = nil
-	t.stats.Bytes -= strangeBytes(s.strange)
-	heap.Remove(&t.ends[s.marked], s.place)
+	t.stats.Bytes -= unknownBytes(s.unknown)
+	heap.Remove(&t.dropHeaps[s.marked], s.heapIndex)
 	t.stats.Sessions--
-	if p.n--; p.n == 0 {
+	if p.sessionCount--; p.sessionCount == 0 {
 		t.parts[PartOf(s.key)] = nil
 	}
 }
 
 func (t *Sessions) dropCall(s *session, c *call) {
 	if c.by.calls--; c.by.calls == 0 {
-		delete(t.makers, c.by.Member)
+		delete(t.reporters, c.by.Member)
 	}
 	t.stats.Calls--
 	t.stats.Bytes -= c.bytes()
@@ -107,9 +107,9 @@
 	}
 }
 
-func (b *body) bytes() int { return len(b.answer) + len(b.extra) }
+func (b *body) bytes() int { return len(b.answer) + len(b.unknownFields) }
 
-func strangeBytes(r *schema.Record) (n int) {
+func unknownBytes(r *schema.Record) (n int) {
 	if r != nil {
 		for _, f := range r.Fields {
 			n += 64 + len(f.Sub) + len(f.Text) + len(f.Rest)
@@ -120,13 +120,13 @@
 
 // addCall adds an empty report of an instance about a call. It returns nil when there is no room.
 func (t *Sessions) addCall(now Now, s *session, id uint64, by Member) *call {
-	if len(s.calls) >= t.cfg.Calls && !t.pushOutCall(now, s) {
+	if len(s.calls) >= t.cfg.Calls && !t.evictCall(now, s) {
 		return nil
 	}
-	m := t.makers[by]
+	m := t.reporters[by]
 	if m == nil {
-		m = &maker{Member: by}
-		t.makers[by] = m
+		m = &reporter{Member: by}
+		t.reporters[by] = m
 	}
 	m.calls++
 	t.stats.Calls++
@@ -137,22 +137,22 @@
 func (t *Sessions) setCall(now Now, s *session, c *call, stamp uint64, b body) {
 	t.stats.Bytes += b.bytes() - c.bytes()
 	c.stamp, c.body = stamp, b
-	t.changed(now, s)
-	for t.stats.Bytes > t.cfg.Bytes && t.pushOut(now, s) {
+	t.refresh(now, s)
+	for t.stats.Bytes > t.cfg.Bytes && t.evict(now, s) {
 	}
 }
 
-func (t *Sessions) setHeld(now Now, s *session, h held) {
-	s.held = h
-	t.changed(now, s)
+func (t *Sessions) setBinding(now Now, s *session, h binding) {
+	s.binding = h
+	t.refresh(now, s)
 }
 
-// changed updates a session's contribution to its leaf's digest, and its position in the heaps.
-func (t *Sessions) changed(now Now, s *session) {
+// refresh updates a session's contribution to its leaf's digest, and its position in the heaps.
+func (t *Sessions) refresh(now Now, s *session) {
 	sum := s.digest()
-	t.parts[PartOf(s.key)].leaves[LeafOf(s.key)].digest ^= s.sum ^ sum
-	s.sum = sum
-	t.place(s)
+	t.parts[PartOf(s.key)].leaves[LeafOf(s.key)].digest ^= s.digestPart ^ sum
+	s.digestPart = sum
+	t.reposition(s)
 }
 
 // digest is equal at all members that know the same, independent of the order of arrival.
@@ -160,7 +160,7 @@
 	var buf [256]byte
 	seed := append(buf[:0], s.key[:]...)
 	sum := uint64(0)
-	if h := s.held; h.stamp != 0 {
+	if h := s.binding; h.stamp != 0 {
 		b := binary.BigEndian.AppendUint64(append(seed, 1), h.stamp)
 		b = binary.BigEndian.AppendUint64(b, h.end)
 		b = append(append(append(b, h.box...), 0), h.group...)
@@ -173,8 +173,8 @@
 		b = binary.BigEndian.AppendUint64(b, c.stamp)
 		sum ^= xxhash.Sum64(c.body.append(append(append(b, c.by.Name...), 0)))
 	}
-	if s.strange != nil {
-		for _, f := range s.strange.Fields {
+	if s.unknown != nil {
+		for _, f := range s.unknown.Fields {
 			b := binary.BigEndian.AppendUint32(append(seed, 3), f.Num)
 			b = binary.BigEndian.AppendUint64(b, f.Int)
 			b = append(append(append(append(append(b, f.Sub...), 0), f.Text...), 0), f.Rest...)
@@ -186,8 +186,8 @@
 
 // end returns when nothing of a session matters any more, in wall milliseconds.
 func (s *session) end() int64 {
-	end := s.strangeEnd
-	if u := s.held.until(); u < 1<<62 {
+	end := s.unknownEnd
+	if u := s.binding.until(); u < 1<<62 {
 		end = max(end, int64(u))
 	}
 	for i := range s.calls {
@@ -229,10 +229,10 @@
 	if b.group != "" {
 		dst = protowire.AppendString(protowire.AppendTag(dst, 3, protowire.BytesType), b.group)
 	}
-	if b.kept {
+	if b.hasAnswer {
 		dst = protowire.AppendString(protowire.AppendTag(dst, 4, protowire.BytesType), b.answer)
 	}
-	return append(dst, b.extra...)
+	return append(dst, b.unknownFields...)
 }
 
 func (t *Sessions) readBody(text []byte) (b body, ok bool) {
@@ -257,14 +257,14 @@
 			in, _ := protowire.ConsumeBytes(value)
 			switch num {
 			case 2:
-				b.box = t.name(in)
+				b.box = t.intern(in)
 			case 3:
-				b.group = t.name(in)
+				b.group = t.intern(in)
 			case 4:
-				b.answer, b.kept = string(in), true
+				b.answer, b.hasAnswer = string(in), true
 			}
 		default:
-			b.extra += string(text[:n+v])
+			b.unknownFields += string(text[:n+v])
 		}
 		text = text[n+v:]
 	}
@@ -283,8 +283,8 @@
 		r.Fields = append(r.Fields, schema.Field{Num: sessCall, Sub: callSub(c.id, c.by.Member), Int: c.stamp, Text: c.body.append(nil)})
 	}
 	slices.SortFunc(r.Fields, compareFields)
-	if h := s.held; h.stamp != 0 {
-		r.Fields = append(r.Fields, schema.Field{Num: sessStamp, Int: h.stamp}, schema.Field{Num: sessHeld, Text: []byte(h.box)})
+	if h := s.binding; h.stamp != 0 {
+		r.Fields = append(r.Fields, schema.Field{Num: sessStamp, Int: h.stamp}, schema.Field{Num: sessBackend, Text: []byte(h.box)})
 		if h.group != "" {
 			r.Fields = append(r.Fields, schema.Field{Num: sessGroup, Text: []byte(h.group)})
 		}
@@ -292,8 +292,8 @@
 			r.Fields = append(r.Fields, schema.Field{Num: sessEnd, Int: h.end})
 		}
 	}
-	if s.strange != nil {
-		if all, err := t.book.Merge(r, *s.strange); err == nil {
+	if s.unknown != nil {
+		if all, err := t.book.Merge(r, *s.unknown); err == nil {
 			r = all
 		}
 	}
@@ -328,40 +328,40 @@
 	}
 	key := Key([]byte(r.Key))
 	s := t.find(key)
-	var strange []schema.Field
-	var h held
-	odd := false // the register has fields of a later release: it is kept whole beside what is read of it
+	var unknown []schema.Field
+	var h binding
+	hasUnknown := false // the register has fields of a later release: it is kept whole beside what is read of it
 	for i := range r.Fields {
 		f := &r.Fields[i]
 		register := f.Sub == "" && f.Num >= sessStamp && f.Num < sessStamp+schema.RegisterSize
 		switch {
 		case f.Num == sessCall && t.cfg.Form >= 3:
 			if len(f.Rest) > 0 {
-				strange = append(strange, *f)
+				unknown = append(unknown, *f)
 			}
 			s, changed = t.mergeCall(now, key, s, f, changed)
 		case register && f.Num == sessStamp:
-			h.stamp, odd = f.Int, odd || len(f.Text) > 0
-		case register && f.Num == sessHeld:
-			h.box, odd = t.name(f.Text), odd || f.Int != 0
+			h.stamp, hasUnknown = f.Int, hasUnknown || len(f.Text) > 0
+		case register && f.Num == sessBackend:
+			h.box, hasUnknown = t.intern(f.Text), hasUnknown || f.Int != 0
 		case register && f.Num == sessGroup && t.cfg.Form >= 2:
-			h.group, odd = t.name(f.Text), odd || f.Int != 0
+			h.group, hasUnknown = t.intern(f.Text), hasUnknown || f.Int != 0
 		case register && f.Num == sessEnd && t.cfg.Form >= 2:
-			h.end, odd = f.Int, odd || len(f.Text) > 0
+			h.end, hasUnknown = f.Int, hasUnknown || len(f.Text) > 0
 		case register:
-			odd = true
+			hasUnknown = true
 		default:
-			strange = append(strange, *f)
+			unknown = append(unknown, *f)
 		}
-		odd = odd || register && len(f.Rest) > 0
+		hasUnknown = hasUnknown || register && len(f.Rest) > 0
 	}
-	if odd {
+	if hasUnknown {
 		for _, f := range r.Fields {
 			if f.Sub == "" && f.Num >= sessStamp && f.Num < sessStamp+schema.RegisterSize {
-				strange = append(strange, f)
+				unknown = append(unknown, f)
 			}
 		}
-		slices.SortFunc(strange, compareFields)
+		slices.SortFunc(unknown, compareFields)
 	}
 	late := uint64(wallMillis(now) - Skew.Milliseconds() - OldFor.Milliseconds())
 	switch {
@@ -372,12 +372,12 @@
 		if s == nil {
 			s = t.make(now, key)
 		}
-		if s != nil && compareHeld(h, s.held) > 0 {
-			t.setHeld(now, s, h)
+		if s != nil && compareBindings(h, s.binding) > 0 {
+			t.setBinding(now, s, h)
 			changed = true
 		}
 	}
-	if len(strange) == 0 {
+	if len(unknown) == 0 {
 		return changed, nil
 	}
 	if s == nil {
@@ -385,7 +385,7 @@
 			return changed, nil
 		}
 	}
-	kept, err := t.keepStrange(now, s, strange)
+	kept, err := t.keepUnknown(now, s, unknown)
 	return changed || kept, err
 }
 
@@ -423,21 +423,21 @@
 	return s, changed
 }
 
-// name stores the name of a backend or group once: a site has few, and each is part of many sessions.
-func (t *Sessions) name(b []byte) string {
-	n, ok := t.names[string(b)]
+// intern stores the name of a backend or group once: a site has few, and each is part of many sessions.
+func (t *Sessions) intern(b []byte) string {
+	n, ok := t.interned[string(b)]
 	if !ok {
-		if len(t.names) >= 4096 {
-			clear(t.names)
+		if len(t.interned) >= 4096 {
+			clear(t.interned)
 		}
 		n = string(b)
-		t.names[n] = n
+		t.interned[n] = n
 	}
 	return n
 }
 
-// compareHeld has the same order as a merge of records.
-func compareHeld(a, b held) int {
+// compareBindings has the same order as a merge of records.
+func compareBindings(a, b binding) int {
 	switch {
 	case a.stamp != b.stamp:
 		if a.stamp < b.stamp {
@@ -456,24 +456,24 @@
 	return 0
 }
 
-// keepStrange stores fields that a later release wrote, to pass them on. They are dropped with their session, or HoldFor after
+// keepUnknown stores fields that a later release wrote, to pass them on. They are dropped with their session, or HoldFor after
 // they arrived.
-func (t *Sessions) keepStrange(now Now, s *session, fields []schema.Field) (changed bool, err error) {
+func (t *Sessions) keepUnknown(now Now, s *session, fields []schema.Field) (changed bool, err error) {
 	r := schema.Record{Kind: schema.Session, Schema: NewestSession, Key: string(s.key[:]), Fields: fields}
-	if s.strange != nil {
-		if r, err = t.book.Merge(*s.strange, r); err != nil {
+	if s.unknown != nil {
+		if r, err = t.book.Merge(*s.unknown, r); err != nil {
 			return false, fmt.Errorf("share: sessions: %w", err)
 		}
-		if schema.Equal(r, *s.strange) {
+		if schema.Equal(r, *s.unknown) {
 			return false, nil
 		}
 	}
-	if strangeBytes(&r) > maxStrange {
+	if unknownBytes(&r) > maxUnknownBytes {
 		t.stats.Strange++
 		return false, nil // a session that is empty now is dropped at the next tick
 	}
-	t.stats.Bytes += strangeBytes(&r) - strangeBytes(s.strange)
-	s.strange, s.strangeEnd = &r, wallMillis(now)+HoldFor.Milliseconds()
-	t.changed(now, s)
+	t.stats.Bytes += unknownBytes(&r) - unknownBytes(s.unknown)
+	s.unknown, s.unknownEnd = &r, wallMillis(now)+HoldFor.Milliseconds()
+	t.refresh(now, s)
 	return true, nil
 }
--- a/share/types.go
+++ b/share/types.go
@@ -71,7 +71,7 @@
 // Bucket is the unused rest of an instance's allowance (a token bucket). The zero value is full.
 type Bucket struct {
 	at       time.Duration
-	begun    bool
+	started  bool
 	requests float64
 	work     float64 // seconds; negative when calls took longer than what was left
 }
--- a/share/use.go
+++ b/share/use.go
@@ -19,8 +19,8 @@
 	Window = time.Second
 	// ClassWindow is the window of the older forms, and of the counts by class.
 	ClassWindow = 10 * Window
-	// ring is how many seconds are kept: ten for Total, and one on each side for clock differences.
-	ring = 12
+	// keptSeconds is how many seconds are kept: ten for Total, and one on each side for clock differences.
+	keptSeconds = 12
 	// ahead and behind are how far a count's window may be from the own one, in seconds. Counts farther away come from clocks
 	// off by more than Skew, or are old.
 	ahead, behind = 6, 20
@@ -45,59 +45,59 @@
 
 // Use is one shard of the table, by a hash of the tenant.
 type Use struct {
-	cfg     UseConfig
-	book    *schema.Book
-	tenants map[string]*tenant
-	members map[Member]*member
-	view    view
-	version uint64 // rises with each change of a cell
-	cells   int
-	classes int
-	names   map[string]string // class names, each stored once
-	ids     uint32
-	stats   UseStats
+	cfg      UseConfig
+	book     *schema.Book
+	tenants  map[string]*tenant
+	members  map[Member]*member
+	view     view
+	version  uint64 // rises with each change of a cell
+	cells    int
+	classes  int
+	interned map[string]string // class names, each stored once
+	lastID   uint32
+	stats    UseStats
 }
 
 type member struct {
 	Member
-	id    uint32 // in the order in which members became known
-	cells int
-	view  int32 // its index in the view; -1: not in it
-	hears bool  // its beat is fresh, since the time in since, on the own clock
-	since time.Duration
+	id         uint32 // in the order in which members became known
+	cells      int
+	view       int32 // its index in the view; -1: not in it
+	isFresh    bool  // its beat is fresh, since freshSince, on the own clock
+	freshSince time.Duration
 }
 
 // tenant is what is known of one tenant's use.
 type tenant struct {
-	limit   Limit
-	plan    string
-	loaded  uint64
-	planAt  uint64  // version
-	cells   []*cell // sorted by id of their member
-	own     *cell
-	strange *schema.Record // fields unknown to this release, which it passes on
-	changed time.Duration  // wall: the time of the last count or message
-
-	bucket Bucket
-	allow  Allowance
-	window int64  // for which allow was computed
-	view   uint64 // the number of the view that allow was computed from
+	limit       Limit
+	plan        string
+	planLoad    uint64
+	planVersion uint64  // version
+	cells       []*cell // sorted by id of their member
+	own         *cell
+	unknown     *schema.Record // fields unknown to this release, which it passes on
+	changed     time.Duration  // wall: the time of the last count or message
+
+	bucket          Bucket
+	allowance       Allowance
+	allowanceWindow int64  // for which allowance was computed
+	allowanceView   uint64 // the number of the view that allowance was computed from
 }
 
 // cell is one member's use of one tenant. Its counters are the member's own: they are only merged by maximum.
 type cell struct {
-	m       *member
-	version uint64
-	newest  uint32 // the newest second with a count
-	share   float64
-	seconds [ring]second // by window modulo ring
-	tens    []ten
+	owner    *member
+	version  uint64
+	newest   uint32 // the newest second with a count
+	lastPart float64
+	seconds  [keptSeconds]second // by window modulo keptSeconds
+	tens     []tenSeconds
 }
 
 // second has 32 bits for each count: 4 billion requests, or 71 minutes of backend time, in one second of one member.
-type second struct{ window, asked, let, work uint32 }
+type second struct{ window, asked, admitted, work uint32 }
 
-type ten struct {
+type tenSeconds struct {
 	class    string
 	window   uint32
 	requests uint32
@@ -111,7 +111,7 @@
 	cfg.Classes = cmp.Or(cfg.Classes, 16)
 	cfg.Strange = cmp.Or(cfg.Strange, 256)
 	cfg.Form = cmp.Or(cfg.Form, NewestUse)
-	return &Use{cfg: cfg, book: newBook(), tenants: map[string]*tenant{}, members: map[Member]*member{}, names: map[string]string{"": ""}}
+	return &Use{cfg: cfg, book: newBook(), tenants: map[string]*tenant{}, members: map[Member]*member{}, interned: map[string]string{"": ""}}
 }
 
 // SetLimit sets a tenant's limit and plan. A tenant without a limit is counted all the same.
@@ -120,17 +120,17 @@
 	if t == nil {
 		return
 	}
-	t.limit, t.window = l, 0
-	if l.Loaded > t.loaded || l.Loaded == t.loaded && l.Plan > t.plan {
+	t.limit, t.allowanceWindow = l, 0
+	if l.Loaded > t.planLoad || l.Loaded == t.planLoad && l.Plan > t.plan {
 		u.version++
-		t.plan, t.loaded, t.planAt = l.Plan, l.Loaded, u.version
+		t.plan, t.planLoad, t.planVersion = l.Plan, l.Loaded, u.version
 	}
 }
 
 // Plan returns the tenant's plan from the latest settings load that any member reported, and the number of that load.
 func (u *Use) Plan(name string) (plan string, loaded uint64) {
 	if t := u.tenants[name]; t != nil {
-		return t.plan, t.loaded
+		return t.plan, t.planLoad
 	}
 	return "", 0
 }
@@ -142,19 +142,19 @@
 	if t == nil {
 		return true, 0 // the table is full: a tenant that is not counted is not limited
 	}
-	u.reckon(now, t)
-	let := uint64(0)
-	if ok, retryIn = t.bucket.Take(now.Own, t.allow); ok {
-		let = 1
+	u.updateAllowance(now, t)
+	admitted := uint64(0)
+	if ok, retryIn = t.bucket.Take(now.Own, t.allowance); ok {
+		admitted = 1
 	}
-	u.count(now, t, class, 1, let, 0)
+	u.count(now, t, class, 1, admitted, 0)
 	return ok, retryIn
 }
 
 // Ask counts requests of a caller with a bucket of its own.
-func (u *Use) Ask(now Now, name, class string, asked, let uint64) {
+func (u *Use) Ask(now Now, name, class string, asked, admitted uint64) {
 	if t := u.tenant(now, name); t != nil {
-		u.count(now, t, class, asked, let, 0)
+		u.count(now, t, class, asked, admitted, 0)
 	}
 }
 
@@ -180,7 +180,7 @@
 	return t
 }
 
-func (u *Use) count(now Now, t *tenant, class string, asked, let, work uint64) {
+func (u *Use) count(now Now, t *tenant, class string, asked, admitted, work uint64) {
 	c := t.own
 	if c == nil {
 		if c = u.cell(t, u.cfg.Self); c == nil {
@@ -194,37 +194,37 @@
 	c.version = u.version
 	w := uint32(now.Wall / Window)
 	if u.cfg.Form >= 3 {
-		// A window that has left the ring is not started again when the clock goes back: its count would fall.
-		if s := &c.seconds[w%ring]; s.window <= w {
+		// A window that is no longer kept is not started again when the clock goes back: its count would fall.
+		if s := &c.seconds[w%keptSeconds]; s.window <= w {
 			if s.window < w {
 				*s = second{window: w}
 			}
-			s.asked, s.let, s.work = plus(s.asked, asked), plus(s.let, let), plus(s.work, work)
+			s.asked, s.admitted, s.work = addCapped(s.asked, asked), addCapped(s.admitted, admitted), addCapped(s.work, work)
 		} else {
 			u.stats.OutOfTime++
 		}
 	}
 	c.newest = max(c.newest, w)
-	if let == 0 && work == 0 {
+	if admitted == 0 && work == 0 {
 		return
 	}
 	if u.cfg.Form < 2 {
 		work = 0
 	}
 	tens := uint32(now.Wall / ClassWindow)
-	u.add(c, tens, "", let, work)
+	u.addTenSeconds(c, tens, "", admitted, work)
 	if class != "" && u.cfg.Form >= 2 {
-		u.add(c, tens, class, let, work)
+		u.addTenSeconds(c, tens, class, admitted, work)
 	}
 }
 
-func (u *Use) add(c *cell, window uint32, class string, let, work uint64) {
-	if k := u.ten(c, window, class); k != nil {
-		k.requests, k.work = plus(k.requests, let), k.work+work
+func (u *Use) addTenSeconds(c *cell, window uint32, class string, admitted, work uint64) {
+	if k := u.tenSecondsOf(c, window, class); k != nil {
+		k.requests, k.work = addCapped(k.requests, admitted), k.work+work
 	}
 }
 
-func plus(a uint32, b uint64) uint32 { return uint32(min(uint64(a)+b, 1<<32-1)) }
+func addCapped(a uint32, b uint64) uint32 { return uint32(min(uint64(a)+b, 1<<32-1)) }
 
 // cell finds or adds a member's cell. It returns nil when there is no room.
 func (u *Use) cell(t *tenant, who Member) *cell {
@@ -238,21 +238,21 @@
 		return nil
 	}
 	if m == nil {
-		u.ids++
-		m = &member{Member: who, id: u.ids, view: -1}
+		u.lastID++
+		m = &member{Member: who, id: u.lastID, view: -1}
 		u.members[who] = m
 	}
 	at, _ := slices.BinarySearchFunc(t.cells, m.id, byMember)
-	c := &cell{m: m}
+	c := &cell{owner: m}
 	t.cells = slices.Insert(t.cells, at, c)
 	m.cells++
 	u.cells++
 	return c
 }
 
-func byMember(c *cell, id uint32) int { return cmp.Compare(c.m.id, id) }
+func byMember(c *cell, id uint32) int { return cmp.Compare(c.owner.id, id) }
 
-func (c *cell) at(window uint32, class string) *ten {
+func (c *cell) findTenSeconds(window uint32, class string) *tenSeconds {
 	for i := range c.tens {
 		if k := &c.tens[i]; k.window == window && k.class == class {
 			return k
@@ -261,14 +261,14 @@
 	return nil
 }
 
-// ten finds or adds a class's window of ten seconds. It returns nil when there is no room.
-func (u *Use) ten(c *cell, window uint32, class string) *ten {
-	if k := c.at(window, class); k != nil {
+// tenSecondsOf finds or adds a class's window of ten seconds. It returns nil when there is no room.
+func (u *Use) tenSecondsOf(c *cell, window uint32, class string) *tenSeconds {
+	if k := c.findTenSeconds(window, class); k != nil {
 		return k
 	}
-	over := slices.IndexFunc(c.tens, func(k ten) bool { return k.window+3 < window })
+	over := slices.IndexFunc(c.tens, func(k tenSeconds) bool { return k.window+3 < window })
 	if over >= 0 {
-		c.tens[over] = ten{class: u.name(class), window: window}
+		c.tens[over] = tenSeconds{class: u.intern(class), window: window}
 		return &c.tens[over]
 	}
 	if len(c.tens) >= 3*(u.cfg.Classes+1) {
@@ -276,19 +276,19 @@
 		return nil
 	}
 	u.classes++
-	c.tens = append(c.tens, ten{class: u.name(class), window: window})
+	c.tens = append(c.tens, tenSeconds{class: u.intern(class), window: window})
 	return &c.tens[len(c.tens)-1]
 }
 
-// name stores a class name once, however many messages contain it.
-func (u *Use) name(class string) string {
-	n, ok := u.names[class]
+// intern stores a class name once, however many messages contain it.
+func (u *Use) intern(class string) string {
+	n, ok := u.interned[class]
 	if !ok {
-		if len(u.names) > 4096 { // a site's settings have some dozens
-			clear(u.names)
+		if len(u.interned) > 4096 { // a site's settings have some dozens
+			clear(u.interned)
 		}
 		n = strings.Clone(class)
-		u.names[n] = n
+		u.interned[n] = n
 	}
 	return n
 }
@@ -306,8 +306,8 @@
 			if c == t.own {
 				t.own = nil
 			}
-			if c.m.cells--; c.m.cells == 0 && c.m.view < 0 {
-				delete(u.members, c.m.Member)
+			if c.owner.cells--; c.owner.cells == 0 && c.owner.view < 0 {
+				delete(u.members, c.owner.Member)
 			}
 			return true
 		})
@@ -345,14 +345,14 @@
 			if s := &c.seconds[i]; s.window != 0 {
 				seconds = true
 				if s.window+10 > w && s.window <= w {
-					n.add(Count{Asked: uint64(s.asked), Requests: uint64(s.let), Work: float64(s.work) / 1e6})
+					n.add(Count{Asked: uint64(s.asked), Requests: uint64(s.admitted), Work: float64(s.work) / 1e6})
 				}
 			}
 		}
 	}
 	tens := uint32(now.Wall / ClassWindow)
 	if seconds { // the seconds that were received may be incomplete
-		if k := c.at(tens, class); k != nil && uint64(k.requests) > n.Requests {
+		if k := c.findTenSeconds(tens, class); k != nil && uint64(k.requests) > n.Requests {
 			n.Requests, n.Work = uint64(k.requests), max(n.Work, float64(k.work)/1e6)
 			n.Asked = max(n.Asked, n.Requests)
 		}
--- a/share/use_test.go
+++ b/share/use_test.go
@@ -109,7 +109,7 @@
 }
 
 // Counts in windows that no clock within Skew could be in must be dropped; counts from clocks that are off by Skew must not.
-func TestUseOfOtherClocks(t *testing.T) {
+func TestUseFromSkewedClocks(t *testing.T) {
 	now := at(time.Hour)
 	for off, want := range map[time.Duration]uint64{-Skew: 1, Skew: 1, time.Minute: 0, -time.Minute: 0} {
 		u, o := NewUse(UseConfig{Self: Member{"a", 1}}), NewUse(UseConfig{Self: Member{"b", 1}})
@@ -125,7 +125,7 @@
 }
 
 // The plan of the latest load must apply at all members, whichever member read it and in whatever order the records arrive.
-func TestPlanOfTheLatestLoad(t *testing.T) {
+func TestPlanOfLatestLoadApplies(t *testing.T) {
 	a, b := NewUse(UseConfig{Self: Member{"a", 1}}), NewUse(UseConfig{Self: Member{"b", 1}})
 	a.SetLimit(at(0), "shop", Limit{Plan: "gold", Loaded: 2})
 	b.SetLimit(at(0), "shop", Limit{Plan: "free", Loaded: 1})
@@ -168,7 +168,7 @@
 }
 
 // As the beats of the others age, a part must move from its last value to the fair part, and never to nothing or to all.
-func TestAllowanceFallsWhenOthersAreSilent(t *testing.T) {
+func TestAllowanceMovesToFairPartWhenOthersAreSilent(t *testing.T) {
 	u, b := NewUse(UseConfig{Self: Member{"a", 1}}), NewUse(UseConfig{Self: Member{"b", 1}})
 	u.SetLimit(at(0), "shop", Limit{Requests: 100})
 	said := time.Duration(0)
--- a/share/userec.go
+++ b/share/userec.go
@@ -9,16 +9,16 @@
 	"glencart/schema"
 )
 
-// told is how many seconds of a count are sent: the current one and two that are over. Each is sent in every round of that
-// time, so that a few lost messages have no effect; settle relies on it.
-const told = 3
+// sentSeconds is how many seconds of a count are sent: the current one and two that are over. Each is sent in every round of that
+// time, so that a few lost messages have no effect; settleWindows relies on it.
+const sentSeconds = 3
 
 // Own appends this instance's counts that other members may not know yet, and the plans that it has read from its settings.
 // Each record is partial: it may be merged into what is known, but must not replace it.
 func (u *Use) Own(now Now, out []schema.Record) []schema.Record {
 	from := len(out)
 	for name, t := range u.tenants {
-		if r, ok := u.record(now, name, t, func(c *cell) bool { return c == t.own }, t.limit.Loaded == t.loaded && t.plan != ""); ok {
+		if r, ok := u.record(now, name, t, func(c *cell) bool { return c == t.own }, t.limit.Loaded == t.planLoad && t.plan != ""); ok {
 			out = append(out, r)
 		}
 	}
@@ -36,7 +36,7 @@
 func (u *Use) Changed(now Now, since uint64, out []schema.Record) ([]schema.Record, uint64) {
 	from := len(out)
 	for name, t := range u.tenants {
-		if r, ok := u.record(now, name, t, func(c *cell) bool { return c.version > since }, t.planAt > since); ok {
+		if r, ok := u.record(now, name, t, func(c *cell) bool { return c.version > since }, t.planVersion > since); ok {
 			out = append(out, r)
 		}
 	}
@@ -52,7 +52,7 @@
 func (u *Use) record(now Now, name string, t *tenant, which func(*cell) bool, plan bool) (schema.Record, bool) {
 	r := schema.Record{Kind: schema.Use, Schema: NewestUse, Key: name}
 	if plan && t.plan != "" && u.cfg.Form >= 3 {
-		r.Fields = append(r.Fields, schema.Field{Num: usePlan, Int: t.loaded, Text: []byte(t.plan)})
+		r.Fields = append(r.Fields, schema.Field{Num: usePlan, Int: t.planLoad, Text: []byte(t.plan)})
 	}
 	for _, c := range t.cells {
 		if which(c) {
@@ -60,8 +60,8 @@
 		}
 	}
 	slices.SortFunc(r.Fields, compareFields)
-	if t.strange != nil && len(r.Fields) > 0 {
-		if all, err := u.book.Merge(r, *t.strange); err == nil {
+	if t.unknown != nil && len(r.Fields) > 0 {
+		if all, err := u.book.Merge(r, *t.unknown); err == nil {
 			r = all
 		}
 	}
@@ -77,24 +77,24 @@
 	}
 	for i := range c.seconds {
 		s := &c.seconds[i]
-		if s.window == 0 || uint64(s.window)+told <= newest {
+		if s.window == 0 || uint64(s.window)+sentSeconds <= newest {
 			continue
 		}
-		sub := countSub(uint64(s.window), c.m.Member, "")
+		sub := countSub(uint64(s.window), c.owner.Member, "")
 		out = append(out, schema.Field{Num: useAsked, Sub: sub, Int: uint64(s.asked)})
-		if s.let > 0 {
-			out = append(out, schema.Field{Num: useLet, Sub: sub, Int: uint64(s.let)})
+		if s.admitted > 0 {
+			out = append(out, schema.Field{Num: useAdmitted, Sub: sub, Int: uint64(s.admitted)})
 		}
 		if s.work > 0 {
-			out = append(out, schema.Field{Num: useLetWork, Sub: sub, Int: uint64(s.work)})
+			out = append(out, schema.Field{Num: useSecondWork, Sub: sub, Int: uint64(s.work)})
 		}
 	}
 	for i := range c.tens {
 		k := &c.tens[i]
-		if (uint64(k.window)+1)*10+told <= newest {
+		if (uint64(k.window)+1)*10+sentSeconds <= newest {
 			continue
 		}
-		sub := countSub(uint64(k.window), c.m.Member, k.class)
+		sub := countSub(uint64(k.window), c.owner.Member, k.class)
 		if k.requests > 0 {
 			out = append(out, schema.Field{Num: useRequests, Sub: sub, Int: uint64(k.requests)})
 		}
@@ -135,26 +135,26 @@
 	if t == nil {
 		return nil
 	}
-	var strange []schema.Field
+	var unknown []schema.Field
 	for i := range r.Fields {
 		f := &r.Fields[i]
 		switch {
-		case !u.knows(f):
-			strange = append(strange, *f)
+		case !u.reads(f):
+			unknown = append(unknown, *f)
 		case f.Num == usePlan:
-			if f.Int > t.loaded || f.Int == t.loaded && string(f.Text) > t.plan {
+			if f.Int > t.planLoad || f.Int == t.planLoad && string(f.Text) > t.plan {
 				u.version++
-				t.plan, t.loaded, t.planAt = string(f.Text), f.Int, u.version
+				t.plan, t.planLoad, t.planVersion = string(f.Text), f.Int, u.version
 			}
 		default:
 			u.mergeCount(now, t, f)
 		}
 	}
-	return u.keepStrange(t, r.Key, strange)
+	return u.keepUnknown(t, r.Key, unknown)
 }
 
-// knows reports whether a release at Form reads a field.
-func (u *Use) knows(f *schema.Field) bool {
+// reads reports whether a release at Form reads a field.
+func (u *Use) reads(f *schema.Field) bool {
 	switch f.Num {
 	case useRequests:
 		if u.cfg.Form >= 2 {
@@ -166,7 +166,7 @@
 		return u.cfg.Form >= 2
 	case usePlan:
 		return u.cfg.Form >= 3 && f.Sub == ""
-	case useAsked, useLet, useLetWork:
+	case useAsked, useAdmitted, useSecondWork:
 		return u.cfg.Form >= 3
 	}
 	return false
@@ -206,8 +206,8 @@
 		}
 	}
 	switch f.Num {
-	case useAsked, useLet, useLetWork:
-		s := &c.seconds[window%ring]
+	case useAsked, useAdmitted, useSecondWork:
+		s := &c.seconds[window%keptSeconds]
 		if s.window > uint32(window) {
 			return // long over for this member
 		}
@@ -217,14 +217,14 @@
 		switch f.Num {
 		case useAsked:
 			raise(&s.asked)
-		case useLet:
-			raise(&s.let)
+		case useAdmitted:
+			raise(&s.admitted)
 		default:
 			raise(&s.work)
 		}
 		c.newest = max(c.newest, uint32(window))
 	default:
-		k := u.ten(c, uint32(window), class)
+		k := u.tenSecondsOf(c, uint32(window), class)
 		if k == nil {
 			return
 		}
@@ -253,15 +253,15 @@
 	return false
 }
 
-// keepStrange stores fields that a later release wrote, to pass them on. They are dropped with the tenant.
-func (u *Use) keepStrange(t *tenant, key string, fields []schema.Field) error {
+// keepUnknown stores fields that a later release wrote, to pass them on. They are dropped with the tenant.
+func (u *Use) keepUnknown(t *tenant, key string, fields []schema.Field) error {
 	if len(fields) == 0 {
 		return nil
 	}
 	r := schema.Record{Kind: schema.Use, Schema: NewestUse, Key: key, Fields: fields}
-	if t.strange != nil {
+	if t.unknown != nil {
 		var err error
-		if r, err = u.book.Merge(*t.strange, r); err != nil {
+		if r, err = u.book.Merge(*t.unknown, r); err != nil {
 			return fmt.Errorf("share: use: %w", err)
 		}
 	}
@@ -269,7 +269,7 @@
 		u.stats.Strange++
 		r.Fields = r.Fields[len(r.Fields)-u.cfg.Strange:] // windows rise with their Subs: this keeps the newest of the highest number
 	}
-	t.strange = &r
+	t.unknown = &r
 	return nil
 }
 
