--- a/share/move_test.go
+++ b/share/move_test.go
@@ -10,7 +10,7 @@
 	"glencart/schema"
 )
 
-// Owners are spread evenly, and one that comes or goes moves what it has to and no more.
+// Owners must be spread evenly, and a member that joins or leaves must move only the parts that it gains or loses.
 func TestRing(t *testing.T) {
 	var members []Member
 	for i := range 30 {
@@ -21,38 +21,38 @@
 	for p := range Part(Parts) {
 		a, b := all.Owners(p), fewer.Owners(p)
 		if a[0] == a[1] {
-			t.Fatalf("part %d: twice one owner", p)
+			t.Fatalf("part %d: the same owner twice", p)
 		}
 		for _, o := range a {
 			count[o]++
 			if o != "m0" && !slices.Contains(b, o) {
-				t.Fatalf("part %d was of %v, and is of %v", p, a, b)
+				t.Fatalf("part %d: owners were %v, and are %v", p, a, b)
 			}
 		}
 		if !slices.Equal(a, b) {
 			moved++
 		}
 	}
-	least, most := Parts, 0
+	fewest, most := Parts, 0
 	for _, m := range members {
-		least, most = min(least, count[m.Name]), max(most, count[m.Name])
+		fewest, most = min(fewest, count[m.Name]), max(most, count[m.Name])
 	}
-	if mean := 2 * Parts / 30; least < mean*7/10 || most > mean*13/10 || moved > most {
-		t.Errorf("of a mean of %d: %d to %d; %d moved when one went", mean, least, most, moved)
+	if mean := 2 * Parts / 30; fewest < mean*7/10 || most > mean*13/10 || moved > most {
+		t.Errorf("owned parts: mean %d, range %d to %d; %d moved when one member left", mean, fewest, most, moved)
 	}
 	if o := NewRing(members[:1], 2).Owners(3); len(o) != 1 {
 		t.Errorf("one member: %v", o)
 	}
 	if o := NewRing(nil, 2).Owners(3); o != nil {
-		t.Errorf("nobody: %v", o)
+		t.Errorf("no members: %v", o)
 	}
 	if r := NewRing([]Member{{"a", 1}, {"a", 2}}, 2); len(r.members) != 1 || r.members[0].Start != 2 {
 		t.Errorf("two processes of one name: %v", r.members)
 	}
 }
 
-// town is a fleet whose records are told at once, for what moves.
-type town struct {
+// moveFleet is a fleet whose records are sent at once, for tests of ownership changes.
+type moveFleet struct {
 	t       *testing.T
 	now     Now
 	tables  map[string]*Sessions
@@ -60,8 +60,8 @@
 	records int // sent in transfers
 }
 
-func newTown(t *testing.T, names ...string) *town {
-	w := &town{t: t, now: at(0), tables: map[string]*Sessions{}, starts: map[string]uint64{}}
+func newMoveFleet(t *testing.T, names ...string) *moveFleet {
+	w := &moveFleet{t: t, now: at(0), tables: map[string]*Sessions{}, starts: map[string]uint64{}}
 	for _, name := range names {
 		w.start(name)
 	}
@@ -73,12 +73,12 @@
 	return w
 }
 
-func (w *town) start(name string) {
+func (w *moveFleet) start(name string) {
 	w.starts[name]++
 	w.tables[name] = NewSessions(SessionsConfig{Self: Member{name, w.starts[name]}})
 }
 
-func (w *town) ring(without string) *Ring {
+func (w *moveFleet) ring(without string) *Ring {
 	var m []Member
 	for name := range w.tables {
 		if name != without {
@@ -88,7 +88,7 @@
 	return NewRing(m, 2)
 }
 
-func (w *town) members() {
+func (w *moveFleet) members() {
 	r := w.ring("")
 	moves := map[string][]Transfer{}
 	for name, s := range w.tables {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (w *town) send(from string, list []Transfer) {
+func (w *moveFleet) send(from string, list []Transfer) {
 	for _, m := range list {
 		to := w.tables[m.To]
 		for _, r := range w.tables[from].Range(w.now, Range{Part: m.Part}, nil) {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (w *town) tell(m Marked) {
+func (w *moveFleet) tell(m Marked) {
 	for _, o := range m.To {
 		if s := w.tables[o]; s != nil {
 			s.Merge(w.now, m.Record)
@@ -120,8 +120,8 @@
 	}
 }
 
-// missing counts sessions that some owner does not have, or is not sure of.
-func (w *town) missing(keys []Key) (n, unsure int) {
+// missing counts the (session, owner) pairs where the owner doesn't have the session, and those where it is not sure.
+func (w *moveFleet) missing(keys []Key) (n, unsure int) {
 	r := w.ring("")
 	for _, k := range keys {
 		for _, o := range r.Owners(PartOf(k)) {
@@ -136,29 +136,30 @@
 	return n, unsure
 }
 
-// A planned end, a crash, a start under the old name and one of a new member lose no session and no mark while one owner of two
-// lives; two crashes at once lose what only those had, and nobody then takes it for unknown.
-func TestSessionsMove(t *testing.T) {
+// Guards against losing sessions and marks when ownership changes. A planned shutdown, a crash, a restart under the old name
+// and a new member must lose nothing while one of two owners lives. Two crashes at once lose what only those two had, and then
+// no owner may be sure.
+func TestOwnershipChangeKeepsSessions(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for _, c := range []struct {
 		name         string
-		change       func(w *town)
+		change       func(w *moveFleet)
 		lost, unsure bool
 	}{
-		{"planned end", func(w *town) {
+		{"planned end", func(w *moveFleet) {
 			w.send("a", w.tables["a"].Leaving(w.now, w.ring("a"), nil))
 			delete(w.tables, "a")
 			if n, _ := w.missing(w.keys(1)); n != 0 {
-				t.Errorf("%d are missing before anybody was told", n)
+				t.Errorf("%d are missing before the members have the new ring", n)
 			}
 			w.members()
 		}, false, false},
-		{"crash", func(w *town) { delete(w.tables, "a"); w.members() }, false, false},
-		{"crash, then another", func(w *town) { delete(w.tables, "a"); w.members(); delete(w.tables, "b"); w.members() }, false, false},
-		{"killed and started again", func(w *town) { w.start("a"); w.members() }, false, false},
-		{"a new one", func(w *town) { w.start("f"); w.members() }, false, false},
-		{"two crash at once", func(w *town) { delete(w.tables, "a"); delete(w.tables, "b"); w.members() }, true, true},
-		{"all start again", func(w *town) {
+		{"crash", func(w *moveFleet) { delete(w.tables, "a"); w.members() }, false, false},
+		{"crash, then another", func(w *moveFleet) { delete(w.tables, "a"); w.members(); delete(w.tables, "b"); w.members() }, false, false},
+		{"killed and started again", func(w *moveFleet) { w.start("a"); w.members() }, false, false},
+		{"a new one", func(w *moveFleet) { w.start("f"); w.members() }, false, false},
+		{"two crash at once", func(w *moveFleet) { delete(w.tables, "a"); delete(w.tables, "b"); w.members() }, true, true},
+		{"all start again", func(w *moveFleet) {
 			for _, n := range names {
 				w.start(n)
 			}
@@ -166,7 +167,7 @@
 		}, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newTown(t, names...)
+			w := newMoveFleet(t, names...)
 			keys := w.keys(5000)
 			for i, k := range keys {
 				w.tell(w.tables[names[i%5]].Hold(w.now, k, "box", "", time.Hour))
@@ -184,24 +185,24 @@
 				s.Tick(at(3 * MaxKeep))
 			}
 			if _, unsure := w.missing(keys); unsure != 0 {
-				t.Errorf("%d unsure for ever", unsure)
+				t.Errorf("%d still unsure after the marks expired", unsure)
 			}
 		})
 	}
 }
 
-func (w *town) keys(n int) (keys []Key) {
+func (w *moveFleet) keys(n int) (keys []Key) {
 	for i := range n {
 		keys = append(keys, KeyOf("", fmt.Append(nil, i)))
 	}
 	return keys
 }
 
-// A part that comes before its new owner knows that it is one is not asked for again; one that came long ago is.
-func TestAPartThatCameEarly(t *testing.T) {
+// A part that arrives before its new owner knows that it owns it must count as received; one that arrived long before must not.
+func TestEarlyTransferCounts(t *testing.T) {
 	old := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
 	next := NewRing([]Member{{"b", 1}, {"c", 1}}, 2)
-	for late, want := range map[time.Duration]bool{time.Second: true, earlyFor: false} {
+	for late, want := range map[time.Duration]bool{time.Second: true, earlyPartWindow: false} {
 		c := NewSessions(SessionsConfig{Self: Member{"c", 1}})
 		c.Members(at(0), old, false, nil)
 		c.Tick(at(2 * MarkFor))
@@ -217,7 +218,7 @@
 	}
 }
 
-// Two owners that differ in some sessions find them by digests, and send those ranges alone.
+// Two owners that differ in some sessions must find them by digests, and send only those ranges.
 func TestRepairByDigests(t *testing.T) {
 	a, b := NewSessions(SessionsConfig{Self: Member{"a", 1}, Sessions: 1 << 20}), NewSessions(SessionsConfig{Self: Member{"b", 1}, Sessions: 1 << 20})
 	ring := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
@@ -226,7 +227,7 @@
 	b.Members(now, ring, false, nil)
 	shared := a.Shared("b", nil)
 	if !slices.Equal(shared, b.Shared("a", nil)) {
-		t.Fatal("they do not agree on what they share")
+		t.Fatal("the two owners disagree on the parts that both own")
 	}
 	const total, differ = 50_000, 100
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -267,7 +268,7 @@
 	}
 	for _, p := range shared {
 		if a.Digest(Range{Part: p}) != b.Digest(Range{Part: p}) {
-			t.Fatal("they still differ")
+			t.Fatal("the digests still differ")
 		}
 	}
 	t.Logf("%d sessions, %d differ: %d records, %d bytes and %d digests of 8 bytes; all would be %d records, %d bytes", total, differ, records, bytes, digests, whole, all)
@@ -276,7 +277,7 @@
 	}
 }
 
-// A digest says what is known and not how it came to be known, and each change of it shows.
+// A digest must depend on what is known and not on how it became known, and each change must change it.
 func TestDigest(t *testing.T) {
 	k := Key{9}
 	a, b := NewSessions(SessionsConfig{Self: Member{"a", 1}}), NewSessions(SessionsConfig{Self: Member{"b", 1}})
@@ -297,7 +298,7 @@
 		step()
 		d := a.Digest(r)
 		if seen[d] {
-			t.Errorf("step %d does not show", i)
+			t.Errorf("step %d doesn't change the digest", i)
 		}
 		seen[d] = true
 		if leaves := a.Leaves(r.Part); leaves[LeafOf(k)] != d {
@@ -308,13 +309,13 @@
 		b.Merge(at(0), rec)
 	}
 	if a.Digest(r) != b.Digest(r) {
-		t.Error("the same is known, and the digests differ")
+		t.Error("the same records, but different digests")
 	}
 	neighbour := k
 	neighbour[15]++
 	b.Hold(at(0), neighbour, "box", "", time.Second)
 	b.Tick(at(time.Second + Skew + OldFor))
 	if b.find(neighbour) != nil || a.Digest(r) != b.Digest(r) {
-		t.Error("one that is over stays in the digest")
+		t.Error("an expired session stays in the digest")
 	}
 }
