--- a/internal/clients/accepting.go
+++ b/internal/clients/accepting.go
@@ -9,15 +9,15 @@
 	"glencart/internal/lograte"
 )
 
-// acceptAgain is how long nobody is let in after the system has failed to.
+// acceptRetryDelay is the pause after a failed accept.
 const acceptAgain = 10 * time.Millisecond
 
-// acceptEnds are the errors after which a listener lets nobody in any more.
+// permanentAcceptErrors are the errors after which a listener accepts no more connections.
 var acceptEnds = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 
-// Accepting returns a listener that goes on where the system fails to let somebody in: it has no descriptor or no memory left, or the
-// client's network is broken (accept(2)). The library gives up at most of these, and the node would end.
-func Accepting(l net.Listener, complain *lograte.Limited) net.Listener { return accepting{l, complain} }
+// Accepting returns a listener that retries when accept(2) fails because descriptors or memory run out or the client's
+// network is broken. net/http stops serving at most of these errors, which would end the node.
+func Accepting(l net.Listener, log *lograte.Limited) net.Listener { return accepting{l, log} }
 
 type accepting struct {
 	net.Listener
@@ -35,7 +35,7 @@
 				return nil, err
 			}
 		}
-		l.complain.Warn("nobody is let in for a moment: look at the machine's memory and at the limit on descriptors", "error", err)
+		l.complain.Warn("can't accept connections, retrying: check the machine's memory and the limit on descriptors", "error", err)
 		time.Sleep(acceptAgain)
 	}
 }
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -10,50 +10,50 @@
 	"time"
 )
 
-const whole = "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
+const wholeRequest = "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
 
-// A request that has been read is never on a connection that was closed as silent, however reading and closing meet: one that
-// is read and then closed would run with nobody to answer, or be lost.
-func TestClosingNeverMeetsARequestThatWasRead(t *testing.T) {
+// A request is lost, or runs without an answer, if its connection is closed as silent while it is read. Reads and closes run
+// concurrently here. A connection closed as silent must never have delivered a whole request.
+func TestSilentCloseNeverLosesReadRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounded := Limit(l, 8)
-	defer bounded.Close()
+	limited := Limit(l, 8)
+	defer limited.Close()
 	closed, read := 0, 0
 	for range 3000 {
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		served, err := bounded.Accept()
+		accepted, err := limited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := served.(*Conn)
+		c := accepted.(*Conn)
 		var wg sync.WaitGroup
 		var got int
-		out := false
+		isClosed := false
 		wg.Go(func() {
-			buf := make([]byte, len(whole))
+			buf := make([]byte, len(wholeRequest))
 			got, _ = io.ReadFull(c, buf)
 		})
 		wg.Go(func() {
-			for !out && !c.asking() {
-				out = c.closeUnasked(true, lingerFor)
-				if out {
+			for !isClosed && !c.asking() {
+				isClosed = c.closeUnasked(true, lingerFor)
+				if isClosed {
 					break
 				}
 				runtime.Gosched()
 			}
 		})
-		io.WriteString(client, whole)
+		io.WriteString(client, wholeRequest)
 		wg.Wait()
 		switch {
-		case out && got == len(whole):
+		case isClosed && got == len(wholeRequest):
 			t.Fatal("a whole request was read from a connection that was closed as silent")
-		case out:
+		case isClosed:
 			closed++
 		default:
 			read++
@@ -64,96 +64,99 @@
 	t.Logf("%d closed, %d read", closed, read)
 }
 
-// What stands unread since the process is slow, and what has been read whole and waits for its turn, does not give way:
-// closing it would lose a request that has been taken.
-func TestNoRequestGivesWay(t *testing.T) {
+// A slow process has whole requests that are unread, or read and not yet handled. Evicting their connections would lose them.
+func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounded := Limit(l, 8)
-	defer bounded.Close()
-	f := NewTable(8, Platform)
-	f.full = 2
-	pair := func(text string) net.Conn {
+	limited := Limit(l, 8)
+	defer limited.Close()
+	table := NewTable(8, Platform)
+	table.full = 2
+	acceptOne := func(text string) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
 		io.WriteString(c, text)
-		s, err := bounded.Accept()
+		accepted, err := limited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { s.Close() })
+		t.Cleanup(func() { accepted.Close() })
 		if text != "" {
-			for !s.(*Conn).unread() { // it is on its way
+			for !accepted.(*Conn).unread() { // the text is on its way
 				time.Sleep(time.Millisecond)
 			}
 		}
-		f.Track(s, http.StateNew)
-		if cc := f.conns[s]; cc != nil {
-			cc.since = time.Now().Add(-time.Second) // not fresh
+		table.Track(accepted, http.StateNew)
+		if tracked := table.conns[accepted]; tracked != nil {
+			tracked.since = time.Now().Add(-time.Second) // not fresh
 		}
-		return s
+		return accepted
 	}
-	read := pair(whole)
-	if _, err := io.ReadFull(read, make([]byte, len(whole))); err != nil {
+	read := acceptOne(wholeRequest)
+	if _, err := io.ReadFull(read, make([]byte, len(wholeRequest))); err != nil {
 		t.Fatal(err)
 	}
-	unread, silent := pair(whole), pair("")
-	pair("")
-	if f.conns[read] == nil || f.conns[unread] == nil || f.conns[silent] != nil {
-		t.Errorf("there yet: one read whole %t, one unread %t, a silent one %t",
-			f.conns[read] != nil, f.conns[unread] != nil, f.conns[silent] != nil)
+	unread, silent := acceptOne(wholeRequest), acceptOne("")
+	acceptOne("")
+	if table.conns[read] == nil || table.conns[unread] == nil || table.conns[silent] != nil {
+		t.Errorf("kept: read request %t, unread request %t, silent %t",
+			table.conns[read] != nil, table.conns[unread] != nil, table.conns[silent] != nil)
 	}
 }
 
-// Where clients don't send again what crossed a close, an idle connection never gives way, and a silent one only after a while.
-func TestIdleIsKept(t *testing.T) {
+// Clients of Own don't resend a request lost to a close. So an idle connection is never evicted, and a silent one only after
+// slowTimeout.
+func TestIdleConnectionIsNotEvictedWithKeepIdle(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounded := Limit(l, 4)
-	defer bounded.Close()
-	f := NewTable(4, Own)
-	f.full = 1
-	pair := func(since time.Duration, states ...http.ConnState) net.Conn {
+	limited := Limit(l, 4)
+	defer limited.Close()
+	table := NewTable(4, Own)
+	table.full = 1
+	acceptOne := func(since time.Duration, states ...http.ConnState) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		s, err := bounded.Accept()
+		accepted, err := limited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { s.Close() })
+		t.Cleanup(func() { accepted.Close() })
 		for _, state := range states {
-			f.Track(s, state)
+			table.Track(accepted, state)
 		}
-		f.conns[s].since = time.Now().Add(-since)
-		return s
+		table.conns[accepted].since = time.Now().Add(-since)
+		return accepted
 	}
-	idle := pair(time.Hour, http.StateNew, http.StateActive, http.StateIdle)
-	fresh, silent := pair(100*time.Millisecond, http.StateNew), pair(time.Second, http.StateNew)
-	f.Relieve()
-	if f.conns[idle] == nil || f.conns[fresh] == nil || f.conns[silent] != nil {
-		t.Errorf("there yet: idle %t, fresh %t, silent %t", f.conns[idle] != nil, f.conns[fresh] != nil, f.conns[silent] != nil)
+	idle := acceptOne(time.Hour, http.StateNew, http.StateActive, http.StateIdle)
+	fresh, silent := acceptOne(100*time.Millisecond, http.StateNew), acceptOne(time.Second, http.StateNew)
+	table.Relieve()
+	if table.conns[idle] == nil || table.conns[fresh] == nil || table.conns[silent] != nil {
+		t.Errorf("kept: idle %t, fresh %t, silent %t", table.conns[idle] != nil, table.conns[fresh] != nil, table.conns[silent] != nil)
 	}
 }
 
-// Requests that stand behind the first are asked for yet when that has its answer; of one that has come in part it is known.
-func TestAskedAndBegun(t *testing.T) {
+// Pipelined requests stay unanswered after the answer to the first, and a partial request counts as partial, however the bytes
+// are split. Otherwise a connection with a request could be closed as idle.
+func TestFramingCountsWholeAndPartialRequests(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		asked int32
 		begun bool
 	}{
-		{"", 0, false}, {"PO", 0, true}, {"POST / HTTP/1.1\r\n", 0, true}, {whole[:len(whole)-1], 0, true}, {whole, 1, false},
-		{"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 0, true}, {whole + whole, 2, false}, {whole + whole[:1], 1, true}, {"GET / HTTP/1.1\r\n\r\n" + whole, 2, false},
+		{"", 0, false}, {"PO", 0, true}, {"POST / HTTP/1.1\r\n", 0, true}, {wholeRequest[:len(wholeRequest)-1], 0, true},
+		{wholeRequest, 1, false},
+		{"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 0, true}, {wholeRequest + wholeRequest, 2, false},
+		{wholeRequest + wholeRequest[:1], 1, true}, {"GET / HTTP/1.1\r\n\r\n" + wholeRequest, 2, false},
 	} {
 		for _, piece := range []int{1, 5, 1 << 10} {
 			f := framing{length: -1}
@@ -163,14 +166,14 @@
 				text = text[n:]
 			}
 			if f.asked.Load() != c.asked || f.begun.Load() != c.begun {
-				t.Errorf("%q by %d: asked %d, begun %t", c.text, piece, f.asked.Load(), f.begun.Load())
+				t.Errorf("%q in pieces of %d: %d unanswered, partial %t", c.text, piece, f.asked.Load(), f.begun.Load())
 			}
 			f.answered()
 			if f.Chunked.Load() && f.begun.Load() {
-				t.Errorf("%q by %d: begun after its answer", c.text, piece)
+				t.Errorf("%q in pieces of %d: partial after its answer", c.text, piece)
 			}
 			if f.asking() != (c.asked > 1) {
-				t.Errorf("%q by %d: asking after an answer: %t", c.text, piece, f.asking())
+				t.Errorf("%q in pieces of %d: unanswered after an answer: %t", c.text, piece, f.asking())
 			}
 		}
 	}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -14,48 +14,50 @@
 	"glencart/internal/sock"
 )
 
-// Conn is a client's connection under watch. It shows nobody its socket: the platform may refuse sendfile and splice, which the
-// library would use.
+// Conn is a client's connection whose requests are tracked. It doesn't expose its socket, because net/http would use sendfile
+// and splice, which the platform may forbid.
 type Conn struct {
 	net.Conn // the socket
 	framing
-	home  *Listener // where it has a place
-	known net.Conn  // as the server knows it: itself, or the one of TLS over it
+	home  *Listener // the listener that counts it
+	known net.Conn  // the connection that http.Server uses: this one, or the TLS connection over it
 
-	// taking is held from when bytes leave the socket until they are marked, and while the connection is looked at and closed:
-	// between the two a whole request is neither unread nor asking.
+	// readMu is held while bytes are read from the socket and recorded, and while the connection is checked and closed. In
+	// between, a whole request would count neither as unread nor as unanswered.
 	taking sync.Mutex
 	raw    syscall.RawConn // nil: not a socket
 	take   func(fd uintptr) bool
-	into   []byte // of the Read under way; net/http has one at a time
+	into   []byte // buffer of the current Read; net/http calls one at a time
 	took   int
 	failed error
-	// notBefore is when the next request can have come at the soonest: the listener's queue was empty then, or it is that of the
-	// answer before. Of the connection's handlers, and of Track between two of them.
+	// notBefore is the earliest time at which the next request can have arrived. It is the last time that the listener's queue
+	// was empty, or the time of the previous answer. It belongs to the connection's handlers, and to Track between two of them.
 	notBefore time.Time
 
-	cut        atomic.Bool   // the rest of a body is not waited for any more
-	cutLingers time.Duration // and the connection may linger for so long then
-	// headBy is until when the head of a further request has to be whole, from its first byte on; zero where none has begun. By taking.
+	cut        atomic.Bool   // the wait for the rest of a body was ended
+	cutLingers time.Duration // how long the connection may linger after that
+	// headDeadline is the deadline for the whole head of a further request, set at its first byte. It is zero if no head has
+	// begun. Guarded by readMu.
 	headBy time.Time
-	// readBy is until when net/http wants to wait for what comes next; zero: for ever. By taking.
+	// readDeadline is the read deadline that net/http has set; zero: none. Guarded by readMu.
 	readBy time.Time
 
-	ended bool // by taking: it is ending, and linger is its owner. Nothing more is read: its client asks again elsewhere
+	ended bool // guarded by readMu. linger owns the connection and no request is read: the client retries elsewhere
 }
 
-// watch returns a connection of a client under watch.
-func watch(c net.Conn, home *Listener) *Conn {
-	f := &Conn{Conn: c, home: home, framing: framing{length: -1}}
+// newConn returns a Conn over a client's connection.
+func watch(c net.Conn, listener *Listener) *Conn {
+	conn := &Conn{Conn: c, home: listener, framing: framing{length: -1}}
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			f.raw, f.take = raw, f.takeBytes
+			conn.raw, conn.take = raw, conn.takeBytes
 		}
 	}
-	return f
+	return conn
 }
 
-// SetReadDeadline is net/http's: once the connection is ending, linger's own holds, and a head that has begun has its own end.
+// SetReadDeadline sets the read deadline of net/http. It has no effect on a closing connection, where linger has set its own. The
+// deadline of a partial head still applies.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.taking.Lock()
 	defer c.taking.Unlock()
@@ -67,24 +69,25 @@
 	return c.Conn.SetReadDeadline(c.deadline())
 }
 
-// boundHead begins the time for a head with its first byte, or, where that came before the answer to the request ahead of it, with
-// that answer. net/http begins it with the fourth byte: until then who has sent less rests. With taking held.
-func (c *Conn) boundHead() (began bool) {
-	within := c.home.HeadWithin
-	switch half := c.inHead() && !c.asking(); {
-	case !half || within <= 0:
+// startHeadTimeout starts the time limit for a head at its first byte. If that byte came before the answer to the previous
+// request, the limit starts at that answer. net/http starts its own at the fourth byte and treats a connection with
+// fewer as idle. It requires readMu.
+func (c *Conn) boundHead() (started bool) {
+	timeout := c.home.HeadWithin
+	switch partialHead := c.inHead() && !c.asking(); {
+	case !partialHead || timeout <= 0:
 		c.headBy = time.Time{}
 	case c.headBy.IsZero():
-		c.headBy = time.Now().Add(within)
+		c.headBy = time.Now().Add(timeout)
 		return true
 	}
 	return false
 }
 
-// deadline is until when bytes are waited for. With taking held.
+// deadline returns the effective read deadline. It requires readMu.
 func (c *Conn) deadline() time.Time {
 	if c.cut.Load() {
-		return c.home.born // it has passed
+		return c.home.born // in the past
 	}
 	if !c.headBy.IsZero() && (c.readBy.IsZero() || c.headBy.Before(c.readBy)) {
 		return c.headBy
@@ -92,7 +95,7 @@
 	return c.readBy
 }
 
-// takeBytes takes what stands on the socket, and marks it. It tells whether there was anything, an end or an error.
+// readSocket reads from the socket without blocking and records the bytes. It reports whether it got bytes, an end or an error.
 func (c *Conn) takeBytes(fd uintptr) bool {
 	c.taking.Lock()
 	defer c.taking.Unlock()
@@ -117,15 +120,15 @@
 	}
 }
 
-// readAt is when a byte came last; zero: none has.
+// lastReadAt returns the time of the last byte; zero: none.
 func (c *Conn) readAt() time.Time {
-	if after := c.readAfter.Load(); after > 0 {
-		return c.home.born.Add(time.Duration(after))
+	if offset := c.readAfter.Load(); offset > 0 {
+		return c.home.born.Add(time.Duration(offset))
 	}
 	return time.Time{}
 }
 
-// mark takes in what has been read.
+// recordRead records bytes that have been read.
 func (c *Conn) mark(p []byte) {
 	if len(p) > 0 {
 		c.readAfter.Store(int64(time.Since(c.home.born)))
@@ -133,6 +136,7 @@
 	c.saw(p)
 }
 
+// Read reads from the socket and records the bytes.
 func (c *Conn) Read(p []byte) (int, error) {
 	if c.raw == nil || len(p) == 0 {
 		n, err := c.Conn.Read(p)
@@ -142,80 +146,80 @@
 	c.into, c.took, c.failed = p, 0, nil
 	err := c.raw.Read(c.take)
 	if errors.Is(err, os.ErrDeadlineExceeded) && !c.asking() && !c.begun.Load() {
-		// Nothing was read in time; but a request that came meanwhile ends the rest. package net doesn't look again.
-		some := false
-		if c.raw.Control(func(fd uintptr) { some = c.takeBytes(fd) }) == nil && some {
+		// A request may have arrived at the moment of the deadline. Package net doesn't check again, so it would be lost.
+		hasInput := false
+		if c.raw.Control(func(fd uintptr) { hasInput = c.takeBytes(fd) }) == nil && hasInput {
 			err = nil
 		} else {
 			c.took, c.failed = 0, nil
 		}
 	}
-	n, failed := max(c.took, 0), c.failed
+	n, readErr := max(c.took, 0), c.failed
 	c.into, c.took, c.failed = nil, 0, nil
-	if err == nil && failed == nil {
+	if err == nil && readErr == nil {
 		if n == 0 {
 			return 0, io.EOF
 		}
 		return n, nil
 	}
-	// As package net words it: net/http goes by that.
-	word := &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr()}
+	// net/http depends on errors of the form that package net returns.
+	opErr := &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr()}
 	var raw *net.OpError
 	switch {
 	case errors.As(err, &raw):
-		word.Err = raw.Err // a deadline, or closed
+		opErr.Err = raw.Err // deadline exceeded or connection closed
 	case err != nil:
-		word.Err = err
-	case failed == net.ErrClosed:
-		word.Err = failed
+		opErr.Err = err
+	case readErr == net.ErrClosed:
+		opErr.Err = readErr
 	default:
-		word.Err = os.NewSyscallError("read", failed)
+		opErr.Err = os.NewSyscallError("read", readErr)
 	}
-	return 0, word
+	return 0, opErr
 }
 
-// stoodLeast is how long a request may have stood in the listener's queue without it being asked about.
+// minQueueTime is the shortest possible wait for which Stood asks the kernel. Below it Stood returns 0.
 const stoodLeast = 20 * time.Millisecond
 
-// Stood is how long a request that has been read whole had stood there: its time began with its last byte, and its handler's when
-// there was room to accept it, or the process came to read it. The kernel tells when data came last; no request came before the
-// queue was empty, or before the answer to the one ahead of it.
+// Stood returns how long a request waited in the kernel before it was read. The time for a request starts with its last
+// byte, but its handler starts only after the connection is accepted and read. The kernel has the time of the last data. A
+// request can't have come before the queue was last empty, or before the previous answer.
 func (c *Conn) Stood(now time.Time) time.Duration {
-	most := now.Sub(c.notBefore)
-	if most < stoodLeast {
+	longest := now.Sub(c.notBefore)
+	if longest < stoodLeast {
 		return 0
 	}
-	return min(most, sock.SinceData(c.Conn))
+	return min(longest, sock.SinceData(c.Conn))
 }
 
-// unread tells whether something has come on the connection that has not been read.
+// hasUnread reports whether the connection has unread bytes.
 func (c *Conn) unread() bool {
 	n, _ := sock.Peek(c.Conn)
 	return n > 0
 }
 
-// Of finds the watched connection under c, which may be one of TLS; nil if there is none.
+// Of returns the Conn under c, which may be a TLS connection. It returns nil if there is none.
 func Of(c net.Conn) *Conn {
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = t.NetConn()
 	}
-	w, _ := c.(*Conn)
-	return w
+	conn, _ := c.(*Conn)
+	return conn
 }
 
 type connKey struct{}
 
-// WithConn keeps a client's connection where its requests find it (http.Server's ConnContext).
+// WithConn adds a client's connection to the context of its requests. It is for http.Server.ConnContext.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
-	w := Of(c)
-	if w == nil {
+	conn := Of(c)
+	if conn == nil {
 		return ctx
 	}
-	w.known = c
-	return context.WithValue(ctx, connKey{}, w)
+	conn.known = c
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// FromContext returns the connection that a request came on, or nil.
+// FromContext returns the connection of a request, or nil.
 func FromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(connKey{}).(*Conn)
 	return c
--- a/internal/clients/ending.go
+++ b/internal/clients/ending.go
@@ -1,6 +1,7 @@
 package clients
 
-// This file ends connections: without a reset over what crosses the end, and with an answer for who is within a request.
+// This file closes connections. Bytes that arrive during the close cause no reset, and a client in the middle of a request
+// gets an answer.
 
 import (
 	"sync"
@@ -9,58 +10,59 @@
 )
 
 const (
-	// lingerFor and lingerMost bound how long, and how much of what comes, an ending connection is read and dropped. Its client
-	// ends its side as soon as it has read that this one has ended. lingerCrowd is for where the place is wanted.
+	// lingerTimeout and maxLingerBytes limit how long, and how many bytes, a closing connection is read and the input
+	// discarded. The client closes its side as soon as it has read the end of this one. fullLingerTimeout applies where new
+	// connections wait for a slot.
 	lingerFor, lingerCrowd = 400 * time.Millisecond, 40 * time.Millisecond
 	lingerMost             = 256 << 10
 )
 
-// Close ends the connection, and doesn't wait for its client. What comes from here on has crossed the end: nobody reads it.
+// Close closes the connection without waiting for its client. Bytes that arrive from here on are not processed.
 func (c *Conn) Close() error {
 	c.taking.Lock()
-	was, within := c.ended, lingerFor
+	alreadyEnding, linger := c.ended, lingerFor
 	if c.Cut() {
-		within = c.cutLingers
+		linger = c.cutLingers
 	}
 	c.ended = true
-	c.taking.Unlock() // the socket's Close waits for a Read under way, and that one for taking
-	if !was {
-		c.linger(within)
+	c.taking.Unlock() // the Close of the socket waits for a current Read, which waits for readMu
+	if !alreadyEnding {
+		c.linger(linger)
 	}
 	return nil
 }
 
-// linger ends the sending side, drops what comes until the client has ended its own, to a bound, and gives the place back. A close
-// over unread bytes makes a reset, and what was written last can go with it. Only who has set ended may call it.
-func (c *Conn) linger(within time.Duration) {
-	left, over := lingerMost, false
-	take := func(fd uintptr) bool {
-		over = drop(fd, &left)
-		return over
+// linger closes the sending side, discards input until the client closes its side or a limit is reached, and frees the slot. A
+// close with unread bytes sends a reset, which can destroy the last bytes written. Only the caller that set ending may call it.
+func (c *Conn) linger(timeout time.Duration) {
+	left, done := lingerMost, false
+	discardInput := func(fd uintptr) bool {
+		done = drop(fd, &left)
+		return done
 	}
-	if c.raw == nil || c.raw.Control(func(fd uintptr) { take(fd) }) != nil || over {
+	if c.raw == nil || c.raw.Control(func(fd uintptr) { discardInput(fd) }) != nil || done {
 		c.Conn.Close()
 		c.home.left(false)
 		return
 	}
 	c.endSending()
-	c.Conn.SetReadDeadline(time.Now().Add(c.home.lingers(within)))
+	c.Conn.SetReadDeadline(time.Now().Add(c.home.lingers(timeout)))
 	go func() {
-		c.raw.Read(take) // after a Read under way, which finds that it has ended
+		c.raw.Read(discardInput) // waits for a current Read, which finds ending set
 		c.Conn.Close()
 		c.home.left(true)
 	}()
 }
 
-// dropped is what is read of ending connections.
+// discardBuffers holds buffers for the input of closing connections.
 var dropped = sync.Pool{New: func() any { return new([4 << 10]byte) }}
 
-// drop reads what stands on a socket and forgets it. It tells whether nothing more is to be waited for.
-func drop(fd uintptr, left *int) (over bool) {
-	into := dropped.Get().(*[4 << 10]byte)
-	defer dropped.Put(into)
+// discard reads and discards the input of a socket. It reports whether the end, an error or the limit was reached.
+func drop(fd uintptr, left *int) (done bool) {
+	buf := dropped.Get().(*[4 << 10]byte)
+	defer dropped.Put(buf)
 	for *left > 0 {
-		switch n, err := syscall.Read(int(fd), into[:]); {
+		switch n, err := syscall.Read(int(fd), buf[:]); {
 		case err == syscall.EINTR:
 		case err == syscall.EAGAIN:
 			return false
@@ -73,20 +75,21 @@
 	return true
 }
 
-// closeUnasked closes the connection unless a whole request has been read from it, or something stands unread; unless half, nor
-// if some of one has been read. It tells whether it is ending. What comes in that very instant has crossed the end, unread.
-// It lingers for so long at the most. Who is within a request has a refusal first: the rest of it may be on its way.
-func (c *Conn) closeUnasked(half bool, within time.Duration) bool {
+// closeIfNoRequest closes the connection unless it has an unanswered request or unread bytes. It closes one with part of a
+// request only if includePartial is set. It reports whether the connection is closing. Bytes that arrive during the close are
+// not processed. The connection lingers for at most linger. A client in the middle of a request first gets a 503, because the rest may
+// be on its way.
+func (c *Conn) closeUnasked(includePartial bool, linger time.Duration) bool {
 	if !c.taking.TryLock() {
-		return false // something is being read
+		return false // a read is in progress
 	}
-	if c.ended || c.asking() || !half && c.begun.Load() || c.unread() {
+	if c.ended || c.asking() || !includePartial && c.begun.Load() || c.unread() {
 		ended := c.ended
 		c.taking.Unlock()
 		return ended
 	}
 	if c.begun.Load() && !c.inHead() {
-		c.cutBody(within)
+		c.cutBody(linger)
 		c.taking.Unlock()
 		return true
 	}
@@ -95,34 +98,34 @@
 	}
 	c.ended = true
 	c.taking.Unlock()
-	c.linger(within)
+	c.linger(linger)
 	return true
 }
 
-// cutBody has the handler that waits for the rest of a body meet the end of its time at once: it answers, and closes, and the connection
-// lingers for so long. With taking held.
-func (c *Conn) cutBody(lingers time.Duration) {
-	c.cutLingers = lingers
+// cutBody makes the read deadline of a handler that waits for the rest of a body expire. The handler answers and closes the
+// connection, which then lingers for linger. It requires readMu.
+func (c *Conn) cutBody(linger time.Duration) {
+	c.cutLingers = linger
 	c.cut.Store(true)
 	c.Conn.SetReadDeadline(c.deadline())
 }
 
-// Cut tells whether this side has ended the wait for the rest of a body.
+// Cut reports whether this side has ended the wait for the rest of a body.
 func (c *Conn) Cut() bool { return c.cut.Load() }
 
-// refusal answers a request that has not come whole. Nothing of it was sent on.
+// partialRequestResponse answers an incomplete request. No part of it was forwarded.
 const refusal = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// refuseHalf writes a refusal where net/http waits for the rest of a head, and so writes nothing. It doesn't wait: what a full buffer
-// doesn't take is left out. With taking held.
+// rejectPartialHead answers a partial head with a 503. net/http writes nothing while it waits for the rest. It doesn't block, so
+// a full send buffer truncates the response. It requires readMu.
 func (c *Conn) refuseHalf() {
 	if c.raw != nil {
 		c.raw.Control(func(fd uintptr) { syscall.Write(int(fd), []byte(refusal)) })
 	}
 }
 
-// CloseWrite lets net/http end its side first, so that a client that still sends can read its answer. net/http then waits for half a
-// second; where the body was cut the place is wanted, or the process ends, and the connection ends at once.
+// CloseWrite closes the sending side. net/http calls it so that a client that still sends can read its answer, and then waits
+// half a second. If the body was cut, the slot is needed or the process shuts down, so the whole connection is closed at once.
 func (c *Conn) CloseWrite() error {
 	if c.Cut() {
 		return c.Close()
--- a/internal/clients/ending_test.go
+++ b/internal/clients/ending_test.go
@@ -15,7 +15,7 @@
 
 const patience = 10 * time.Second
 
-// crossed is a socket on which bytes of the client come in the very instant in which the server shuts or closes it.
+// racingConn is a socket on which bytes of the client arrive at the moment in which the server closes it or its sending side.
 type crossed struct {
 	*net.TCPConn
 	write func()
@@ -31,7 +31,7 @@
 func (c *crossed) Close() error      { c.cross(); return c.TCPConn.Close() }
 func (c *crossed) CloseWrite() error { c.cross(); return c.TCPConn.CloseWrite() }
 
-// crossing is a listener whose connections are crossed.
+// racingListener is a listener with connections of type racingConn.
 type crossing struct{ net.Listener }
 
 func (l crossing) Accept() (net.Conn, error) {
@@ -42,7 +42,7 @@
 	return &crossed{TCPConn: c.(*net.TCPConn)}, nil
 }
 
-// meet returns both ends of a connection of a listener.
+// connect returns both ends of a connection of a listener.
 func meet(t *testing.T, l *Listener) (client *net.TCPConn, served *Conn) {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -70,21 +70,21 @@
 	return bounded
 }
 
-// await waits until something is so.
+// await waits for a condition.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not so in time: %s", what)
+			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// A request that comes between the last look at a resting connection and its end is neither taken nor answered by a reset, whoever
-// ends it: its client has the whole answer before, and then an end.
-func TestARequestThatCrossesTheEnd(t *testing.T) {
+// A request can arrive between the last check of an idle connection and its close. It must not be read, and must not cause a
+// reset, which would destroy the previous answer. The client gets that answer and then the end of the connection.
+func TestRequestDuringCloseCausesNoReset(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	for name, end := range map[string]func(t *testing.T, c *Conn){
+	for name, closeConn := range map[string]func(t *testing.T, c *Conn){
 		"closed as quiet": func(t *testing.T, c *Conn) {
 			if !c.closeUnasked(false, lingerFor) {
 				t.Error("not closed")
@@ -97,32 +97,32 @@
 			client, c := meet(t, l)
 			io.WriteString(c, answer)
 			c.Conn.(*crossed).write = func() {
-				io.WriteString(client, whole)
+				io.WriteString(client, wholeRequest)
 				await(t, "the bytes", c.unread)
 			}
 			read := make(chan string, 1)
-			go func() { // as net/http, which waits for the next request meanwhile
+			go func() { // like net/http, which waits for the next request
 				b, _ := io.ReadAll(c)
 				read <- string(b)
 			}()
-			end(t, c)
+			closeConn(t, c)
 			if got, err := io.ReadAll(client); err != nil || string(got) != answer {
-				t.Errorf("the client has %q, %v", got, err)
+				t.Errorf("the client read %q, %v", got, err)
 			}
 			client.Close()
 			if got := <-read; got != "" {
 				t.Errorf("read after the end: %q", got)
 			}
-			await(t, "the place given back", func() bool { return l.Holds() == 0 && l.Lingering() == 0 })
+			await(t, "a free slot", func() bool { return l.Holds() == 0 && l.Lingering() == 0 })
 		})
 	}
 }
 
-// A client that writes on after the end, or never ends its own side, holds its place for a bounded time.
+// A client that keeps writing after the close, or never closes its side, must not hold its slot for ever.
 func TestLingeringIsBounded(t *testing.T) {
 	for name, write := range map[string]func(c net.Conn){
-		"says nothing": func(net.Conn) {},
-		"writes on": func(c net.Conn) {
+		"is silent": func(net.Conn) {},
+		"keeps writing": func(c net.Conn) {
 			for piece := make([]byte, 1<<10); ; time.Sleep(time.Millisecond) {
 				if _, err := c.Write(piece); err != nil {
 					return
@@ -137,17 +137,17 @@
 			client, c := meet(t, l)
 			c.Close()
 			go write(client)
-			await(t, "the place given back", func() bool { return l.Holds() == 0 })
+			await(t, "a free slot", func() bool { return l.Holds() == 0 })
 		})
 	}
 }
 
-// Where all places are taken, who lingers gives way to who waits: sooner than where there is room.
-func TestLingeringWhereItIsFull(t *testing.T) {
+// New connections wait while closing ones hold all slots. So a connection lingers for a shorter time if the listener is full.
+func TestLingerIsShorterWhenFull(t *testing.T) {
 	l := listen(t, 2)
 	_, c := meet(t, l)
 	if d := l.lingers(lingerFor); d != lingerFor {
-		t.Errorf("with room: %v", d)
+		t.Errorf("with a free slot: %v", d)
 	}
 	meet(t, l)
 	if d := l.lingers(lingerFor); d != lingerCrowd {
@@ -157,14 +157,15 @@
 	l.lingering = 0
 	l.mu.Unlock()
 	c.Close()
-	meet(t, l) // waits for the place
+	meet(t, l) // waits for the slot
 }
 
-// A request that came before a deadline was looked at ends the rest, and is read; a deadline on a rest is one, and on half a request too.
-func TestDeadlineBesideTheFirstByte(t *testing.T) {
+// A request that arrives at the moment of the read deadline of an idle connection would be lost. Read must return it. The
+// deadline must still apply to a silent connection and to a partial request.
+func TestRequestAtReadDeadlineIsRead(t *testing.T) {
 	for _, s := range []struct {
 		name, before, text, want string
-	}{{name: "silence"}, {"a request", "", whole, whole}, {"the rest of one", whole[:9], whole[9:], ""}} {
+	}{{name: "silence"}, {"a request", "", wholeRequest, wholeRequest}, {"the rest of one", wholeRequest[:9], wholeRequest[9:], ""}} {
 		t.Run(s.name, func(t *testing.T) {
 			client, c := meet(t, listen(t, 8))
 			b := make([]byte, 256)
@@ -187,7 +188,8 @@
 	}
 }
 
-// What stands unread behind a request whose answer closes the connection doesn't cost its client the answer.
+// An answer that closes the connection is cut off by a reset if a pipelined request is unread. The client must get all of the
+// answer, and the second request must not run.
 func TestAnswerThatClosesOverUnreadBytes(t *testing.T) {
 	const length = 8 << 20
 	l := listen(t, 8)
@@ -196,7 +198,7 @@
 	srv := &http.Server{ConnState: table.Track, ConnContext: WithConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran = append(ran, r.URL.Path)
 		c := FromContext(r.Context())
-		await(t, "the bytes behind", c.unread)
+		await(t, "the second request", c.unread)
 		w.Header().Set("Connection", "close")
 		w.Header().Set("Content-Length", fmt.Sprint(length))
 		w.Write(make([]byte, length))
@@ -210,8 +212,8 @@
 	defer client.Close()
 	client.SetDeadline(time.Now().Add(patience))
 	io.WriteString(client, "GET /first HTTP/1.1\r\nHost: x\r\n\r\n")
-	await(t, "the first", func() bool { return table.Asked() == 1 })
-	io.WriteString(client, strings.Replace(whole, "/api/x", "/behind", 1))
+	await(t, "the first request", func() bool { return table.Asked() == 1 })
+	io.WriteString(client, strings.Replace(wholeRequest, "/api/x", "/behind", 1))
 	r := bufio.NewReader(client)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -221,7 +223,7 @@
 		t.Errorf("%d bytes of the answer, %v", n, err)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("after it: %v", err)
+		t.Errorf("after the answer: %v", err)
 	}
 	client.Close()
 	await(t, "an empty table", func() bool { return table.Counts().Open == 0 && l.Holds() == 0 })
--- a/internal/clients/framing.go
+++ b/internal/clients/framing.go
@@ -1,6 +1,6 @@
 package clients
 
-// This file follows how the requests on a connection are framed.
+// This file tracks the framing of the requests on a connection.
 
 import (
 	"bytes"
@@ -9,39 +9,40 @@
 	"sync/atomic"
 )
 
-// framing watches how the requests on a client's connection are framed, as they pass. net/http drops
-// Content-Length where Transfer-Encoding stands beside it, before a handler can see both; yet such a request may
-// hide another in its body from who goes by the length. Nothing is held back or changed here.
+// framing tracks the framing of the requests on a client's connection. net/http drops Content-Length if Transfer-Encoding
+// is present too, before a handler can see both. Such a request can smuggle another one in its body past a recipient that
+// uses the length (RFC 9112, section 6.3). framing neither delays nor changes the bytes.
 type framing struct {
-	// Unsure: a head gave its length in two ways, or in a way that can't be followed. It is never taken back:
-	// where a request ends is not known any more, so nothing further on the connection can be trusted.
+	// Unsure is set if a head has conflicting or invalid lengths. It is never reset: the end of the request is unknown, so
+	// nothing later on the connection can be trusted.
 	Unsure atomic.Bool
-	// Chunked: a body came in chunks, whose end is not looked for here: this request is the last one.
+	// Chunked is set if a body is chunked. Its end isn't determined here, so this request is the last one.
 	Chunked atomic.Bool
 
-	// asked is how many whole requests have been read and not been answered: some may stand behind the first.
+	// unanswered is the number of whole requests read but not answered. It exceeds one for pipelined requests.
 	asked atomic.Int32
 
-	// begun: some of a request has been read, and not all of it. net/http tells of a request once its head is whole.
+	// partial is set if part of a request was read. net/http reports a request only once its head is complete.
 	begun atomic.Bool
 
-	// opaque: what passes is TLS, and its requests can't be told. All that has come since the last answer is taken for one.
+	// opaque is set if the bytes are TLS and requests can't be distinguished. All bytes since the last answer count as one
+	// request.
 	opaque bool
 
-	readAfter atomic.Int64 // how long after its listener a byte came last, ns; 0: none has
+	readAfter atomic.Int64 // time of the last byte, in ns since the listener was created; 0: none
 
-	line   []byte // the head's line so far, cut at lineMost
-	long   bool   // and whether it is longer
-	lines  int    // of the head so far
-	length int64  // by the head so far; -1 when it gives none
+	line   []byte // current line of the head, truncated to maxLineBytes
+	long   bool   // line was truncated
+	lines  int    // lines of the head so far
+	length int64  // content length in the head so far; -1: none
 	coded  bool   // the head has Transfer-Encoding
-	rest   int64  // of the body
+	rest   int64  // remaining bytes of the body
 }
 
-// lineMost is longer than any line that matters here.
+// maxLineBytes is longer than any line that affects the framing.
 const lineMost = 64
 
-// saw takes in what has been read.
+// observe processes bytes that were read.
 func (f *framing) saw(p []byte) {
 	if f.opaque {
 		if len(p) > 0 {
@@ -52,7 +53,7 @@
 	if len(p) == 0 {
 		return
 	}
-	// Of what is not followed further nobody knows where it ends: some of it is under way until it has its answer.
+	// The end of a request with an unknown length can't be determined, so it counts as partial until its answer.
 	defer func() {
 		f.begun.Store(f.rest > 0 || f.lines > 0 || len(f.line) > 0 || f.Unsure.Load() || f.Chunked.Load())
 	}()
@@ -66,23 +67,23 @@
 			}
 			continue
 		}
-		part := p
-		end := bytes.IndexByte(p, '\n')
-		if end >= 0 {
-			part, p = p[:end], p[end+1:]
+		lineBytes := p
+		newline := bytes.IndexByte(p, '\n')
+		if newline >= 0 {
+			lineBytes, p = p[:newline], p[newline+1:]
 		} else {
 			p = nil
 		}
-		room := min(lineMost-len(f.line), len(part))
-		f.line, f.long = append(f.line, part[:room]...), f.long || room < len(part)
-		if end >= 0 {
+		kept := min(lineMost-len(f.line), len(lineBytes))
+		f.line, f.long = append(f.line, lineBytes[:kept]...), f.long || kept < len(lineBytes)
+		if newline >= 0 {
 			f.headLine()
 			f.line, f.long = f.line[:0], false
 		}
 	}
 }
 
-// headLine takes in a line of a head.
+// parseHeadLine processes a line of a head.
 func (f *framing) headLine() {
 	line := strings.TrimSuffix(string(f.line), "\r")
 	f.lines++
@@ -111,16 +112,17 @@
 	}
 }
 
-// inHead tells whether a head has begun and is not whole.
+// inHead reports whether part of a head was read.
 func (f *framing) inHead() bool { return f.rest == 0 && (f.lines > 0 || len(f.line) > 0) }
 
-// asking tells whether a whole request has been read that has no answer yet.
+// hasUnanswered reports whether a whole request was read and not answered.
 func (f *framing) asking() bool { return f.asked.Load() > 0 }
 
-// Behind tells whether a further whole request has been read behind the one that is under way: an answer that closes would lose it.
+// Behind reports whether a further whole request was read behind the current one. It would be lost if the answer closed the
+// connection.
 func (f *framing) Behind() bool { return f.asked.Load() > 1 && !f.Chunked.Load() && !f.Unsure.Load() }
 
-// answered takes in that a request has had its answer. Reading may add to them meanwhile.
+// markAnswered records that a request was answered. It may run concurrently with reads.
 func (f *framing) answered() {
 	if f.asked.Load() > 0 {
 		f.asked.Add(-1)
--- a/internal/clients/gone.go
+++ b/internal/clients/gone.go
@@ -2,7 +2,6 @@
 
 import "glencart/internal/sock"
 
-// Gone tells whether the client has closed its connection, or reset it, also where something that it wrote before stands unread:
-// whoever reads meets the end only after that. Any goroutine may ask; one system call. Where it can't be told, it has not. A nil
-// connection is one that can't be looked at.
+// Gone reports whether the client has closed or reset its connection. It finds that even behind unread bytes, where a read
+// would not. It makes one system call and is safe for concurrent use. It returns false if the state is unknown or c is nil.
 func (c *Conn) Gone() bool { return c != nil && sock.Gone(c.Conn) }
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -8,62 +8,63 @@
 	"glencart/internal/sock"
 )
 
-// Limit bounds how many connections are open at once. Beyond that they wait in the backlog, where
-// accepting them would run the process out of descriptors.
-func Limit(l net.Listener, most int) *Listener {
+// Limit returns a Listener with at most maxOpen open connections. Further ones wait in the backlog, because accepting them
+// could use up the descriptors of the process.
+func Limit(l net.Listener, maxOpen int) *Listener {
 	now := time.Now()
-	b := &Listener{Listener: l, most: most, born: now, emptyAt: now}
-	b.free.L = &b.mu
-	return b
+	limited := &Listener{Listener: l, most: maxOpen, born: now, emptyAt: now}
+	limited.free.L = &limited.mu
+	return limited
 }
 
-// Listener lets so many clients in at once and watches their connections. Limit returns one.
+// Listener limits the number of open connections and returns each as a Conn. Limit returns one.
 type Listener struct {
 	net.Listener
-	// To be set before the first Accept:
+	// These fields must be set before the first Accept.
 
-	Opaque     bool          // its clients speak TLS
-	HeadWithin time.Duration // how long the head of a further request may take from its first byte; 0: as net/http has it
+	Opaque     bool          // clients use TLS
+	HeadWithin time.Duration // time limit for the head of a further request, from its first byte; 0: that of net/http
 
 	born time.Time
 
 	mu         sync.Mutex
 	free       sync.Cond
-	open, most int // accepted and not closed, and how many may be
-	lingering  int // of the open, those that are ending
+	open, most int // open connections and their limit
+	lingering  int // open connections that are closing
 	closed     bool
-	emptyAt    time.Time // when the queue was known to be empty last; of Accept alone
+	emptyAt    time.Time // last time that the queue was known to be empty; used by Accept only
 }
 
-// queueEmpty is how long the system has to wait for a connection for the queue to have been empty.
+// minEmptyWait is how long accept(2) must block for the queue to count as empty before.
 const queueEmpty = time.Millisecond
 
-// Holds is how many connections are open.
+// Holds returns the number of open connections.
 func (l *Listener) Holds() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// Lingering is how many of them are ending, and only wait for their clients to end too.
+// Lingering returns the number of open connections that are closing and wait for their clients to close too.
 func (l *Listener) Lingering() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lingering
 }
 
-// lingers takes in that a connection is ending, and tells how long it may wait for its client: within, where there is room.
-func (l *Listener) lingers(within time.Duration) time.Duration {
+// beginLinger counts a connection as closing. It returns how long the connection may linger: timeout, or less if the listener is
+// full.
+func (l *Listener) lingers(timeout time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lingering++
 	if l.open >= l.most {
-		return min(within, lingerCrowd)
+		return min(timeout, lingerCrowd)
 	}
-	return within
+	return timeout
 }
 
-// left gives a place back, of one that lingered or did not.
+// release frees the slot of a connection. lingered reports whether the connection was counted as closing.
 func (l *Listener) left(lingered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,29 +75,29 @@
 	l.free.Signal()
 }
 
-// Waits tells whether nobody can be let in now: it is full, or closed.
+// Waits reports whether the listener is full or closed.
 func (l *Listener) Waits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open >= l.most || l.closed
 }
 
-// Full tells whether connections have to wait.
+// Full reports whether the limit on open connections is reached.
 func (l *Listener) Full() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open >= l.most
 }
 
-// Resize changes how many may be open. What is open is let be.
-func (l *Listener) Resize(most int) {
+// Resize changes the limit on open connections. Open ones stay open.
+func (l *Listener) Resize(maxOpen int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most = most
+	l.most = maxOpen
 	l.free.Broadcast()
 }
 
-// Accept is for one goroutine.
+// Accept waits for a free slot and for a connection. Only one goroutine may call it.
 func (l *Listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	for l.open >= l.most && !l.closed {
@@ -107,22 +108,23 @@
 	if closed {
 		return nil, net.ErrClosed
 	}
-	asked := time.Now()
+	start := time.Now()
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	if now := time.Now(); now.Sub(asked) >= queueEmpty {
+	if now := time.Now(); now.Sub(start) >= queueEmpty {
 		l.emptyAt = now
 	}
 	l.mu.Lock()
 	l.open++
 	l.mu.Unlock()
-	w := watch(c, l)
-	w.opaque, w.notBefore = l.Opaque, l.emptyAt
-	return w, nil
+	conn := watch(c, l)
+	conn.opaque, conn.notBefore = l.Opaque, l.emptyAt
+	return conn, nil
 }
 
+// Close closes the listener and ends a waiting Accept. Open connections stay open.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -131,11 +133,12 @@
 	return l.Listener.Close()
 }
 
-// Queued tells whether somebody may stand in the queue: it is full, it has something, or room is there and it can't be told.
+// Queued reports whether connections may be waiting in the queue. That is so if the listener is full or closed, or if the kernel
+// reports one.
 func (l *Listener) Queued() bool {
 	if l.Waits() {
-		return true // it is full, or closed and the last one let in is not counted yet
+		return true // if closed, the last accepted connection may not be counted yet
 	}
-	some, known := sock.Waiting(l.Listener)
-	return some && known // where it can't be told, room is taken for a sign
+	waiting, known := sock.Waiting(l.Listener)
+	return waiting && known // an unknown state counts as empty, because there is a free slot
 }
--- a/internal/clients/table.go
+++ b/internal/clients/table.go
@@ -1,6 +1,6 @@
-// Package clients is what every front over HTTP/1.1 knows of its clients' connections: how many there may be, where each one
-// stands, which can be missed when they are too many, and which may be closed when the process ends. No connection is closed on
-// which a whole request has been taken, or stands unread.
+// Package clients manages the client connections of the HTTP/1.1 front ends. It limits their number and tracks the state of
+// each. It evicts connections when there are too many, and closes idle ones at shutdown. It never closes a connection with a
+// whole unanswered request, read or unread. It doesn't parse or answer requests, except for a 503 to a partial one.
 package clients
 
 import (
@@ -13,42 +13,42 @@
 )
 
 const (
-	// slowAfter is when a connection without a whole request is the first to give way: the usual clients send
-	// theirs at once.
+	// slowTimeout is the inactivity after which a connection without a whole request is evicted first. Normal clients send
+	// their request at once.
 	slowAfter = 250 * time.Millisecond
-	// freshFor is how long nothing has to come on a connection before it can be missed: who has just connected, or writes on,
-	// is about to ask, and whoever finds no place waits to be let in.
+	// freshGrace is the inactivity before a connection may be evicted. A client that has just connected or still writes is
+	// about to send its request. A client without a slot meanwhile waits in the backlog.
 	freshFor = 30 * time.Millisecond
-	// opaqueQuiet is when what has come of a connection under TLS that has not asked yet is taken for the handshake alone.
+	// tlsQuietTimeout is the inactivity after which the bytes of a TLS connection without a request count as a handshake only.
 	opaqueQuiet = time.Second
-	// giveWayTries bounds how many connections are looked at for one that can be missed.
+	// maxEvictionTries limits how many connections are tried for one eviction.
 	giveWayTries = 8
-	// RelieveEvery is how often Relieve is to be called.
+	// RelieveEvery is the interval for calls of Relieve.
 	RelieveEvery = 20 * time.Millisecond
 )
 
-// Parts are how much of a listener's places may be taken, in hundredths.
+// Parts are thresholds for the open connections, in percent of the listener's limit.
 type Parts struct {
-	Crowded  int  // beyond it, answers close their connections, but for those of silent ones
-	Full     int  // beyond it, connections that say nothing give way, and those that are idle
-	KeepIdle bool // but no idle ones, and none that has been silent for a short while only
+	Crowded  int  // above it, answers close their connections; connections without a request don't count
+	Full     int  // above it, connections without a request and idle ones are evicted
+	KeepIdle bool // idle connections and those silent for less than slowTimeout are not evicted
 }
 
-// Platform are the parts where clients are rude, and send what crossed a close again. Own are those where a client may not do
-// that: its request on a kept connection would be lost.
+// Platform is for clients that hold many connections and resend a request if the connection closes as they send it. Own is for
+// clients that may not resend. Such a client would lose a request sent on a kept-alive connection as it is closed.
 var Platform, Own = Parts{Crowded: 75, Full: 60}, Parts{Crowded: 75, Full: 95, KeepIdle: true}
 
-// Table is where the connections of a listener's clients stand. NewTable returns one.
+// Table tracks the states of a listener's client connections. NewTable returns one.
 type Table struct {
 	parts   Parts
 	mu      sync.Mutex
-	crowded int // so many connections that answers close theirs
-	full    int // so many that silent ones give way too
+	crowded int // number of connections above which answers close theirs
+	full    int // number of connections above which some are evicted
 	conns   map[net.Conn]*entry
-	waiting int // connections without a whole request
+	waiting int // connections in stateWaiting
 }
 
-// entry is where a connection stands.
+// entry is the state of a connection.
 type entry struct {
 	state state
 	since time.Time
@@ -57,33 +57,34 @@
 type state uint8
 
 const (
-	waits state = iota // no whole request has come yet
-	open               // a request is open: never closed from this side
-	idle               // it has had its answer
+	waits state = iota // no whole request was received yet
+	open               // a request is in progress: never closed by this side
+	idle               // the last request was answered
 )
 
-// NewTable returns the table of a listener that holds so many connections.
-func NewTable(most int, parts Parts) *Table {
+// NewTable returns the table of a listener with at most maxOpen connections.
+func NewTable(maxOpen int, parts Parts) *Table {
 	t := &Table{parts: parts, conns: map[net.Conn]*entry{}}
-	t.Resize(most)
+	t.Resize(maxOpen)
 	return t
 }
 
-// Resize changes how many connections there may be.
-func (t *Table) Resize(most int) {
+// Resize changes the limit on connections.
+func (t *Table) Resize(maxOpen int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crowded, t.full = most*t.parts.Crowded/100, most*t.parts.Full/100
+	t.crowded, t.full = maxOpen*t.parts.Crowded/100, maxOpen*t.parts.Full/100
 }
 
-// KeepAll has nobody give way any more.
+// KeepAll disables evictions, and the closing of connections by answers.
 func (t *Table) KeepAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.crowded, t.full = math.MaxInt, math.MaxInt
 }
 
-// Relieve has connections that can be missed give way: where all places are taken nobody new is let in, for whom one could.
+// Relieve evicts connections above the threshold. Track evicts only when a new connection is accepted, and a full listener accepts
+// none.
 func (t *Table) Relieve() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,33 +92,33 @@
 	}
 }
 
-// CloseQuiet closes the connections on which no part of a request has come, read or not; half: also those on which no whole
-// one has.
-func (t *Table) CloseQuiet(half bool) {
+// CloseQuiet closes the connections with no part of a request, read or unread. With includePartial it also closes those with an
+// incomplete request.
+func (t *Table) CloseQuiet(includePartial bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
-		if w := Of(c); w != nil && w.opaque && e.state == waits && time.Since(t.moved(c)) > opaqueQuiet {
-			w.asked.Store(0) // a handshake, and nothing after it: a request would have come to its handler by now
+		if conn := Of(c); conn != nil && conn.opaque && e.state == waits && time.Since(t.moved(c)) > opaqueQuiet {
+			conn.asked.Store(0) // only a handshake: a request would have reached its handler by now
 		}
-		if e.state != open && closeUnasked(c, half, lingerFor) {
+		if e.state != open && closeUnasked(c, includePartial, lingerFor) {
 			t.remove(c)
 		}
 	}
 }
 
-// closeUnasked closes a connection if no request stands on it that has been taken. The socket is closed, not what TLS is on it:
-// saying so could wait for a client that does not read.
-func closeUnasked(c net.Conn, half bool, within time.Duration) bool {
-	if w := Of(c); w != nil {
-		return w.closeUnasked(half, within)
+// closeIfNoRequest closes a connection unless it has an unanswered request. It closes the socket without a TLS close notification,
+// which could block on a client that doesn't read.
+func closeUnasked(c net.Conn, includePartial bool, linger time.Duration) bool {
+	if conn := Of(c); conn != nil {
+		return conn.closeUnasked(includePartial, linger)
 	}
 	c.Close()
 	return true
 }
 
-// Track follows the connections of clients (http.Server's ConnState). When they become many, one gives way to each that comes: a
-// crowd that says nothing, or that keeps its connections, would lock out who has something to ask.
+// Track records a change of a connection's state. It is for http.Server.ConnState. Above the threshold it evicts one connection for
+// each new one. Otherwise silent or idle connections would lock out clients with requests.
 func (t *Table) Track(c net.Conn, s http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,9 +134,9 @@
 			t.enter(c, waits)
 		}
 	case http.StateIdle:
-		if w := Of(c); w != nil {
-			w.answered()
-			w.notBefore = time.Now()
+		if conn := Of(c); conn != nil {
+			conn.answered()
+			conn.notBefore = time.Now()
 		}
 		t.enter(c, idle)
 	case http.StateClosed, http.StateHijacked:
@@ -143,7 +144,7 @@
 	}
 }
 
-// enter has a connection change its state. One that has given way has none. It tells whether it is still there.
+// setState changes the state of a connection. It reports false if the connection was evicted.
 func (t *Table) enter(c net.Conn, to state) bool {
 	e := t.conns[c]
 	if e == nil {
@@ -168,104 +169,105 @@
 	}
 }
 
-// giveWay closes the connection that can best be missed: one that has long been without a whole request, then the
-// one that has been idle longest, unless most of the crowd has just come and says nothing. What stands unread
-// since this process is slow is no silence, and closing it could lose a request that has been taken. It tells whether one did.
+// evict closes one connection and reports whether it did. It prefers one that has long been without a whole request, then the
+// one idle longest. If many new connections are silent, it closes one of these before idle ones. A connection with unread
+// bytes is not silent: this process is slow, and a close could lose a request.
 func (t *Table) giveWay() bool {
 	for range giveWayTries {
 		var oldest [idle + 1]net.Conn
 		for c, e := range t.conns {
-			if w := Of(c); w != nil && w.asking() {
-				continue // a whole request has been read from it
+			if conn := Of(c); conn != nil && conn.asking() {
+				continue // it has an unanswered request
 			}
 			if e.state == waits && time.Since(t.moved(c)) < freshFor {
 				continue
 			}
-			if o := oldest[e.state]; o == nil || t.moved(c).Before(t.moved(o)) {
+			if current := oldest[e.state]; current == nil || t.moved(c).Before(t.moved(current)) {
 				oldest[e.state] = c
 			}
 		}
-		slow, quiet := oldest[waits], oldest[idle]
+		silent, idleLongest := oldest[waits], oldest[idle]
 		if t.parts.KeepIdle {
-			quiet = nil
-			if slow != nil && time.Since(t.moved(slow)) <= slowAfter {
+			idleLongest = nil
+			if silent != nil && time.Since(t.moved(silent)) <= slowAfter {
 				return false
 			}
 		}
-		out := quiet
-		if slow != nil && (quiet == nil || t.waiting > t.crowded/3 || time.Since(t.moved(slow)) > slowAfter) {
-			out = slow
+		victim := idleLongest
+		if silent != nil && (idleLongest == nil || t.waiting > t.crowded/3 || time.Since(t.moved(silent)) > slowAfter) {
+			victim = silent
 		}
-		if out == nil {
+		if victim == nil {
 			return false
 		}
-		if !closeUnasked(out, true, lingerCrowd) {
-			t.conns[out].since = time.Now() // the last to be looked at again
+		if !closeUnasked(victim, true, lingerCrowd) {
+			t.conns[victim].since = time.Now() // tried last from now on
 			continue
 		}
-		t.remove(out)
+		t.remove(victim)
 		return true
 	}
 	return false
 }
 
-// moved is when a connection came into its state, or when a byte came on it last: a request that is written slowly is not
-// one that has stopped.
+// lastActivity returns the time of the last change of a connection's state or of its last byte. A slowly written request counts
+// as active.
 func (t *Table) moved(c net.Conn) time.Time {
-	at := t.conns[c].since
-	if w := Of(c); w != nil {
-		if last := w.readAt(); last.After(at) {
+	changedAt := t.conns[c].since
+	if conn := Of(c); conn != nil {
+		if last := conn.readAt(); last.After(changedAt) {
 			return last
 		}
 	}
-	return at
+	return changedAt
 }
 
-// Begin marks the connection of a whole request, which came with this context. It fails where that has given way.
+// Begin records that the connection of a request, taken from its context, has a request in progress. It reports false if the
+// connection was evicted.
 func (t *Table) Begin(ctx context.Context) bool {
-	w := FromContext(ctx)
-	if w == nil {
+	conn := FromContext(ctx)
+	if conn == nil {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.enter(w.known, open)
+	return t.enter(conn.known, open)
 }
 
-// Counts says how many connections there are.
+// Counts are numbers of connections.
 type Counts struct {
-	Open    int // all
-	Waiting int // of them, those with no whole request since their last answer
-	Begun   int // and those on which some of a request has come, and not all
+	Open    int // all connections
+	Waiting int // without a whole request since their last answer
+	Begun   int // with part of a request
 }
 
-// Counts tells how many connections there are.
+// Counts returns the current numbers of connections.
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := Counts{Open: len(t.conns), Waiting: t.waiting}
+	counts := Counts{Open: len(t.conns), Waiting: t.waiting}
 	for c := range t.conns {
-		if w := Of(c); w != nil && w.begun.Load() {
-			n.Begun++
+		if conn := Of(c); conn != nil && conn.begun.Load() {
+			counts.Begun++
 		}
 	}
-	return n
+	return counts
 }
 
-// Asked is how many connections have a whole request without an answer.
+// Asked returns the number of connections with a whole unanswered request.
 func (t *Table) Asked() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
-		if w := Of(c); e.state == open || w != nil && w.asking() {
+		if conn := Of(c); e.state == open || conn != nil && conn.asking() {
 			n++
 		}
 	}
 	return n
 }
 
-// Crowded tells whether there are so many connections, beside those that say nothing and will give way, that
-// answers should close theirs.
+// Crowded reports whether answers should close their connections. Connections without a request don't count, because these are
+// evicted anyway.
 func (t *Table) Crowded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine carries out the decisions of package balance for any front. One goroutine at a time owns the Balancer,
-// the tables of backends and requests, the attempts and the timers; a Transport stands for the protocol. The package
-// knows no protocol, opens no socket and takes the time from its configuration.
+// Package engine executes the decisions of package balance for any front end. One goroutine at a time owns the Balancer,
+// the tables of backends and requests, the attempts and the timers. A Transport implements the protocol. The package
+// itself implements no protocol, opens no socket and gets the time from its configuration.
 package engine
 
 import (
@@ -13,73 +13,73 @@
 	"glencart/balance"
 )
 
-// Config is what an engine is built from. Balancer and Transport are needed, the rest has defaults.
+// Config configures an Engine. Balancer and Transport are required. The other fields have defaults.
 type Config struct {
 	Balancer  *balance.Balancer
 	Transport Transport
 	Log       *slog.Logger                   // default: discards
 	Now       func() time.Time               // default: time.Now
-	Origin    time.Duration                  // the clock at the start, Unix time; default: by Now
-	Ask       func(balance.ActionKind)       // takes Watch, Unwatch and Fetch; must not block
-	Tell      func(peer int, payload []byte) // takes Tell; must not block
-	Saw       func(id string, res Result)    // sees how each attempt and probe ended, on the loop; nil: nobody
-	Trace     func(Step)                     // sees each event with its actions, on the loop; nil: nobody
+	Origin    time.Duration                  // value of the clock at the start, as Unix time; default: Now
+	Ask       func(balance.ActionKind)       // receives Watch, Unwatch and Fetch; must not block
+	Tell      func(peer int, payload []byte) // sends a message to a peer; must not block
+	Saw       func(id string, res Result)    // called on the loop when an attempt or a probe ends; may be nil
+	Trace     func(Step)                     // called on the loop after each event; may be nil
 }
 
-// Step is one event and what the Balancer answered. Its slices hold until Trace returns.
+// Step is one event with the resulting actions of the Balancer. Its slices are valid until Trace returns.
 type Step struct {
 	Now     time.Duration
 	Event   *balance.Event
 	Actions []balance.Action
 }
 
-// Engine owns a Balancer. Everything else posts to it, and it carries out the Balancer's actions. It never waits for
-// anyone: what may block runs in goroutines that post what came of it. So whoever posts waits for the engine, and
-// the engine for nobody.
+// Engine owns a Balancer and executes its actions. Other goroutines post functions to it. The engine never blocks:
+// operations that may block run in other goroutines, which post the result.
 //
-// The loop is Run's goroutine, or, for a moment, one that found the loop free (Place, Attempt.Deliver): then the call
-// needs no hand-off. Either holds own. Methods that say 'on the loop' may be called only from a function that was given
-// to Post, from a Transport's method, from the goroutine that calls Step, or before Run begins.
+// The loop is the goroutine of Run. A caller of Place or Attempt.Deliver becomes the loop for the duration of the call if
+// the loop is idle, which saves a hand-off. Either goroutine holds loopMu. Methods documented as "On the loop" may be
+// called only from a function passed to Post, from a method of a Transport, from the goroutine that calls Step, or before
+// Run starts.
 type Engine struct {
 	Config
 	own  sync.Mutex
 	done chan struct{} // closed when Run has ended
 
 	mu    sync.Mutex
-	queue []func() // posted, not run yet
-	ahead []func() // and what goes before it
+	queue []func() // posted, not yet run
+	ahead []func() // runs before queue
 	ended bool
 
-	urgent atomic.Bool   // ahead holds something
-	wake   chan struct{} // Run has something to look at
-	armed  time.Duration // when Run looks at the timers next, under own
+	urgent atomic.Bool   // urgentQueue is not empty
+	wake   chan struct{} // wakes Run
+	armed  time.Duration // next time that Run checks the timers; guarded by loopMu
 	spare  []func()
 	start  time.Time
-	origin time.Duration // the clock at start: Unix time, which lists' start times are in
+	origin time.Duration // value of the clock at start: Unix time, as the start times in endpoint lists
 
 	requests map[string]*Request
-	backends map[string]*backend // by the list's id
+	backends map[string]*backend // by id in the endpoint list
 	byNumber map[balance.BackendID]*backend
-	numbers  balance.BackendID // given so far: one is never given again
+	numbers  balance.BackendID // numbers are never reused
 	arrived  uint64
-	answerBy time.Time // zero: the process is not about to end
+	answerBy time.Time // zero: the process is not shutting down
 	timers   timers
 	seq      uint64
 
-	events  []balance.Event // that wait for the one in hand
+	events  []balance.Event // queued behind the event in progress
 	busy    bool
 	actions []balance.Action
 
-	ready atomic.Bool // some backend may be sent to
+	ready atomic.Bool // at least one backend accepts requests
 }
 
-// backend is a backend that a list has named. One that is gone is kept for as long as something is out at it.
+// backend is a backend of an endpoint list. A removed one stays in the tables while it has outstanding attempts or probes.
 type backend struct {
 	number balance.BackendID
 	id     string
 	to     Endpoint
 	phase  balance.Phase
-	out    int // attempts and probes whose outcome the Balancer has not been told
+	out    int // attempts and probes without an outcome reported to the Balancer
 }
 
 // New returns an engine that is ready to run.
@@ -106,8 +106,8 @@
 	}
 }
 
-// Post has f run on the loop, after all that was posted before. It tells whether the engine still takes any. It never
-// waits for the loop, so that the loop itself may post.
+// Post queues f to run on the loop, after all functions posted before. It reports false if the engine has ended. It
+// never waits for the loop, so the loop itself may post.
 func (e *Engine) Post(f func()) bool {
 	e.mu.Lock()
 	if e.ended {
@@ -123,7 +123,7 @@
 	return true
 }
 
-// PostFirst is Post for the few things that must not wait behind what requests have posted.
+// PostFirst is Post for the few functions that must not wait behind functions posted by requests.
 func (e *Engine) PostFirst(f func()) bool {
 	e.mu.Lock()
 	if e.ended {
@@ -144,7 +144,8 @@
 	}
 }
 
-// enter takes the loop if it is free, with all that was posted before done. Whoever got it calls leave.
+// tryAcquireLoop makes the calling goroutine the loop if the loop is idle, and runs all posted functions. The caller calls
+// releaseLoop if it returns true.
 func (e *Engine) enter() bool {
 	if !e.own.TryLock() {
 		return false
@@ -160,30 +161,30 @@
 	return true
 }
 
-// leave gives the loop back. What is posted from here on wakes Run.
+// releaseLoop ends what tryAcquireLoop began. Functions posted later wake Run.
 func (e *Engine) leave() {
 	e.drain()
-	sooner := len(e.timers) > 0 && e.timers[0].at < e.armed
+	earlier := len(e.timers) > 0 && e.timers[0].at < e.armed
 	e.own.Unlock()
-	if sooner {
+	if earlier {
 		e.nudge()
 	}
 }
 
-// drain runs what was posted, until nothing is left, and tells whether there was anything. On the loop.
+// runPosted runs posted functions until none is left. It reports whether there were any. On the loop.
 func (e *Engine) drain() bool {
-	some := false
+	ran := false
 	for {
-		some = e.drainAhead() || some
+		ran = e.drainAhead() || ran
 		e.mu.Lock()
 		batch := e.queue
 		e.queue = e.spare[:0]
 		e.mu.Unlock()
 		if len(batch) == 0 {
 			e.spare = batch
-			return some
+			return ran
 		}
-		some = true
+		ran = true
 		for i, f := range batch {
 			batch[i] = nil
 			f()
@@ -195,7 +196,7 @@
 	}
 }
 
-// drainAhead runs what goes first. On the loop.
+// runUrgent runs the functions posted with PostFirst. On the loop.
 func (e *Engine) drainAhead() bool {
 	if !e.urgent.Load() {
 		return false
@@ -211,26 +212,26 @@
 	return len(batch) > 0
 }
 
-// Done is closed when Run has ended: no answer comes from then on.
+// Done returns a channel that is closed when Run has ended. No answers follow.
 func (e *Engine) Done() <-chan struct{} { return e.done }
 
-// Ready tells whether some backend may be sent to. Any goroutine may ask.
+// Ready reports whether at least one backend accepts requests. It is safe for concurrent use.
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
-// Clock is the Balancer's clock. It follows the monotonic clock, so that it never goes back, nor with a wall clock that is set anew.
-// Any goroutine may ask.
+// Clock returns the time of the Balancer's clock. It follows the monotonic clock, so it never goes back, not even when the
+// wall clock is adjusted. It is safe for concurrent use.
 func (e *Engine) Clock() time.Duration { return e.origin + e.Now().Sub(e.start) }
 
-// Run serves until quit is closed.
+// Run runs the loop until quit is closed.
 func (e *Engine) Run(quit <-chan struct{}) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeUp := time.NewTimer(time.Hour)
+	defer wakeUp.Stop()
 	defer func() {
 		e.own.Lock()
 		e.mu.Lock()
 		e.ended, e.queue, e.ahead = true, nil, nil
 		e.mu.Unlock()
-		e.stopAll() // no timer will ring for them
+		e.stopAll() // no timer fires any more
 		e.own.Unlock()
 		close(e.done)
 	}()
@@ -243,27 +244,27 @@
 		}
 		e.armed = e.Clock() + wait
 		e.own.Unlock()
-		alarm.Reset(wait)
+		wakeUp.Reset(wait)
 		select {
 		case <-quit:
 			return
 		case <-e.wake:
-		case <-alarm.C:
+		case <-wakeUp.C:
 		}
 	}
 }
 
-// settleAll runs what was posted and the timers that are due, until nothing of either is left.
+// runDue runs posted functions and due timers until there are none.
 func (e *Engine) settleAll() {
 	for e.drain() || e.ring() {
 	}
 }
 
-// Step stands in for Run where a driver owns the time: it runs what was posted and the timers that are due, and
-// returns when nothing of either is left. Only one goroutine may call it, and never beside Run.
+// Step replaces Run where a driver controls the time. It runs posted functions and due timers and returns when there are
+// none. Only one goroutine may call it, and not while Run is running.
 func (e *Engine) Step() { e.settleAll() }
 
-// Next is when the next timer is due, on Clock. It reports false when there is none. On the loop.
+// Next returns the time on Clock at which the next timer is due. It reports false if there is none. On the loop.
 func (e *Engine) Next() (time.Duration, bool) {
 	if len(e.timers) == 0 {
 		return 0, false
@@ -271,18 +272,18 @@
 	return e.timers[0].at, true
 }
 
-// ring handles the timers that are due and tells whether there were any.
+// fireTimers handles due timers and reports whether there were any.
 func (e *Engine) ring() bool {
-	rang := false
-	for now := e.Clock(); len(e.timers) > 0 && e.timers[0].at <= now; rang = true {
+	fired := false
+	for now := e.Clock(); len(e.timers) > 0 && e.timers[0].at <= now; fired = true {
 		t := e.timers.pop()
 		e.Handle(balance.Event{Kind: balance.Timer, Mark: t.mark})
 	}
-	return rang
+	return fired
 }
 
-// Handle gives an event to the Balancer and carries out what it answers. Events that this makes follow in order.
-// On the loop.
+// Handle passes an event to the Balancer and executes the resulting actions. Events caused by these actions are handled
+// in order afterwards. On the loop.
 func (e *Engine) Handle(ev balance.Event) {
 	e.events = append(e.events, ev)
 	if e.busy {
@@ -333,14 +334,14 @@
 	}
 }
 
-// timer is a Timer event to come.
+// timer is a scheduled Timer event.
 type timer struct {
 	at   time.Duration
 	seq  uint64
 	mark uint64
 }
 
-// timers is a binary heap by time; what is due at the same time keeps its order. container/heap would box each timer.
+// timers is a binary heap by time. Timers due at the same time keep their order. container/heap would allocate per timer.
 type timers []timer
 
 func (t timers) less(i, j int) bool {
@@ -351,12 +352,12 @@
 	*t = append(*t, x)
 	h := *t
 	for i := len(h) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h.less(i, up) {
+		parent := (i - 1) / 2
+		if !h.less(i, parent) {
 			break
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
 	}
 }
 
@@ -367,16 +368,16 @@
 	h = h[:last]
 	*t = h
 	for i := 0; ; {
-		least := i
-		for _, down := range [2]int{2*i + 1, 2*i + 2} {
-			if down < last && h.less(down, least) {
-				least = down
+		smallest := i
+		for _, child := range [2]int{2*i + 1, 2*i + 2} {
+			if child < last && h.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return first
 		}
-		h[i], h[least] = h[least], h[i]
-		i = least
+		h[i], h[smallest] = h[smallest], h[i]
+		i = smallest
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -15,11 +15,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rough is a transport that ends attempts in goroutines of its own after a drawn time, with a drawn status.
+// randomTransport ends each attempt in a goroutine of its own, after a random time and with a random status.
 type rough struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
-	ran     map[string]int // attempts that ran, by request
+	ran     map[string]int // executed attempts by request
 	dropped int
 }
 
@@ -107,8 +107,9 @@
 func (x *rough) Probe(_ Endpoint, told func(Result)) { told(Result{Status: balance.Shed}) }
 func (x *rough) Drop(Endpoint)                       { x.dropped++ }
 
-// Under random ends, drains and clients that leave, with real goroutines and no real time: every request has one
-// answer by its deadline, no unsafe one runs twice, a refusal is given only where nothing ran, and nothing is left.
+// Guards the rules for requests under random results, drains and disconnecting clients, with goroutines in simulated time.
+// Every request gets one answer by its deadline, no unsafe request runs twice, a refusal means that nothing ran, and no
+// state is left over.
 func TestRulesUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -130,15 +131,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &rough{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[string]int{}}
-	e := New(Config{Balancer: bal, Transport: x})
+	transport := &rough{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[string]int{}}
+	e := New(Config{Balancer: bal, Transport: transport})
 	quit, ended := make(chan struct{}), make(chan struct{})
 	go func() { e.Run(quit); close(ended) }()
 	phases := make([]balance.Phase, backends)
 	list := func() {
 		l := List{Complete: true}
 		for i, p := range phases {
-			l.Members = append(l.Members, Member{ID: fmt.Sprint("s", i), Addr: fmt.Sprint("10.0.0.", i, ":1"), Member: balance.Member{Phase: p, Weight: 1}})
+			l.Members = append(l.Members, Member{ID: fmt.Sprint("s", i), Addr: fmt.Sprint("10.0.0.", i, ":1"),
+				Member: balance.Member{Phase: p, Weight: 1}})
 		}
 		e.Post(func() { e.TakeList(balance.MembersAll, l) })
 	}
@@ -146,33 +148,33 @@
 	var wg sync.WaitGroup
 	counts := map[AnswerKind]int{}
 	for i := range requests {
-		time.Sleep(time.Duration(x.draw(12)) * time.Millisecond)
+		time.Sleep(time.Duration(transport.draw(12)) * time.Millisecond)
 		if i%50 == 49 {
-			phases[x.draw(backends)] = balance.Phase(x.draw(2))
+			phases[transport.draw(backends)] = balance.Phase(transport.draw(2))
 			list()
 		}
 		r := &Request{ID: fmt.Sprint("r", i), Class: i % 2, Deadline: time.Now().Add(time.Second), Reply: make(chan Answer, 1)}
-		leaves := time.Hour
-		if x.draw(10) == 0 {
-			leaves = time.Duration(x.draw(500)) * time.Millisecond
+		disconnectAfter := time.Hour
+		if transport.draw(10) == 0 {
+			disconnectAfter = time.Duration(transport.draw(500)) * time.Millisecond
 		}
 		wg.Go(func() {
 			e.Post(func() { e.Arrive(r) })
 			select {
 			case a := <-r.Reply:
-				x.mu.Lock()
-				defer x.mu.Unlock()
+				transport.mu.Lock()
+				defer transport.mu.Unlock()
 				counts[a.Kind]++
 				if time.Now().After(r.Deadline.Add(time.Millisecond)) {
 					t.Errorf("%s answered %v late", r.ID, time.Since(r.Deadline))
 				}
-				if a.Kind == Refused && r.Class == 1 && x.ran[r.ID] > 0 {
-					t.Errorf("%s refused, and it ran", r.ID)
+				if a.Kind == Refused && r.Class == 1 && transport.ran[r.ID] > 0 {
+					t.Errorf("%s refused, although it ran", r.ID)
 				}
-			case <-time.After(leaves):
+			case <-time.After(disconnectAfter):
 				e.Post(func() { e.Gone(r) })
 			case <-time.After(2 * time.Second):
-				if !r.claimed.Load() { // else its answer was handed on
+				if !r.claimed.Load() { // otherwise the transport passed its answer on
 					t.Errorf("%s has no answer", r.ID)
 				}
 			}
@@ -183,22 +185,22 @@
 	synctest.Wait()
 	e.Post(func() {
 		if e.Open() != 0 {
-			t.Errorf("%d requests left", e.Open())
+			t.Errorf("%d requests left in the table", e.Open())
 		}
 		for id, b := range e.backends {
 			if b.out != 0 {
-				t.Errorf("%s has %d out", id, b.out)
+				t.Errorf("%s has %d attempts outstanding", id, b.out)
 			}
 		}
 	})
 	synctest.Wait()
 	for i := 1; i < requests; i += 2 {
-		if n := x.ran[fmt.Sprint("r", i)]; n > 1 {
+		if n := transport.ran[fmt.Sprint("r", i)]; n > 1 {
 			t.Errorf("r%d, unsafe, ran %d times", i, n)
 		}
 	}
 	if counts[Served] == 0 || counts[Failed] == 0 {
-		t.Errorf("answers %v: the script meets too little", counts)
+		t.Errorf("answers %v: expected both served and failed requests", counts)
 	}
 	close(quit)
 	<-ended
@@ -206,21 +208,21 @@
 		select {
 		case <-e.Done():
 		default:
-			t.Error("takes posts after its end")
+			t.Error("accepts posts after its end")
 		}
 	}
 }
 
-// BenchmarkPick is what a decision costs beside the number of backends.
+// BenchmarkRequest measures the cost of a request by number of backends.
 func BenchmarkRequest(b *testing.B) {
-	for _, n := range []int{10, 100, 1000, 5000} {
-		b.Run(fmt.Sprint(n, " backends"), func(b *testing.B) {
+	for _, backends := range []int{10, 100, 1000, 5000} {
+		b.Run(fmt.Sprint(backends, " backends"), func(b *testing.B) {
 			bal, _ := balance.New(balance.Config{Classes: []balance.Class{{Aim: time.Second, Deadline: time.Minute, Effect: balance.Safe, Points: 1}},
 				Limits: balance.Limits{MaxAttempts: 3}}, 1)
-			x := &instant{}
-			e := New(Config{Balancer: bal, Transport: x})
+			transport := &instant{}
+			e := New(Config{Balancer: bal, Transport: transport})
 			l := List{Complete: true}
-			for i := range n {
+			for i := range backends {
 				l.Members = append(l.Members, Member{ID: fmt.Sprint("s", i), Addr: fmt.Sprint(i), Member: balance.Member{Weight: 1}})
 			}
 			e.TakeList(balance.MembersAll, l)
@@ -228,7 +230,7 @@
 			for b.Loop() {
 				r := &Request{ID: "x", Deadline: e.Now().Add(time.Millisecond), Reply: make(chan Answer, 1)}
 				e.Arrive(r)
-				x.last.Done(Result{Status: balance.Delivered})
+				transport.last.Done(Result{Status: balance.Delivered})
 				e.Step()
 				<-r.Reply
 			}
--- a/internal/engine/repeats_test.go
+++ b/internal/engine/repeats_test.go
@@ -7,64 +7,64 @@
 	"glencart/balance"
 )
 
-// A repeat of a keyed request says until when it may be written, by the engine's clock: a process that is held up for 0.15 s then still
-// writes it within the window.
-func TestRepeatsTellWhenTheyAreTooLate(t *testing.T) {
-	const window, heldUp = time.Second, 150 * time.Millisecond
-	w := newWorld(t)
-	w.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{
+// A keyed request is executed twice if its repeat is written after the window in which backends recognize it. So a repeat
+// has a time limit for its write, on the engine's clock. The limit leaves room for a process that stalls for 0.15 s.
+func TestRepeatHasTimeLimitForWrite(t *testing.T) {
+	const window, stall = time.Second, 150 * time.Millisecond
+	h := newWorld(t)
+	h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{
 		{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}, {ID: "b", Addr: "10.0.0.2:1", Member: balance.Member{Weight: 1}}}})
-	w.earn()
-	began := w.clock
-	w.e.Arrive(&Request{ID: "x", Class: 2, Deadline: began.Add(2 * time.Second), Reply: make(chan Answer, 1)})
-	first := w.out["x/0"]
-	w.clock = began.Add(800 * time.Millisecond)
+	h.earn()
+	start := h.clock
+	h.e.Arrive(&Request{ID: "x", Class: 2, Deadline: start.Add(2 * time.Second), Reply: make(chan Answer, 1)})
+	first := h.out["x/0"]
+	h.clock = start.Add(800 * time.Millisecond)
 	if first.TooLate() || !first.WriteBy.IsZero() {
-		t.Errorf("the first may be written until %v", first.WriteBy)
+		t.Errorf("the first attempt has the time limit %v", first.WriteBy)
 	}
 	first.Done(Result{Status: balance.Dropped})
-	w.e.Step()
-	again := w.out["x/1"]
-	if again == nil {
-		t.Fatal("no repeat")
+	h.e.Step()
+	repeat := h.out["x/1"]
+	if repeat == nil {
+		t.Fatal("no repeat was sent")
 	}
-	w.clock = began.Add(window - heldUp - 1)
-	if again.TooLate() {
-		t.Error("too late within the window")
+	h.clock = start.Add(window - stall - 1)
+	if repeat.TooLate() {
+		t.Error("repeat is too late within the window")
 	}
-	w.clock = began.Add(window - heldUp)
-	if !again.TooLate() {
-		t.Error("not too late when a hold-up would reach the end of the window")
+	h.clock = start.Add(window - stall)
+	if !repeat.TooLate() {
+		t.Error("repeat is not too late although a stall would exceed the window")
 	}
 }
 
-// earn fills the retry budget a little.
-func (w *world) earn() {
+// fillRetryBudget serves a few requests, which earn retries.
+func (h *world) earn() {
 	for i := range 20 {
-		r := &Request{ID: string(rune('A' + i)), Deadline: w.clock.Add(time.Second), Reply: make(chan Answer, 1)}
-		w.e.Arrive(r)
-		w.out[r.ID+"/0"].Done(Result{Status: balance.Delivered})
-		w.e.Step()
+		r := &Request{ID: string(rune('A' + i)), Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
+		h.e.Arrive(r)
+		h.out[r.ID+"/0"].Done(Result{Status: balance.Delivered})
+		h.e.Step()
 	}
 }
 
-// A backend that is another process than the one that an attempt was meant for, at its address or at another, gets nothing that
-// waits to be written there: it is chosen anew, as what it is now. What has begun to be written is let be.
-func TestWhatWaitsForAnEarlierProcessIsChosenAnew(t *testing.T) {
-	for name, now := range map[string]Member{
+// An unwritten attempt must not reach a process that replaced the one that it was chosen for, at the same address or at
+// another. It ends, and the request is placed again. An attempt whose write has begun continues.
+func TestUnwrittenAttemptIsNotSentToReplacedProcess(t *testing.T) {
+	for name, replacement := range map[string]Member{
 		"moved":     {ID: "a", Addr: "10.0.0.2:1", Member: balance.Member{Weight: 1}},
 		"restarted": {ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1, Launched: time.Duration(1_799_999_000) * time.Second}},
 	} {
 		for _, written := range []bool{false, true} {
-			w := newWorld(t)
-			w.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}}})
-			w.earn()
-			r := &Request{ID: "x", Class: 1, Deadline: w.clock.Add(time.Second), Reply: make(chan Answer, 1)}
-			w.e.Arrive(r)
-			w.late["x/0"] = written
-			w.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{now}})
-			w.e.Step()
-			a := w.out["x/0"]
+			h := newWorld(t)
+			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}}})
+			h.earn()
+			r := &Request{ID: "x", Class: 1, Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
+			h.e.Arrive(r)
+			h.late["x/0"] = written
+			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{replacement}})
+			h.e.Step()
+			a := h.out["x/0"]
 			if a.over == written {
 				t.Errorf("%s, written %t: over %t", name, written, a.over)
 			}
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -9,8 +9,8 @@
 	"glencart/balance"
 )
 
-// Arrive takes in a request. One whose id is still in use is turned away: backends could not tell the two apart.
-// On the loop.
+// Arrive accepts a request. It answers a request whose id is in use by an open one with Doubled, because backends could not
+// distinguish the two. On the loop.
 func (e *Engine) Arrive(r *Request) {
 	if e.requests[r.ID] != nil {
 		r.reply(Answer{Kind: Doubled})
@@ -28,9 +28,8 @@
 	})
 }
 
-// AnswerBy has every request that is open, and every one that comes, answered by then: the process ends soon after. A
-// stream is let be until that time has come; told again then, the engine ends those that still owe their final answer.
-// On the loop.
+// AnswerBy limits the deadline of open and later requests to end, because the process exits soon after. Streams continue
+// until end. A further call at end stops the streams that have no final answer yet. On the loop.
 func (e *Engine) AnswerBy(end time.Time) {
 	if e.answerBy.IsZero() || end.Before(e.answerBy) {
 		e.answerBy = end
@@ -51,8 +50,8 @@
 	}
 }
 
-// Place has the loop take in a request, at once in this goroutine if the loop is free. It reports false when the
-// engine has ended. Any goroutine may call it that holds no lock which a Transport's method wants.
+// Place calls Arrive on the loop, directly in this goroutine if the loop is idle. It reports false if the engine has
+// ended. It is safe for concurrent use. The caller must hold no lock that a method of the Transport acquires.
 func (e *Engine) Place(r *Request) bool {
 	if e.enter() {
 		e.Arrive(r)
@@ -62,7 +61,7 @@
 	return e.Post(func() { e.Arrive(r) })
 }
 
-// Gone takes in that a client has left before its answer. On the loop.
+// Gone reports that the client disconnected before its answer. On the loop.
 func (e *Engine) Gone(r *Request) {
 	if e.requests[r.ID] != r || r.answered {
 		return
@@ -73,8 +72,8 @@
 	e.endAttempts(r, balance.Revoked)
 }
 
-// OpenIDs names requests that have no answer yet, most of them at the most, in the order of their arrival. On the loop.
-func (e *Engine) OpenIDs(most int) []string {
+// OpenIDs returns the ids of the first maxIDs requests without an answer, in order of arrival. On the loop.
+func (e *Engine) OpenIDs(maxIDs int) []string {
 	var open []*Request
 	for _, r := range e.requests {
 		if !r.answered {
@@ -83,14 +82,13 @@
 	}
 	slices.SortFunc(open, func(x, y *Request) int { return cmp.Compare(x.seq, y.seq) })
 	var ids []string
-	for _, r := range open[:min(most, len(open))] {
+	for _, r := range open[:min(maxIDs, len(open))] {
 		ids = append(ids, r.ID)
 	}
 	return ids
 }
 
-// Open is how many requests are in the table: those without an answer, and those with something still out.
-// On the loop.
+// Open returns the number of requests in the table. On the loop.
 func (e *Engine) Open() int { return len(e.requests) }
 
 func (e *Engine) send(act *balance.Action) {
@@ -123,7 +121,7 @@
 	e.Transport.Send(a)
 }
 
-// outcome tells the Balancer how an attempt ended, once. What comes after it was given up changes nothing.
+// outcome reports the result of an attempt to the Balancer, once. Results after the attempt was given up are ignored.
 func (e *Engine) outcome(a *Attempt, res Result) {
 	r := a.Request
 	if a.over {
@@ -134,7 +132,7 @@
 		case res.Status == balance.Delivered && r.claimed.CompareAndSwap(false, true):
 			r.answered = true
 			r.reply(Answer{Kind: Served, Body: res.Body})
-		case r.stream == a && r.claimed.CompareAndSwap(false, true): // a break in a begun stream ends it
+		case r.stream == a && r.claimed.CompareAndSwap(false, true): // the stream has begun, so a failed attempt ends it
 			r.answered = true
 			r.reply(Answer{Kind: Failed, Begun: true, Body: res.Body})
 		}
@@ -145,17 +143,17 @@
 	}
 }
 
-// delivered is outcome for an answer that the transport has handed on, if it won the right to.
+// delivered is outcome for an answer that the transport itself passes on to the client. won reports whether it may do so.
 func (e *Engine) delivered(a *Attempt, res Result, won bool) {
 	r := a.Request
-	open := !r.answered
+	wasOpen := !r.answered
 	if won {
 		r.answered = true
 	}
 	switch {
 	case !a.over:
 		e.tell(a, res)
-	case won && open: // it was given up, and has its client all the same
+	case won && wasOpen: // the attempt was given up, but its answer reaches the client
 		e.Handle(balance.Event{Kind: balance.ClientGone, Request: r.ID})
 	}
 	if won {
@@ -184,7 +182,7 @@
 	e.settle(a.to)
 }
 
-// started takes in that the client has the stream.
+// started records that the client receives the stream of an attempt.
 func (e *Engine) started(a *Attempt) {
 	r := a.Request
 	if a.over || r.answered || r.stream != nil {
@@ -198,12 +196,12 @@
 			e.giveUp(other, balance.Revoked)
 		}
 	}
-	if !e.answerBy.IsZero() && !e.Now().Before(e.answerBy) { // the last look at streams has been
+	if !e.answerBy.IsZero() && !e.Now().Before(e.answerBy) { // AnswerBy has already ended the streams
 		e.giveUp(a, balance.Expired)
 	}
 }
 
-// giveUp ends an attempt and its connection.
+// giveUp ends an attempt, and its use of a connection.
 func (e *Engine) giveUp(a *Attempt, st balance.Status) {
 	if a.over {
 		return
@@ -217,20 +215,20 @@
 	e.outcome(a, Result{Status: st})
 }
 
-// finish gives a request its final answer. Nothing that was sent for it can be of use any more.
+// finish sends the final answer to a request and ends its attempts, whose results are of no use any more.
 func (e *Engine) finish(r *Request, ans Answer) {
 	if r == nil {
 		return
 	}
 	r.answered = true
 	late := !e.Now().Before(r.Deadline)
-	mine := r.claimed.CompareAndSwap(false, true) // else an answer is on its way to the client already
+	won := r.claimed.CompareAndSwap(false, true) // false: another answer is already on its way to the client
 	st := balance.Revoked
 	if late {
 		st = balance.Expired
 	}
 	e.endAttempts(r, st)
-	if mine {
+	if won {
 		ans.Late, ans.Begun, ans.Body = late, r.begun, r.last
 		r.reply(ans)
 	}
@@ -243,7 +241,7 @@
 	e.forget(r)
 }
 
-// stopAll gives up what is still out when the engine ends.
+// stopAll gives up all outstanding attempts when the engine ends.
 func (e *Engine) stopAll() {
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
@@ -254,7 +252,7 @@
 	}
 }
 
-// forget drops a request from the table once it is answered. What is still out for it ends in the same step.
+// forget deletes an answered request from the table. Its outstanding attempts end in the same step.
 func (e *Engine) forget(r *Request) {
 	if r.answered && e.requests[r.ID] == r {
 		delete(e.requests, r.ID)
@@ -267,7 +265,7 @@
 		return
 	}
 	sent := e.Clock()
-	told := func(res Result) {
+	report := func(res Result) {
 		e.Handle(balance.Event{Kind: balance.Probed, Backend: number, Spent: e.Clock() - sent,
 			Status: res.Status, Load: res.Load})
 		if e.Saw != nil {
@@ -277,8 +275,8 @@
 	}
 	b.out++
 	if b.phase != balance.Ready {
-		told(Result{Status: balance.Unused})
+		report(Result{Status: balance.Unused})
 		return
 	}
-	e.Transport.Probe(b.to, func(res Result) { e.Post(func() { told(res) }) })
+	e.Transport.Probe(b.to, func(res Result) { e.Post(func() { report(res) }) })
 }
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -7,8 +7,8 @@
 	"glencart/balance"
 )
 
-// Endpoint is one process of a backend: whose it is, the address, and when it started (Unix time; 0: long ago). A new
-// backend at a used address shares nothing with the old one.
+// Endpoint is one process of a backend: the id of the backend, its address, and its start time (Unix time; 0: long ago).
+// A new backend at a reused address shares nothing with the old one.
 type Endpoint struct {
 	ID       string
 	Addr     string
@@ -17,94 +17,93 @@
 
 // Transport carries attempts to backends over one protocol.
 //
-// The engine calls every method from its loop: none may block, or call back into the engine other than by Post,
-// Attempt.Started, Attempt.Done and the function given to Probe. Those are for any goroutine; Attempt.Deliver and Place
-// are for any but the loop's.
+// The engine calls every method from its loop. No method may block, or call into the engine other than by Post,
+// Attempt.Started, Attempt.Done and the function passed to Probe. These are safe to call from any goroutine.
+// Attempt.Deliver and Place are safe to call from any goroutine but the loop.
 type Transport interface {
-	// Send begins an attempt on a.To. It owes exactly one a.Done, at a.Deadline or soon after it at the latest. An
-	// attempt is one write on one connection, and is never sent again by the transport or by a library below it. One that
-	// a.TooLate tells of in the instant before its write is not written, and is Unused.
+	// Send starts an attempt to a.To. The transport calls a.Done exactly once, no later than shortly after a.Deadline. An
+	// attempt is one write on one connection. Neither the transport nor a library below it may resend it. The transport
+	// calls a.TooLate immediately before the write. If it returns true, the attempt is not written and ends as Unused.
 	Send(a *Attempt)
-	// Bar keeps an attempt that has not begun to write from ever doing so: a send counts for a drain from its first
-	// byte, and a dial may outlast the grace. It tells whether it came in time.
+	// Bar prevents the write of an attempt that has not begun to write. It reports whether it did. An attempt counts as
+	// sent, for a draining backend, from its first byte, and a dial may outlast the drain grace.
 	Bar(a *Attempt) bool
-	// GiveUp stops an attempt at once: nothing that comes for it later may reach anyone.
+	// GiveUp cancels an attempt immediately. Whatever arrives for it later is discarded.
 	GiveUp(a *Attempt)
-	// Probe asks an endpoint for its load and calls told once. A probe that is turned away is Shed.
-	Probe(to Endpoint, told func(Result))
-	// Drop ends the idle connections to an endpoint.
+	// Probe requests the load of an endpoint and calls done once. A rejected probe has the status Shed.
+	Probe(to Endpoint, done func(Result))
+	// Drop closes the idle connections to an endpoint.
 	Drop(to Endpoint)
 }
 
-// Result is how an attempt or a probe ended.
+// Result is the result of an attempt or a probe.
 type Result struct {
 	Status balance.Status
-	// Refused tells, with DialFailed, that nobody listens there: the machine is up, and the process has ended.
+	// Refused is set with DialFailed if the connection was refused: the machine is up, but no process listens.
 	Refused bool
 	Load    balance.Load
-	Body    any // the protocol's answer, for the front that asked
+	Body    any // the answer in the form of the protocol, for the front end
 }
 
-// Request is a client's request: what the front fills in, and, for the loop alone, where it stands.
+// Request is a client's request. The front end sets the exported fields. The others are state of the loop.
 type Request struct {
-	ID       string // unique among the open ones
+	ID       string // unique among open requests
 	Class    int
 	Tenant   int
 	Key      uint64
 	HasKey   bool
-	Hint     time.Duration // expected work; 0: not told
+	Hint     time.Duration // expected work; 0: unknown
 	Repeat   bool          // the client marked it as a repeat
-	Deadline time.Time     // by Config.Now's clock
-	Hasty    bool          // it has far too little time: a time-out tells nothing of a backend
+	Deadline time.Time     // on the clock of Config.Now
+	Hasty    bool          // the deadline is far too short for a time-out to count against a backend
 	Message  any           // for the transport
-	// Reply takes the one final answer. It needs room for one: the loop waits for nobody. After Gone none comes.
+	// Reply receives the final answer. It needs a buffer of one, because the loop doesn't wait. After Gone there is none.
 	Reply chan Answer
-	// Answered takes it instead where a driver owns the time: it is called on the loop.
+	// Answered, if set, receives the final answer instead of Reply. It is called on the loop, by drivers that control the time.
 	Answered func(Answer)
 
-	seq      uint64 // in the order of arrival
+	seq      uint64 // order of arrival
 	attempts []*Attempt
-	first    Attempt     // room for the commonest case: one attempt, and a pointer to it
-	room     [1]*Attempt // of attempts, likewise
+	first    Attempt     // saves an allocation in the usual case of one attempt
+	room     [1]*Attempt // storage of attempts, for the same case
 	answered bool
 	begun    bool        // some attempt may have run
-	last     any         // Result.Body of the last attempt that had one
-	stream   *Attempt    // its answer has begun to reach the client: it is the last attempt
-	claimed  atomic.Bool // the answer is decided: by the loop, or by Attempt.Deliver
+	last     any         // Result.Body of the last attempt that returned one
+	stream   *Attempt    // the client has received part of its answer: no attempt follows
+	claimed  atomic.Bool // the final answer is chosen, by the loop or by Attempt.Deliver
 }
 
 // Attempt is one copy of a request on its way to a backend.
 type Attempt struct {
 	Request  *Request
 	To       Endpoint
-	Deadline time.Time // by Config.Now's clock
-	WriteBy  time.Time // a repeat after that may have its effect twice: it is not written; zero: at any time
-	// State is the transport's own. The engine never looks at it.
+	Deadline time.Time // on the clock of Config.Now
+	WriteBy  time.Time // not written after it, because a later repeat may have its effect twice; zero: no limit
+	// State belongs to the transport. The engine never uses it.
 	State any
 
 	engine *Engine
 	number int
 	to     *backend
 	sent   time.Duration
-	begun  bool // Send was called for it
-	over   bool // its outcome has been told
+	begun  bool // passed to Transport.Send
+	over   bool // its outcome was reported
 }
 
-// Number counts the attempts of a request from 0.
+// Number returns the number of the attempt among those of its request, from 0.
 func (a *Attempt) Number() int { return a.number }
 
-// TooLate tells whether the attempt may not be written any more. The transport asks in the instant before its write: a
-// dial or a queue may last from the choice of a backend to the end of the time in which backends drop repeats.
+// TooLate reports whether the attempt may no longer be written. The transport calls it immediately before the write,
+// because a dial or a queue may last until backends no longer recognize a repeat.
 func (a *Attempt) TooLate() bool { return !a.WriteBy.IsZero() && !a.engine.Now().Before(a.WriteBy) }
 
-// Done tells how the attempt ended. It counts once; what comes after the attempt was given up changes nothing.
+// Done reports the result of the attempt. Later calls, and calls after the attempt was given up, have no effect.
 func (a *Attempt) Done(res Result) {
 	a.engine.Post(func() { a.engine.outcome(a, res) })
 }
 
-// Deliver is Done for an answer that the caller can hand to its client by itself, without a way through the loop. It
-// reports false when another answer has been decided on: then the client gets that one, and the caller
-// hands on nothing. No answer comes on Reply after true.
+// Deliver is Done for an answer that the caller itself can pass to the client, without waiting for the loop. It reports
+// false if the client gets another answer. Then the caller passes nothing on. After true, no answer is sent to Reply.
 func (a *Attempt) Deliver(res Result) bool {
 	won := a.Request.claimed.CompareAndSwap(false, true)
 	if e := a.engine; e.enter() {
@@ -116,14 +115,14 @@
 	return won
 }
 
-// Started tells that the stream belongs to the client from now on: the request has no further attempt, and ends with
+// Started reports that the client receives the stream of this attempt. The request has no further attempt and ends with
 // this one.
 func (a *Attempt) Started() {
 	a.engine.Post(func() { a.engine.started(a) })
 }
 
-// Answering tells that the backend has begun to answer a stream: from now on it owes this attempt no sign, however long
-// the stream lasts.
+// Answering reports that the backend has begun to answer a stream. From then on the attempt no longer counts as
+// unanswered, however long the stream lasts.
 func (a *Attempt) Answering() {
 	a.engine.Post(func() {
 		a.engine.Handle(balance.Event{Kind: balance.StreamAnswered, Request: a.Request.ID, Attempt: a.number, Backend: a.to.number})
@@ -135,19 +134,19 @@
 
 // Kinds of final answers.
 const (
-	Served  AnswerKind = iota // a backend's answer, in Answer.Body
-	Refused                   // trying again is harmless
-	Failed                    // promises nothing
-	Doubled                   // another request of this id is open
+	Served  AnswerKind = iota // answer of a backend, in Answer.Body
+	Refused                   // the client may safely retry
+	Failed                    // the request may or may not have been executed
+	Doubled                   // another request with this id is open
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
 	Kind    AnswerKind
-	Late    bool          // the time for the request is up
+	Late    bool          // the deadline of the request has passed
 	Begun   bool          // some attempt may have run
-	RetryIn time.Duration // with Refused: when to come back; 0: not told
-	Body    any           // with Served: Result.Body; with Failed: that of the last attempt that ended, if any
+	RetryIn time.Duration // with Refused: retry-after; 0: none
+	Body    any           // with Served: Result.Body; with Failed: Result.Body of the last attempt that returned one, if any
 }
 
 func (r *Request) reply(a Answer) {
--- a/internal/handover/disk_test.go
+++ b/internal/handover/disk_test.go
@@ -11,8 +11,9 @@
 	"glencart/members"
 )
 
-// A state file that can't be read for a moment (EIO) is not written anew without what it holds, and is read as soon as it can be.
-func TestAStateThatCannotBeReadForAMoment(t *testing.T) {
+// If reading the state file fails temporarily (EIO), overwriting it would lose its calls. Write must fail then, and a later Read must
+// return the calls.
+func TestTemporaryReadErrorLosesNoCalls(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir, "n1"), open(t, dir, "n1")
 	if err := a.Write([]members.Call{call("first", true, 1)}); err != nil {
@@ -27,19 +28,19 @@
 		return realOpen(name, flag, mode)
 	}
 	if got := b.Read(); len(got) != 0 {
-		t.Errorf("read: %v", got)
+		t.Errorf("read in spite of the error: %v", got)
 	}
 	if err := b.Write([]members.Call{call("second", true, 2)}); err == nil {
-		t.Error("written over what can't be read")
+		t.Error("overwrote a file that can't be read")
 	}
 	openFile = realOpen
 	if got := b.Read(); len(got) != 1 || got[0].ID != "first" {
-		t.Errorf("read when it can be: %v", got)
+		t.Errorf("read after the error: %v", got)
 	}
 }
 
-// What could not be written (ENOSPC, EIO, at whichever call) leaves the old file, whole, and no other.
-func TestAWriteThatFailsLeavesTheOldFile(t *testing.T) {
+// A write can fail at any call (ENOSPC, EIO). The old file must then still be there and complete.
+func TestFailedWriteKeepsOldFile(t *testing.T) {
 	for name, fail := range map[string]func(){
 		"open": func() {
 			realOpen := openFile
@@ -67,14 +68,14 @@
 			}
 			restore()
 			if got := p.Calls(); len(got) != 1 || got[0].ID != "first" {
-				t.Errorf("left: %v", got)
+				t.Errorf("calls after the failed write: %v", got)
 			}
 		})
 	}
 }
 
-// What a process remembers of the file is bounded as the file is, however many backends come and go.
-func TestWhatIsKnownIsBounded(t *testing.T) {
+// Backends come and go for as long as a node runs. The calls in memory must be bounded as those in the file are.
+func TestKnownCallsAreBounded(t *testing.T) {
 	p := open(t, t.TempDir(), "n1")
 	for round := range 3 {
 		var calls []members.Call
@@ -87,6 +88,6 @@
 		p.Read()
 	}
 	if len(p.known) > callsMost {
-		t.Errorf("%d calls are known, a file holds %d", len(p.known), callsMost)
+		t.Errorf("%d known calls, the limit of the file is %d", len(p.known), callsMost)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,6 @@
-// Package handover lets a process take over from one that runs: the clients' listening socket that both inherit, who is
-// beside whom, and the operators' word, which binds both.
+// Package handover lets a successor take over from a running process of the same node. It opens the listening socket that both
+// inherit, detects the other process, and shares the operators' calls on backends through files in a common folder. It
+// doesn't start or end processes.
 package handover
 
 import (
@@ -27,17 +28,17 @@
 	"glencart/members"
 )
 
-// Listener returns a listener on the socket that a descriptor names: text is the value of BALANCER_ACCEPT_FD. The descriptor
-// belongs to the listener from then on; the socket stays open for all others that hold it. What fails for a moment is tried again
-// until ctx ends.
+// Listener returns a listener on an inherited socket. text is the value of BALANCER_ACCEPT_FD, a descriptor number. Listener
+// takes over the descriptor. The socket stays open in other processes that have it. Temporary failures are retried until ctx
+// ends.
 func Listener(ctx context.Context, text string) (l net.Listener, err error) {
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 || fd > math.MaxInt32 {
 		return nil, fmt.Errorf("BALANCER_ACCEPT_FD: %q is not the number of an inherited descriptor", text)
 	}
-	if accepts, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil {
+	if acceptConn, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil {
 		return nil, fmt.Errorf("BALANCER_ACCEPT_FD: descriptor %d: %w: it has to be inherited, open, and a socket", fd, err)
-	} else if accepts == 0 {
+	} else if acceptConn == 0 {
 		return nil, fmt.Errorf("BALANCER_ACCEPT_FD: descriptor %d is a socket that does not listen", fd)
 	}
 	syscall.CloseOnExec(fd)
@@ -50,7 +51,7 @@
 	return l, err
 }
 
-// Files in the folder that both processes share.
+// Files in the shared folder.
 const (
 	servingLock, nextLock = "glencart.serving", "glencart.next"
 	writeLock, stateFile  = "glencart.write", "glencart.state"
@@ -58,27 +59,27 @@
 )
 
 const (
-	// lookEvery is how often a process looks for the other one and for what was written.
+	// pollInterval is the interval between checks for the other process and for changed files.
 	lookEvery = 50 * time.Millisecond
-	// stateVersion is the form of the state file. stateMost bounds its bytes, callsMost its calls, idMost an id.
+	// stateVersion is the version of the state file format. The others limit the bytes of the file, its calls and the bytes of an id.
 	stateVersion, stateMost, callsMost, idMost = 1, 8 << 20, 4096, 256
 )
 
-// State is what both processes of a node have to know.
+// State is the content of the state file, which both processes of a node share.
 type State struct {
 	Version int            `json:"version"`
 	Node    string         `json:"node"`
 	Calls   []members.Call `json:"calls"`
 }
 
-// The calls to the file system that may fail (ENOSPC, EIO). Tests make them fail.
+// File system calls that may fail (ENOSPC, EIO). Tests replace them.
 var (
 	openFile = os.OpenFile
 	rename   = os.Rename
 	syncFile = (*os.File).Sync
 )
 
-// Place is one process's place in the folder.
+// Place is the part of one process in a handover, as the serving process or as its successor.
 type Place struct {
 	dir, node string
 	log       *slog.Logger
@@ -86,18 +87,18 @@
 	serving, next *os.File
 
 	mu     sync.Mutex
-	has    bool                    // the serving lock
-	waits  bool                    // the next lock
-	seen   os.FileInfo             // of the state file, as last read
-	owed   map[string]members.Call // calls that are not written down yet, by backend
-	known  map[string]members.Call // the last call on each backend that stood in the file
-	unread bool                    // the state file could not be read, as logged
-
-	failing atomic.Bool // what is owed could not be written, as logged
+	has    bool                    // holds the serving lock
+	waits  bool                    // holds the next lock
+	seen   os.FileInfo             // state file when it was last read
+	owed   map[string]members.Call // unwritten calls by backend
+	known  map[string]members.Call // calls in the file when it was last read or written, by backend
+	unread bool                    // a failure to read the state file was logged
+
+	failing atomic.Bool // a failure to write calls was logged
 }
 
-// Open takes a place: that of the serving process, or, where one is beside, that of its successor. A folder that can't
-// be used is an error: without it the two would not know of each other.
+// Open becomes the serving process or, if another process is serving, its successor. An unusable folder is an error, because
+// the two processes could not detect each other.
 func Open(dir, node string, log *slog.Logger) (*Place, error) {
 	p := &Place{dir: dir, node: node, log: log, owed: map[string]members.Call{}, known: map[string]members.Call{}}
 	var err error
@@ -116,28 +117,28 @@
 	return openFile(filepath.Join(p.dir, name), os.O_CREATE|os.O_RDWR, 0o600)
 }
 
-// Close gives the place up, with a last try at what is owed.
+// Close tries once more to write unwritten calls and releases the locks.
 func (p *Place) Close() {
 	p.settleOn()
 	p.serving.Close()
 	p.next.Close()
 }
 
-// Follows tells whether this process waits for another one to end.
+// Follows reports whether this process waits for another one to end.
 func (p *Place) Follows() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.has
 }
 
-// Followed tells whether another process waits for this one to end.
+// Followed reports whether another process waits for this one to end.
 func (p *Place) Followed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.has && taken(p.next)
 }
 
-// look takes the locks as they come free and tells whether another process is beside.
+// tryLocks acquires free locks and reports whether there is another process.
 func (p *Place) look() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,45 +156,45 @@
 	return taken(p.next)
 }
 
-// Run tells whether another process is beside, at the start and at each change, and of calls that the other one has written,
-// until ctx ends.
-func (p *Place) Run(ctx context.Context, beside func(bool), heard func([]members.Call)) {
-	t := time.NewTicker(lookEvery)
-	defer t.Stop()
-	var was, told bool
+// Run calls onOther at the start and whenever another process appears or ends, and onCalls with the calls that another process
+// has written. It returns when ctx ends.
+func (p *Place) Run(ctx context.Context, onOther func(bool), onCalls func([]members.Call)) {
+	ticker := time.NewTicker(lookEvery)
+	defer ticker.Stop()
+	var hadOther, reported bool
 	for {
-		if is := p.look(); is != was || !told {
-			was, told = is, true
-			beside(is)
+		if hasOther := p.look(); hasOther != hadOther || !reported {
+			hadOther, reported = hasOther, true
+			onOther(hasOther)
 		}
 		if calls := p.Read(); len(calls) > 0 {
-			heard(calls)
+			onCalls(calls)
 		}
 		p.settleOn()
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// Read returns the calls in the state file if it has changed since it was last read. One that can't be read is told once
-// and changes nothing; it is read again.
+// Read returns the calls in the state file if it has changed since it was last read. It logs the first of several failures, and a
+// later call tries again. A failure changes no state.
 func (p *Place) Read() []members.Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at, err := os.Stat(filepath.Join(p.dir, stateFile))
-	if err != nil || p.seen != nil && os.SameFile(at, p.seen) && at.ModTime().Equal(p.seen.ModTime()) && at.Size() == p.seen.Size() {
+	info, err := os.Stat(filepath.Join(p.dir, stateFile))
+	if err != nil || p.seen != nil && os.SameFile(info, p.seen) && info.ModTime().Equal(p.seen.ModTime()) && info.Size() == p.seen.Size() {
 		return nil
 	}
 	calls, err := p.load()
 	if err != nil && !p.unread {
-		p.log.Warn("the state that processes share can't be read: what is known here holds", "error", err)
+		p.log.Warn("can't read the state file shared with the other process; keeping the calls known here", "error", err)
 	}
 	p.unread = err != nil
 	if err == nil || errors.Is(err, errState) {
-		p.seen = at
+		p.seen = info
 	}
 	if err == nil {
 		p.know(calls)
@@ -201,9 +202,10 @@
 	return calls
 }
 
-// Calls returns the calls in the state file, read or not: what the other process has said yes to stands there.
+// Calls returns the calls in the state file, whether or not it has changed. These include all calls that the other process has
+// accepted.
 func (p *Place) Calls() []members.Call {
-	calls, _ := p.load() // Read tells what is wrong with it
+	calls, _ := p.load() // Read logs the error
 	return calls
 }
 
@@ -227,73 +229,73 @@
 	return calls, err
 }
 
-// Parse decodes and checks a state file of a node.
+// Parse decodes and validates a state file of a node.
 func Parse(text []byte, node string) ([]members.Call, error) {
 	var s State
 	if len(text) > stateMost {
-		return nil, fmt.Errorf("%s: over %d bytes", stateFile, stateMost)
+		return nil, fmt.Errorf("%s: larger than %d bytes", stateFile, stateMost)
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("%s: %w", stateFile, err)
 	}
 	switch {
 	case s.Version != stateVersion:
-		return nil, fmt.Errorf("%s: version %d, this program writes %d", stateFile, s.Version, stateVersion)
+		return nil, fmt.Errorf("%s: version %d, expected %d", stateFile, s.Version, stateVersion)
 	case s.Node != node:
-		return nil, fmt.Errorf("%s: of node %q, this one is %q", stateFile, s.Node, node)
+		return nil, fmt.Errorf("%s: written by node %q, expected %q", stateFile, s.Node, node)
 	case len(s.Calls) > callsMost:
-		return nil, fmt.Errorf("%s: over %d calls", stateFile, callsMost)
+		return nil, fmt.Errorf("%s: more than %d calls", stateFile, callsMost)
 	}
 	for _, c := range s.Calls {
 		if c.ID == "" || len(c.ID) > idMost || c.At <= 0 || c.Back < 0 || c.Back > c.At {
-			return nil, fmt.Errorf("%s: a call that can't be one: %q at %d", stateFile, c.ID, c.At)
+			return nil, fmt.Errorf("%s: invalid call: %q at %d", stateFile, c.ID, c.At)
 		}
 	}
 	return s.Calls, nil
 }
 
-// Write adds calls to what the file holds; of two on one backend the later holds. Killed at any point it leaves the old file
-// or the new one, whole.
+// Write merges calls into the state file. The later of two calls on one backend applies. If the process is killed at any point,
+// the old or the new file is left complete.
 func (p *Place) Write(calls []members.Call) error {
-	w, err := p.open(writeLock)
+	lockFile, err := p.open(writeLock)
 	if err != nil {
 		return err
 	}
-	defer w.Close() // and the lock with it
-	if err := lock(w, syscall.F_WRLCK, ofdWaitLock); err != nil {
+	defer lockFile.Close() // releases the lock
+	if err := lock(lockFile, syscall.F_WRLCK, ofdWaitLock); err != nil {
 		return fmt.Errorf("%s: %w", writeLock, err)
 	}
-	held, err := p.load()
+	stored, err := p.load()
 	switch {
 	case errors.Is(err, errState):
-		p.log.Warn("the state that processes share makes no sense: it is written anew", "error", err)
+		p.log.Warn("the state file shared with the other process is invalid; overwriting it", "error", err)
 	case err != nil:
-		return err // what stands there would be lost
+		return err // overwriting the file would lose its calls
 	}
 	p.mu.Lock()
 	latest := maps.Clone(p.known)
 	p.mu.Unlock()
-	for _, c := range append(held, calls...) {
+	for _, c := range append(stored, calls...) {
 		latest[c.ID] = later(latest[c.ID], c)
 	}
-	s := State{Version: stateVersion, Node: p.node}
+	state := State{Version: stateVersion, Node: p.node}
 	for _, c := range latest {
-		s.Calls = append(s.Calls, c)
+		state.Calls = append(state.Calls, c)
 	}
-	slices.SortFunc(s.Calls, func(x, y members.Call) int { return cmp.Compare(x.ID, y.ID) })
-	for len(s.Calls) > callsMost { // the oldest word on a backend that is back is of the least use
+	slices.SortFunc(state.Calls, func(x, y members.Call) int { return cmp.Compare(x.ID, y.ID) })
+	for len(state.Calls) > callsMost { // the oldest call on a backend in service is the least useful
 		oldest := -1
-		for i, c := range s.Calls {
-			if !c.Out && (oldest < 0 || c.At < s.Calls[oldest].At) {
+		for i, c := range state.Calls {
+			if !c.Out && (oldest < 0 || c.At < state.Calls[oldest].At) {
 				oldest = i
 			}
 		}
 		if oldest < 0 {
-			return fmt.Errorf("%s: over %d backends are out", stateFile, callsMost)
+			return fmt.Errorf("%s: more than %d backends are out of service", stateFile, callsMost)
 		}
-		s.Calls = slices.Delete(s.Calls, oldest, oldest+1)
+		state.Calls = slices.Delete(state.Calls, oldest, oldest+1)
 	}
-	text, err := json.Marshal(s)
+	text, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
@@ -302,11 +304,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.know(s.Calls)
+	p.know(state.Calls)
 	return nil
 }
 
-// know takes in what the file holds, and forgets what it no longer does: the file is bounded. With mu held.
+// setKnown replaces the known calls by those of the file. It keeps no others, so they are bounded as the file is. It requires mu.
 func (p *Place) know(calls []members.Call) {
 	clear(p.known)
 	for _, c := range calls {
@@ -314,19 +316,19 @@
 	}
 }
 
-// learnedAge is how old what a process has learned may be to be of use to the next.
+// maxLearnedAge is the age up to which a successor uses the learned state of its predecessor.
 const learnedAge = 5 * time.Second
 
-// Learned is what one process has learned and the next one can go on with.
+// Learned is the learned state of a process, which its successor starts from.
 type Learned struct {
 	Version int             `json:"version"`
 	Node    string          `json:"node"`
 	At      time.Duration   `json:"at"`      // Unix time
-	Classes []string        `json:"classes"` // by number
+	Classes []string        `json:"classes"` // names by class number
 	Balance balance.Learned `json:"balance"`
 }
 
-// WriteLearned leaves what this process has learned for its successor.
+// WriteLearned stores the learned state for a successor.
 func (p *Place) WriteLearned(l Learned) error {
 	l.Version, l.Node = stateVersion, p.node
 	text, err := json.Marshal(l)
@@ -336,7 +338,8 @@
 	return p.replace(learnedFile, text)
 }
 
-// ReadLearned returns what the process before has learned, if that was written since a time and is not too old at now.
+// ReadLearned returns the learned state of the predecessor. It reports false unless that was written at since or later and is at
+// most maxLearnedAge old at now.
 func (p *Place) ReadLearned(since, now time.Duration) (Learned, bool) {
 	f, err := os.Open(filepath.Join(p.dir, learnedFile))
 	if err != nil {
@@ -351,7 +354,7 @@
 	return l, l.At >= since && l.At <= now && now-l.At <= learnedAge
 }
 
-// Commands of fcntl(2) for locks of open file descriptions, which syscall does not name.
+// fcntl(2) commands for locks of open file descriptions. Package syscall does not define them.
 const ofdGetLock, ofdSetLock, ofdWaitLock = 36, 37, 38
 
 func lock(f *os.File, kind int16, cmd int) error {
@@ -360,24 +363,24 @@
 	})
 }
 
-// taken tells whether somebody else holds a lock.
+// isLockedByOther reports whether another open file description holds a lock on the file.
 func taken(f *os.File) bool {
 	l := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
 	err := control(f, func(fd uintptr) error { return syscall.FcntlFlock(fd, ofdGetLock, &l) })
 	return err == nil && l.Type != syscall.F_UNLCK
 }
 
-// control has a system call made on a file's descriptor, again where a signal interrupts it.
-func control(f *os.File, do func(uintptr) error) error {
+// control runs a system call on the descriptor of a file and repeats it if a signal interrupts it.
+func control(f *os.File, call func(uintptr) error) error {
 	raw, err := f.SyscallConn()
 	if err != nil {
 		return err
 	}
-	failed := error(syscall.EINTR)
-	for failed == syscall.EINTR {
-		if err := raw.Control(func(fd uintptr) { failed = do(fd) }); err != nil {
+	callErr := error(syscall.EINTR)
+	for callErr == syscall.EINTR {
+		if err := raw.Control(func(fd uintptr) { callErr = call(fd) }); err != nil {
 			return err
 		}
 	}
-	return failed
+	return callErr
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -25,28 +25,29 @@
 	return p
 }
 
-// Whoever comes second follows, is seen by the first, and takes its place when that one ends, however it does.
-func TestWhoIsBeside(t *testing.T) {
+// Guards the detection of the other process. The second process is the successor, the first detects it, and it becomes the serving
+// process when the first ends, even if that one crashes.
+func TestSuccessorIsDetectedAndTakesOver(t *testing.T) {
 	dir := t.TempDir()
 	first := open(t, dir, "n1")
 	if first.Follows() || first.Followed() {
-		t.Fatal("alone, and not so")
+		t.Fatal("a single process detects another")
 	}
 	second := open(t, dir, "n1")
 	if !second.Follows() || !first.Followed() {
 		t.Fatalf("second follows: %t, first is followed: %t", second.Follows(), first.Followed())
 	}
-	second.Close() // it dies before its yes
+	second.Close() // it ends before it takes over
 	if first.Followed() {
-		t.Fatal("a dead successor still counts")
+		t.Fatal("an ended successor is still detected")
 	}
 	second = open(t, dir, "n1")
 	first.Close()
 	if second.look() || second.Follows() {
-		t.Fatal("the successor does not serve alone")
+		t.Fatal("the successor did not become the only process")
 	}
 	if third := open(t, dir, "n1"); !third.Follows() || !second.Followed() {
-		t.Fatal("the next upgrade is not seen")
+		t.Fatal("the next successor is not detected")
 	}
 }
 
@@ -54,8 +55,8 @@
 	return members.Call{ID: id, Out: out, At: time.Duration(at)}
 }
 
-// Calls of both processes come together, of two on one backend the later holds, and each is read once.
-func TestCallsAreShared(t *testing.T) {
+// Concurrent writes of both processes must lose no call. The later of two calls on one backend applies, and each is read once.
+func TestConcurrentCallsAreMerged(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir, "n1"), open(t, dir, "n1")
 	var wg sync.WaitGroup
@@ -78,14 +79,14 @@
 			t.Errorf("%v, want %v", c, want)
 		}
 	}
-	if again := b.Read(); again != nil {
-		t.Errorf("read again: %v", again)
+	if second := b.Read(); second != nil {
+		t.Errorf("read again: %v", second)
 	}
 }
 
-// A file that is cut, foreign, of another version or of no sense is turned down; the next call writes it anew. What a process that
-// was killed between write and rename leaves behind harms nobody.
-func TestDamagedState(t *testing.T) {
+// A state file may be truncated, invalid, of another version or of another node. It is rejected, and the next call overwrites it. A
+// temporary file of a process that was killed before the rename has no effect.
+func TestInvalidStateIsRejectedAndOverwritten(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":   "",
 		"cut":     `{"version":1,"node":"n1","calls":[{"id":"a"`,
@@ -102,20 +103,20 @@
 			os.WriteFile(filepath.Join(dir, stateFile), []byte(text), 0o600)
 			os.WriteFile(filepath.Join(dir, stateFile+".new"), []byte("half a fi"), 0o600)
 			if got := p.Read(); got != nil {
-				t.Errorf("took %v", got)
+				t.Errorf("accepted %v", got)
 			}
 			if err := p.Write([]members.Call{call("x", true, 7)}); err != nil {
 				t.Fatal(err)
 			}
 			if got := p.Read(); len(got) != 1 || got[0].ID != "x" {
-				t.Errorf("after a call: %v", got)
+				t.Errorf("after the write: %v", got)
 			}
 		})
 	}
 }
 
-// What is out is never dropped for want of room.
-func TestStateIsBounded(t *testing.T) {
+// The state file is bounded. A call that takes a backend out of service must never be dropped to make room.
+func TestFullStateKeepsCallsThatTakeBackendsOut(t *testing.T) {
 	p := open(t, t.TempDir(), "n1")
 	var calls []members.Call
 	for i := range callsMost + 10 {
@@ -135,8 +136,8 @@
 	}
 }
 
-// What was learned is of use to the node's own next process, and while it is fresh.
-func TestLearned(t *testing.T) {
+// Outdated learned state would mislead a successor. It is used only if it is recent and written after the given time.
+func TestLearnedStateIsUsedWhileRecent(t *testing.T) {
 	p := open(t, t.TempDir(), "n1")
 	l := Learned{At: 10 * time.Second, Classes: []string{"read"}, Balance: balance.Learned{Answers: 3}}
 	if err := p.WriteLearned(l); err != nil {
@@ -148,12 +149,13 @@
 	}{{9 * time.Second, 11 * time.Second, true}, {10*time.Second + 1, 11 * time.Second, false},
 		{0, 10*time.Second + learnedAge + 1, false}, {0, 9 * time.Second, false}} {
 		if got, ok := p.ReadLearned(tc.since, tc.now); ok != tc.want || ok && got.Balance.Answers != 3 {
-			t.Errorf("since %v at %v: %t", tc.since, tc.now, ok)
+			t.Errorf("since %v, now %v: used %t", tc.since, tc.now, ok)
 		}
 	}
 }
 
-func TestListenerSaysWhatIsWrong(t *testing.T) {
+// An operator may pass a wrong descriptor. The error must name the variable and the cause.
+func TestListenerErrorNamesCause(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -198,7 +200,7 @@
 		h.Hear(calls, 1)
 		for _, c := range calls {
 			if c.ID == "" || c.At <= 0 {
-				t.Errorf("took %v", c)
+				t.Errorf("accepted %v", c)
 			}
 		}
 	})
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -12,13 +12,13 @@
 	"glencart/members"
 )
 
-// This file keeps what has to be in the state file there, also where the disk fails for a while. A call that was taken on holds over a
-// change of processes, so one that could not be written is owed until it has been.
+// This file writes calls to the state file and retries while the disk fails. An accepted call applies to the successor too, so an
+// unwritten call is kept until it is written.
 
-// errState marks a state file that was read and makes no sense: writing it anew loses nothing that could be read.
+// errState marks a readable state file with invalid content. Overwriting it loses nothing that could be used.
 var errState = errors.New("not a state file of this node")
 
-// Persist writes calls down, and tries again until ctx ends. What it could not write is owed: Run goes on trying.
+// Persist writes calls to the state file and retries until ctx ends. Run continues to retry calls that are still unwritten.
 func (p *Place) Persist(ctx context.Context, calls []members.Call) error {
 	p.mu.Lock()
 	for _, c := range calls {
@@ -38,20 +38,20 @@
 	}
 }
 
-// settle writes down what is owed, if anything is.
+// writePending writes the unwritten calls, if there are any.
 func (p *Place) settle() error {
 	p.mu.Lock()
-	owed := maps.Clone(p.owed)
+	pending := maps.Clone(p.owed)
 	p.mu.Unlock()
-	if len(owed) == 0 {
+	if len(pending) == 0 {
 		return nil
 	}
-	if err := p.Write(slices.Collect(maps.Values(owed))); err != nil {
+	if err := p.Write(slices.Collect(maps.Values(pending))); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, c := range owed {
+	for id, c := range pending {
 		if p.owed[id] == c {
 			delete(p.owed, id)
 		}
@@ -59,20 +59,20 @@
 	return nil
 }
 
-// settleOn is settle, with a line when it begins to fail and when it no longer does.
+// writePendingLogged is writePending with a log line when it starts to fail and when it succeeds again.
 func (p *Place) settleOn() {
 	err := p.settle()
 	failed := p.failing.Swap(err != nil)
 	switch {
 	case err != nil && !failed:
-		p.log.Error("calls on backends can't be written down, another process will not know of them: this goes on being tried: look at the disk",
+		p.log.Error("can't write calls on backends to the state file, so another process does not get them; retrying: check the disk",
 			"error", err)
 	case err == nil && failed:
-		p.log.Info("calls on backends can be written down again")
+		p.log.Info("calls on backends are written to the state file again")
 	}
 }
 
-// later returns the later of two calls on one backend. Of two at the same time the one that takes it out holds.
+// later returns the later of two calls on one backend. Of two with the same time it returns the one that takes the backend out.
 func later(a, b members.Call) members.Call {
 	if b.At > a.At || b.At == a.At && b.Out {
 		return b
@@ -80,8 +80,8 @@
 	return a
 }
 
-// replace writes a file anew, and returns when it is on the disk. Killed at any point, or failing, it leaves the old one or the new
-// one, whole.
+// replaceFile replaces a file and returns when the new one is on disk. If it fails or the process is killed at any point, the old or
+// the new file is left complete.
 func (p *Place) replace(name string, text []byte) error {
 	name = filepath.Join(p.dir, name)
 	f, err := openFile(name+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -100,7 +100,7 @@
 	return p.syncFolder()
 }
 
-// syncFolder has the names in the folder on the disk.
+// syncFolder flushes the directory entries of the folder to disk.
 func (p *Place) syncFolder() error {
 	d, err := openFile(p.dir, os.O_RDONLY, 0)
 	if err != nil {
--- a/internal/lograte/lograte.go
+++ b/internal/lograte/lograte.go
@@ -1,4 +1,4 @@
-// Package lograte logs complaints at a bounded rate.
+// Package lograte limits the rate of log lines, and writes a log without blocking its callers.
 package lograte
 
 import (
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// complainEvery is the least time between two complaints of one kind, where Every does not say.
+// defaultInterval is the minimum interval between two lines if Every is 0.
 const complainEvery = time.Second
 
-// Limited logs complaints at a bounded rate: what comes from outside must not fill the log. Use one for each kind.
+// Limited logs lines at a limited rate, because input from outside must not fill the log. Use one for each kind of line.
 type Limited struct {
 	Log   *slog.Logger
-	Every time.Duration // the least time between two complaints; 0: a second
+	Every time.Duration // minimum interval between two lines; 0: one second
 
 	mu      sync.Mutex
 	at      time.Time
 	skipped int
 }
 
-// Warn logs a complaint, or counts it as skipped when the last one was less than Every ago.
+// Warn logs a warning, or counts it as skipped if the last line was logged less than Every ago.
 func (l *Limited) Warn(msg string, args ...any) { l.line(slog.LevelWarn, msg, args) }
 
-// Info does the same with a line that is no complaint.
+// Info is Warn with level Info.
 func (l *Limited) Info(msg string, args ...any) { l.line(slog.LevelInfo, msg, args) }
 
 func (l *Limited) line(level slog.Level, msg string, args []any) {
@@ -43,8 +43,8 @@
 	l.Log.Log(context.Background(), level, msg, append(args, "skipped", skipped)...)
 }
 
-// Write takes a line of package log, where libraries complain, as net/http does of an answer that nobody asked for.
+// Write logs a line of package log as a warning. Libraries use that package, for example net/http for an unsolicited response.
 func (l *Limited) Write(line []byte) (int, error) {
-	l.Warn("a library complains", "text", strings.TrimSpace(string(line)))
+	l.Warn("message from a library", "text", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
--- a/internal/lograte/writer.go
+++ b/internal/lograte/writer.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Writer passes lines on from a goroutine of its own: whoever logs never waits for who reads the log. A pipe that nobody reads
-// would hold up all requests of a node. It keeps so many bytes; lines beyond that are dropped, and counted in one line after.
+// Writer writes lines from a goroutine of its own, so that logging never blocks. Otherwise a log pipe that is not read would block
+// all requests of a node. It buffers a limited number of bytes. Further lines are dropped, and a later line has their number.
 type Writer struct {
 	to   io.Writer
 	most int
@@ -18,22 +18,22 @@
 	pending []byte
 	dropped int
 	ended   bool
-	idle    chan struct{} // closed when all is written and it has ended
+	idle    chan struct{} // closed when the Writer has ended and everything is written
 }
 
-// NewWriter returns a Writer that has begun.
-func NewWriter(to io.Writer, most int) *Writer {
-	w := &Writer{to: to, most: most, idle: make(chan struct{})}
+// NewWriter returns a running Writer with a buffer of maxBytes.
+func NewWriter(to io.Writer, maxBytes int) *Writer {
+	w := &Writer{to: to, most: maxBytes, idle: make(chan struct{})}
 	w.some.L = &w.mu
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never blocks and never fails.
+// Write queues a line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// Once a line is dropped all are until the next batch, so that the count stands where the lines are missing.
+	// After a dropped line, all are dropped until the next batch. So the line with their number is where they are missing.
 	if w.dropped > 0 || len(w.pending)+len(line) > w.most || w.ended {
 		w.dropped++
 		return len(line), nil
@@ -56,7 +56,7 @@
 		w.dropped = 0
 		w.mu.Unlock()
 		if dropped > 0 {
-			batch = fmt.Appendf(batch, "level=WARN msg=\"log lines dropped: nobody reads them in time\" lines=%d\n", dropped)
+			batch = fmt.Appendf(batch, "level=WARN msg=\"log lines dropped: the log is not read fast enough\" lines=%d\n", dropped)
 		}
 		if len(batch) > 0 {
 			w.to.Write(batch)
@@ -66,16 +66,16 @@
 	}
 }
 
-// Close takes no more and waits until all is written, but no longer than this.
-func (w *Writer) Close(within time.Duration) {
+// Close drops further lines and waits until everything is written, for at most timeout.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.ended = true
 	w.some.Signal()
 	w.mu.Unlock()
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-w.idle:
-	case <-late.C:
+	case <-timer.C:
 	}
 }
--- a/internal/lograte/writer_test.go
+++ b/internal/lograte/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// slow is a reader that takes nothing until it is let.
+// blockedWriter blocks each write until unblock is closed.
 type slow struct {
 	let chan struct{}
 	bytes.Buffer
@@ -21,38 +21,39 @@
 	return s.Buffer.Write(b)
 }
 
-// Nobody who logs waits for a log that is not read; what is dropped is counted, and what was kept comes whole and in order.
-func TestNobodyWaitsForTheLog(t *testing.T) {
+// Requests would block on a log that is not read. Logging must not wait. Dropped lines must be counted where they are missing, and the
+// others must be complete and in order.
+func TestLoggingDoesNotWaitForReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		to := &slow{let: make(chan struct{})}
 		w := NewWriter(to, 1000)
 		for i := range 500 {
 			fmt.Fprintf(w, "line %03d\n", i)
 		}
-		began := time.Now()
+		start := time.Now()
 		w.Close(50 * time.Millisecond)
-		if d := time.Since(began); d != 50*time.Millisecond {
-			t.Errorf("the end waited %v for a log that nobody reads", d)
+		if d := time.Since(start); d != 50*time.Millisecond {
+			t.Errorf("Close waited %v for a log that is not read", d)
 		}
 		close(to.let)
 		<-w.idle
-		// The writer may take its first batch before, between or after these lines: each is there or counted where it is missing.
-		next, kept := 0, 0
+		// The first batch may start before, between or after these lines. Each line is either written or counted where it is missing.
+		next, written := 0, 0
 		for line := range strings.Lines(to.String()) {
 			if line == fmt.Sprintf("line %03d\n", next) {
 				next++
-				kept++
+				written++
 				continue
 			}
 			_, count, found := strings.Cut(strings.TrimSpace(line), "lines=")
 			n, err := strconv.Atoi(count)
 			if !found || err != nil || n < 1 {
-				t.Fatalf("%q after %d lines kept or counted", line, next)
+				t.Fatalf("%q after %d lines written or counted", line, next)
 			}
 			next += n
 		}
-		if next != 500 || kept < 100 || kept > 250 {
-			t.Errorf("%d lines kept or counted, %d kept", next, kept)
+		if next != 500 || written < 100 || written > 250 {
+			t.Errorf("%d lines written or counted, %d written", next, written)
 		}
 	})
 }
--- a/internal/settings/adopt.go
+++ b/internal/settings/adopt.go
@@ -8,9 +8,9 @@
 	"glencart/balance"
 )
 
-// Missing returns the path of a key that a JSON object in use has and a new one lacks, at any depth, or an empty string.
-// Of the objects in a list, each new one needs the keys that all old ones had. Both are as encoding/json decodes them into
-// an any.
+// Missing returns the path of a key that is in the old JSON object but not in the next one, at any depth. It returns an
+// empty string if there is none. Each object in a list of next needs the keys that all objects in the old list have. Both
+// are values that encoding/json decodes into an any.
 func Missing(old, next any) string {
 	switch old := old.(type) {
 	case map[string]any:
@@ -23,8 +23,8 @@
 			if !ok || value == nil && old[key] != nil {
 				return "." + key
 			}
-			if at := Missing(old[key], value); at != "" {
-				return "." + key + at
+			if path := Missing(old[key], value); path != "" {
+				return "." + key + path
 			}
 		}
 	case []any:
@@ -32,38 +32,38 @@
 		if !ok {
 			return "."
 		}
-		need := common(old)
+		required := common(old)
 		for i, value := range next {
-			if at := Missing(need, value); len(need) > 0 && at != "" {
-				return fmt.Sprintf("[%d]%s", i, at)
+			if path := Missing(required, value); len(required) > 0 && path != "" {
+				return fmt.Sprintf("[%d]%s", i, path)
 			}
 		}
 	}
 	return ""
 }
 
-// common returns the keys that all objects of a list have, with the first one's values.
+// commonKeys returns the keys that all objects of a list have, with the values of the first object.
 func common(list []any) map[string]any {
-	var need map[string]any
+	var shared map[string]any
 	for i, value := range list {
 		object, _ := value.(map[string]any)
 		if i == 0 {
-			need = maps.Clone(object)
+			shared = maps.Clone(object)
 		}
-		maps.DeleteFunc(need, func(key string, _ any) bool { _, has := object[key]; return !has })
+		maps.DeleteFunc(shared, func(key string, _ any) bool { _, has := object[key]; return !has })
 	}
-	return need
+	return shared
 }
 
-// CheckInService reports what a file that is to replace one in use must not say. What the file in use leaves to the program, a
-// deadline or the attempts, may be left to it again.
+// CheckInService reports an error if the settings can't replace old ones in use. A deadline or a number of attempts may be
+// left to its default only if the old settings did so.
 func (s Settings) CheckInService(old Settings) error {
-	untold := slices.ContainsFunc(old.Config.Classes, func(c balance.Class) bool { return c.Deadline == 0 && !c.Gone })
+	oldHasDefault := slices.ContainsFunc(old.Config.Classes, func(c balance.Class) bool { return c.Deadline == 0 && !c.Gone })
 	if err := s.Check(); err != nil {
 		return err
 	}
 	for i, c := range s.Config.Classes {
-		if c.Deadline == 0 && !untold {
+		if c.Deadline == 0 && !oldHasDefault {
 			return fmt.Errorf("classes[%d].deadline: 0: give nanoseconds over 0, as the file in use does", i)
 		}
 	}
@@ -73,43 +73,43 @@
 	return nil
 }
 
-// Adopt returns the settings that follow on s when next is taken in: its classes, by the numbers that s gave them. One that
-// vanished keeps its number, marked as gone, until free says that nobody can mean it any more. Tenants, zones, kinds and
-// the place among the instances stay those of s.
+// Adopt returns the settings that replace s when next is loaded. The classes of next keep the numbers that they have in s. A
+// class that next lacks keeps its number, marked as gone, until free reports that the number is no longer in use. Tenants,
+// zones, kinds and the index of the instance stay those of s.
 func (s Settings) Adopt(next Settings, free func(number int) bool) Settings {
-	out := s
-	out.Config = next.Config
-	out.Config.Index, out.Config.Instances, out.Config.Zone = s.Config.Index, s.Config.Instances, s.Config.Zone
-	out.Config.AskDiscovery, out.Config.Reports = s.Config.AskDiscovery, s.Config.Reports
+	adopted := s
+	adopted.Config = next.Config
+	adopted.Config.Index, adopted.Config.Instances, adopted.Config.Zone = s.Config.Index, s.Config.Instances, s.Config.Zone
+	adopted.Config.AskDiscovery, adopted.Config.Reports = s.Config.AskDiscovery, s.Config.Reports
 	if !slices.Equal(s.Tenants, next.Tenants) {
-		out.Config.Tenants = s.Config.Tenants
+		adopted.Config.Tenants = s.Config.Tenants
 	}
-	out.Classes, out.Config.Classes = slices.Clone(s.Classes), slices.Clone(s.Config.Classes)
-	for i := range out.Config.Classes {
-		out.Config.Classes[i].Gone = true
+	adopted.Classes, adopted.Config.Classes = slices.Clone(s.Classes), slices.Clone(s.Config.Classes)
+	for i := range adopted.Config.Classes {
+		adopted.Config.Classes[i].Gone = true
 	}
-	var fresh []int
+	var added []int
 	for i, name := range next.Classes {
-		if at := slices.Index(out.Classes, name); at >= 0 {
-			out.Config.Classes[at] = next.Config.Classes[i]
+		if index := slices.Index(adopted.Classes, name); index >= 0 {
+			adopted.Config.Classes[index] = next.Config.Classes[i]
 		} else {
-			fresh = append(fresh, i)
+			added = append(added, i)
 		}
 	}
-	for _, i := range fresh {
-		at := slices.IndexFunc(out.Config.Classes, func(c balance.Class) bool { return c.Gone })
-		for ; at >= 0 && at < len(out.Classes) && !(out.Config.Classes[at].Gone && free(at)); at++ {
+	for _, i := range added {
+		index := slices.IndexFunc(adopted.Config.Classes, func(c balance.Class) bool { return c.Gone })
+		for ; index >= 0 && index < len(adopted.Classes) && !(adopted.Config.Classes[index].Gone && free(index)); index++ {
 		}
-		if at < 0 || at == len(out.Classes) {
-			out.Classes, out.Config.Classes = append(out.Classes, ""), append(out.Config.Classes, balance.Class{})
-			at = len(out.Classes) - 1
+		if index < 0 || index == len(adopted.Classes) {
+			adopted.Classes, adopted.Config.Classes = append(adopted.Classes, ""), append(adopted.Config.Classes, balance.Class{})
+			index = len(adopted.Classes) - 1
 		}
-		out.Classes[at], out.Config.Classes[at] = next.Classes[i], next.Config.Classes[i]
+		adopted.Classes[index], adopted.Config.Classes[index] = next.Classes[i], next.Config.Classes[i]
 	}
-	return out
+	return adopted
 }
 
-// Class returns the number of a class that is in use, or -1.
+// Class returns the number of a class, or -1 if there is none or it is gone.
 func (s *Settings) Class(name string) int {
 	i := slices.Index(s.Classes, name)
 	if i >= 0 && s.Config.Classes[i].Gone {
--- a/internal/settings/adopt_test.go
+++ b/internal/settings/adopt_test.go
@@ -9,8 +9,9 @@
 	"glencart/balance"
 )
 
-// A file that replaces one in use needs each key that it has, at every depth; more is no fault.
-func TestMissing(t *testing.T) {
+// A key that is missing by mistake would silently reset a setting. So a new file needs all keys of the file in use, at every
+// depth. Additional keys are allowed.
+func TestMissingFindsRemovedKey(t *testing.T) {
 	old := `{"name":"n","limits":{"cores":1,"mem":2},"peers":["x"],"classes":[{"name":"a","deadline":1,"extra":2},{"name":"b","deadline":1}]}`
 	for next, want := range map[string]string{
 		old: "",
@@ -24,7 +25,7 @@
 	} {
 		var a, b any
 		if json.Unmarshal([]byte(old), &a) != nil || json.Unmarshal([]byte(next), &b) != nil {
-			t.Fatal("no JSON")
+			t.Fatal("invalid JSON")
 		}
 		if got := Missing(a, b); got != want {
 			t.Errorf("%s: %q, want %q", next, got, want)
@@ -42,15 +43,16 @@
 	return s
 }
 
-// Numbers stay by name; a vanished class keeps its own until it is free, so that files without end take no more room.
-func TestAdoptKeepsNumbers(t *testing.T) {
+// Open requests refer to classes by number. So a class keeps its number, and that of a removed class is reused only when it is
+// free. Numbers are reused, so any number of reloads needs bounded memory.
+func TestAdoptKeepsClassNumbers(t *testing.T) {
 	never, always := func(int) bool { return false }, func(int) bool { return true }
 	s := with(3, "a", "b").Adopt(with(2, "c", "a"), never)
 	if s.Class("a") != 0 || s.Class("b") != -1 || s.Class("c") != 2 || s.Config.Limits.MaxAttempts != 2 {
 		t.Fatalf("%v %+v", s.Classes, s.Config)
 	}
 	if s = s.Adopt(with(2, "b"), never); s.Class("b") != 1 || s.Class("a") != -1 {
-		t.Fatalf("one that came back: %v", s.Classes)
+		t.Fatalf("after a class was listed again: %v", s.Classes)
 	}
 	for i := range 100 {
 		s = s.Adopt(with(2, strings.Repeat("x", i+1)), always)
@@ -60,17 +62,18 @@
 	}
 }
 
-func TestCheckInService(t *testing.T) {
+// A reload must not drop a deadline or a limit on attempts that the file in use sets, and must not load invalid names.
+func TestCheckInServiceRejectsWorseSettings(t *testing.T) {
 	if err := with(1, "a", "b").CheckInService(with(1, "a")); err != nil {
 		t.Fatal(err)
 	}
 	if err := with(0, "a").CheckInService(with(0, "a")); err != nil {
-		t.Errorf("left to the program as before: %v", err)
+		t.Errorf("default attempts as before: %v", err)
 	}
-	late := with(1, "a", "b")
-	late.Config.Classes[1].Deadline = 0
+	noDeadline := with(1, "a", "b")
+	noDeadline.Config.Classes[1].Deadline = 0
 	for want, s := range map[string]Settings{
-		"maxAttempts": with(0, "a"), "twice": with(1, "a", "a"), "empty": with(1, ""), "classes[1].deadline": late,
+		"maxAttempts": with(0, "a"), "twice": with(1, "a", "a"), "empty": with(1, ""), "classes[1].deadline": noDeadline,
 	} {
 		if err := s.CheckInService(with(1, "a")); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -8,19 +8,19 @@
 	"glencart/balance"
 )
 
-// reportNames are the names of the values on sockets where they differ from those of the settings.
+// reportNames maps names in load reports of backends to those in the settings, where they differ.
 var reportNames = map[string]string{"inflight": "active", "queue": "waiting", "util": "cpu",
 	"latency_ms": "avg_ms", "qps": "rps", "eps": "err_rps"}
 
-// ParseReport reads "TEXT name=value, name=value". Values of other names are skipped; one malformed value
-// spoils the report.
+// ParseReport parses a load report of the form "TEXT name=value, name=value". Unknown names are skipped. One malformed value
+// makes the whole report invalid.
 func ParseReport(text string) (balance.Load, error) {
 	var l balance.Load
-	into := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS}
+	targets := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS}
 	text = strings.TrimSpace(text)
 	text = strings.TrimSpace(strings.TrimPrefix(text, "TEXT"))
 	if text == "" {
-		return l, nil // a backend that has just started has none yet
+		return l, nil // a backend that has just started has no values yet
 	}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
@@ -36,9 +36,9 @@
 			}
 			v, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(v >= 0 && v < 1e9) {
-				return balance.Load{}, fmt.Errorf("%s: %.40q is not a figure", name, value)
+				return balance.Load{}, fmt.Errorf("%s: %.40q is not a number from 0 to 1e9", name, value)
 			}
-			*into[i] = v
+			*targets[i] = v
 			l.Has |= 1 << i
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings object that an instance is given at its
-// start, on the simulator's wire as in a real node's configuration.
+// Package settings decodes and checks the JSON settings object of a node. The object comes from the simulator or from the
+// configuration file of a node. The package doesn't read files.
 package settings
 
 import (
@@ -14,12 +14,10 @@
 	"glencart/balance"
 )
 
-// LoadNames are the names of the values of a load report, in the order of the
-// bits of balance.LoadField.
+// LoadNames are the names of the values in a load report, in the order of the bits of balance.LoadField.
 var LoadNames = []string{"active", "waiting", "cpu", "avg_ms", "rps", "err_rps"}
 
-// Settings is the decoded object: what the Balancer is told, and the names that
-// stand for its indexes.
+// Settings is a decoded settings object. It has the configuration of the Balancer, which uses indexes, and the names for these.
 type Settings struct {
 	Config  balance.Config
 	Classes []string
@@ -28,7 +26,7 @@
 	Kinds   []string
 }
 
-// Parse decodes a settings object. Unknown keys are skipped.
+// Parse decodes a settings object. Unknown keys are ignored, and duplicate keys are errors.
 func Parse(text []byte) (Settings, error) {
 	var c conf
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -48,7 +46,7 @@
 	return s, err
 }
 
-// conf is the settings object as the wire spells it.
+// jsonSettings is the settings object in its JSON form.
 type conf struct {
 	NInstances int `json:"nInstances"`
 	Index      int `json:"index"`
@@ -138,12 +136,13 @@
 	ServiceType string   `json:"serviceType"`
 }
 
-// check reports the first thing that cannot be a setting, whether or not the module uses it: where, what, and what to write.
+// check returns an error for the first invalid value, even if the Balancer doesn't use it. The error has the key, the value and the
+// remedy.
 func (c *conf) check() error {
 	l, p := c.Limits, c.Prices
 	for _, k := range []struct {
-		at, what string
-		value    float64
+		path, what string
+		value      float64
 	}{
 		{"nInstances", "a count", float64(c.NInstances)}, {"tick", "a time", float64(c.Tick)},
 		{"limits.maxAttempts", "a count", float64(l.MaxAttempts)}, {"limits.maxOpen", "a count", float64(l.MaxOpen)},
@@ -157,7 +156,7 @@
 		{"prices.moves", "a price", p.Moves}, {"prices.origin", "a price", p.Origin}, {"prices.fleet", "a price", p.Fleet},
 	} {
 		if k.value < 0 {
-			return fmt.Errorf("%s: %v: %s can't be negative: give 0 or more", k.at, k.value, k.what)
+			return fmt.Errorf("%s: %v: %s can't be negative: give 0 or more", k.path, k.value, k.what)
 		}
 	}
 	switch {
@@ -166,26 +165,26 @@
 	case c.Zone < 0 || len(c.Zones) > 0 && c.Zone >= len(c.Zones):
 		return fmt.Errorf("zone: %d is not one of the %d zones: give the number of this node's zone, from 0 on", c.Zone, len(c.Zones))
 	case c.Stage < 0 || len(c.Tiers) > 0 && c.Stage >= len(c.Tiers):
-		return fmt.Errorf("stage: %d is not one of the %d tiers: give the number of the tier that is sent to, from 0 on", c.Stage, len(c.Tiers))
+		return fmt.Errorf("stage: %d is not one of the %d tiers: give the number of the backends' tier, from 0 on", c.Stage, len(c.Tiers))
 	case len(c.LoadReport.Columns) > 4:
-		return fmt.Errorf("loadReport.columns: %d of them: give four at most", len(c.LoadReport.Columns))
+		return fmt.Errorf("loadReport.columns: %d columns: give at most four", len(c.LoadReport.Columns))
 	}
 	return nil
 }
 
-// Check reports the first thing that a node can't serve by: names that do not tell classes or tenants apart, and figures
-// that mean nothing. The simulator's wire, which names classes by number, needs none of it.
+// Check returns an error for the first setting that a node can't work with, such as an ambiguous class or tenant name or a value
+// out of range. The simulator needs no such check, because it refers to classes by number.
 func (s Settings) Check() error {
 	for _, k := range []struct {
 		list  string
 		names []string
 	}{{"classes[%d].name", s.Classes}, {"tenants[%d].name", s.Tenants}} {
 		for i, name := range k.names {
-			switch at := fmt.Sprintf(k.list, i); {
+			switch path := fmt.Sprintf(k.list, i); {
 			case name == "":
-				return fmt.Errorf("%s: empty: give each one a name", at)
+				return fmt.Errorf("%s: empty: give each one a name", path)
 			case slices.Index(k.names, name) < i:
-				return fmt.Errorf("%s: %s is given twice: give each one a name of its own", at, name)
+				return fmt.Errorf("%s: %s is given twice: give each one a name of its own", path, name)
 			}
 		}
 	}
@@ -210,27 +209,27 @@
 	return nil
 }
 
-// once reports the first key that an object, at any depth, gives twice: which of the two counts would be a guess.
-func once(d *json.Decoder, at string) error {
+// checkDuplicates returns an error for the first duplicate key of an object, at any depth. It would be ambiguous which value applies.
+func once(d *json.Decoder, parent string) error {
 	t, err := d.Token()
 	if err != nil {
 		return err
 	}
-	given := map[string]bool{}
+	seen := map[string]bool{}
 	for i := 0; (t == json.Delim('{') || t == json.Delim('[')) && d.More(); i++ {
-		in := fmt.Sprintf("%s[%d]", at, i)
+		path := fmt.Sprintf("%s[%d]", parent, i)
 		if t == json.Delim('{') {
 			key, err := d.Token()
 			if err != nil {
 				return err
 			}
 			name, _ := key.(string)
-			if in = strings.TrimPrefix(at+"."+name, "."); given[name] {
-				return fmt.Errorf("%s: given twice: give it once", in)
+			if path = strings.TrimPrefix(parent+"."+name, "."); seen[name] {
+				return fmt.Errorf("%s: given twice: give it once", path)
 			}
-			given[name] = true
+			seen[name] = true
 		}
-		if err := once(d, in); err != nil {
+		if err := once(d, path); err != nil {
 			return err
 		}
 	}
@@ -240,33 +239,33 @@
 	return err
 }
 
-// longest bounds every time that settings give: sums of times must not overflow, and no process lives to see the difference.
+// maxDuration limits each duration in the settings, so that sums don't overflow. No process runs for as long.
 const longest = 365 * 24 * time.Hour
 
-// span is a time that settings give.
+// limitDuration returns a duration in nanoseconds, at most maxDuration.
 func span(ns int64) time.Duration { return min(time.Duration(ns), longest) }
 
-// config turns the settings into a balance.Config.
+// config converts the settings to a balance.Config. It returns the first error.
 func (c *conf) config() (balance.Config, error) {
-	wrong := c.check() // the first one
-	pick := func(what, s string, names ...string) int {
+	firstErr := c.check()
+	indexOf := func(what, s string, names ...string) int {
 		for i, n := range names {
 			if s == n {
 				return i
 			}
 		}
-		if s != "" && wrong == nil {
-			wrong = fmt.Errorf("%s: %q is not known: give one of %s", what, s, strings.Join(names, ", "))
+		if s != "" && firstErr == nil {
+			firstErr = fmt.Errorf("%s: %q is not known: give one of %s", what, s, strings.Join(names, ", "))
 		}
 		return 0
 	}
 	cfg := balance.Config{
 		Index: c.Index, Instances: c.NInstances, Zone: c.Zone,
 		OverShareWorth: c.OverShareWorth, WarmKeys: c.Domain.WarmKeys, ClientsMark: c.Callers.MarksRetry,
-		WorthByWork:  pick("worthBy", c.WorthBy, "request", "work") == 1,
-		AskDiscovery: pick("membershipMode", c.MembershipMode, "push", "ask") == 1,
-		Reports:      balance.ReportSource(pick("loadReport.source", c.LoadReport.Source, "off", "on_probe", "inline")),
-		Weights:      balance.WeightKind(pick("weightKind", c.WeightKind, "off", "nominal", "rough", "live")),
+		WorthByWork:  indexOf("worthBy", c.WorthBy, "request", "work") == 1,
+		AskDiscovery: indexOf("membershipMode", c.MembershipMode, "push", "ask") == 1,
+		Reports:      balance.ReportSource(indexOf("loadReport.source", c.LoadReport.Source, "off", "on_probe", "inline")),
+		Weights:      balance.WeightKind(indexOf("weightKind", c.WeightKind, "off", "nominal", "rough", "live")),
 		Tick:         span(c.Tick), PassesDeadline: c.Domain.PassesDeadline, Stage: c.Stage,
 	}
 	for i, name := range LoadNames {
@@ -275,11 +274,11 @@
 		}
 	}
 	for i, k := range c.Classes {
-		at := fmt.Sprintf("classes[%d].", i)
+		path := fmt.Sprintf("classes[%d].", i)
 		cfg.Classes = append(cfg.Classes, balance.Class{
 			Aim: span(k.Aim), AimStretch: k.AimStretch, Deadline: span(k.Deadline),
-			Effect: balance.Effect(pick(at+"effect", k.Effect, "side_effect", "token", "pure")),
-			Scope:  balance.Scope(pick(at+"keyScope", k.KeyScope, "cell", "zone", "all")),
+			Effect: balance.Effect(indexOf(path+"effect", k.Effect, "side_effect", "token", "pure")),
+			Scope:  balance.Scope(indexOf(path+"keyScope", k.KeyScope, "cell", "zone", "all")),
 			Window: span(k.Window), LateWorth: k.LateWorth, Points: k.Points, Stream: k.Stream,
 		})
 	}
@@ -305,5 +304,5 @@
 	}
 	cfg.Goal = balance.Goal{Whole: c.Goal.Whole, WorstClass: c.Goal.WorstClass,
 		WorstTenant: c.Goal.WorstTenant, WorstWindow: c.Goal.WorstWindow}
-	return cfg, wrong
+	return cfg, firstErr
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,6 +10,7 @@
 	"glencart/balance"
 )
 
+// Guards the mapping of settings to the configuration of the Balancer. Unknown keys must be ignored.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(`{"nInstances":3,"index":2,"zone":1,"zones":["a","b"],"skus":["m1","m2"],
 		"classes":[{"name":"read","aim":750000000,"effect":"pure"},{"name":"order"}],
@@ -30,7 +31,8 @@
 	}
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
+// An operator must find the wrong setting, so an error names its key.
+func TestParseErrorNamesKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                "JSON",
 		`{"index":1}`:                      "index",
@@ -39,7 +41,7 @@
 		`{"classes":[{"effect":"maybe"}]}`: "effect",
 	} {
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want a word of %s", text, err, want)
+			t.Errorf("%s: %v, want an error with %s", text, err, want)
 		}
 	}
 }
@@ -49,8 +51,9 @@
  "tenants":[{"name":"p","quotaPerS":2,"share":0.5},{"name":"q"}],"limits":{"maxAttempts":4,"idleClose":7},
  "obligations":{"coldShare":0.1,"fallMultiple":3,"drainGrace":5},"prices":{"probe":0.1},"loadReport":{"columns":["cpu"]}}`
 
-// Settings that can mean nothing, or two things, are refused in one line that says where, what, and what to write instead.
-func TestWhatCanMeanNothingIsRefused(t *testing.T) {
+// Invalid or ambiguous settings would make a node decide wrongly. They are rejected with one line that has the key, the value and
+// the remedy.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	if s, err := Parse([]byte(sound)); err != nil || s.Check() != nil {
 		t.Fatal(err, s.Check())
 	}
@@ -79,7 +82,7 @@
 		{`"index":1`, `"index":2`, "index: 2 is not below nInstances, 2: give"},
 		{`"zone":1`, `"zone":2`, "zone: 2 is not one of the 2 zones: give"},
 		{`"tiers"`, `"stage":1,"tiers"`, "stage: 1 is not one of the 1 tiers: give"},
-		{`["cpu"]`, `["a","b","c","d","e"]`, "loadReport.columns: 5 of them: give"},
+		{`["cpu"]`, `["a","b","c","d","e"]`, "loadReport.columns: 5 columns: give"},
 		{`"columns"`, `"source":"there","columns"`, `loadReport.source: "there" is not known: give`},
 		{`"index"`, `"membershipMode":"pull","index"`, `membershipMode: "pull" is not known: give`},
 	} {
@@ -94,8 +97,8 @@
 	}
 }
 
-// A zone is only near or far: a deployment without zones may give one of no name, or none, and two of one name are one.
-func TestZonesNeedNoNames(t *testing.T) {
+// Zones are compared by number only. So a zone may have an empty name, two may share one, and there may be none.
+func TestZoneNamesMayBeEmptyOrEqual(t *testing.T) {
 	for _, c := range []struct{ zones, zone string }{{`[""]`, "0"}, {`[]`, "0"}, {`["a","a"]`, "1"}, {`["","b"]`, "1"}} {
 		text := strings.Replace(strings.Replace(sound, `["a","b"]`, c.zones, 1), `"zone":1`, `"zone":`+c.zone, 1)
 		s, err := Parse([]byte(text))
@@ -108,7 +111,7 @@
 	}
 }
 
-// Times without end are as long as any process lives: what is added to them or taken times ten stays a time.
+// Huge durations would overflow in sums and products. They are limited, so that ten times one is still a valid duration.
 func TestHugeTimesDoNotOverflow(t *testing.T) {
 	s, err := Parse([]byte(`{"classes":[{"name":"x","aim":9223372036854775807,"deadline":9223372036854775807,"window":9223372036854775807}],
 		"limits":{"idleClose":9223372036854775807,"connectTimeout":9223372036854775807,"maxRetryAfter":9223372036854775807},
--- a/internal/sock/address.go
+++ b/internal/sock/address.go
@@ -2,11 +2,11 @@
 
 import "net"
 
-// ListenAddr words the address of a listener. Where the system fails to tell it, which getsockname(2) may for a moment, that is the
-// one that was asked for.
-func ListenAddr(l net.Listener, asked string) string {
+// ListenAddr returns the address of a listener as text. It returns requested if the address is unknown, because getsockname(2) can
+// fail temporarily.
+func ListenAddr(l net.Listener, requested string) string {
 	if a := l.Addr(); a != nil {
 		return a.String()
 	}
-	return asked
+	return requested
 }
--- a/internal/sock/interrupted_test.go
+++ b/internal/sock/interrupted_test.go
@@ -10,9 +10,9 @@
 	"glencart/internal/standin"
 )
 
-// A look that a signal interrupts (EINTR, recv(2) and poll(2)) tells nothing yet: it is repeated. Taken for an answer, a connection
-// would look ended, or empty.
-func TestInterruptedLooksAreRepeated(t *testing.T) {
+// A signal can interrupt recv(2) and poll(2) (EINTR). If that counted as a result, a connection would look closed or empty. The call
+// must be repeated.
+func TestInterruptedCallsAreRepeated(t *testing.T) {
 	near, far := pair(t)
 	realRecvfrom, realPoll := recvfrom, poll
 	t.Cleanup(func() { recvfrom, poll = realRecvfrom, realPoll })
@@ -30,24 +30,24 @@
 		return realPoll(fds, timeout)
 	}
 	if !Quiet(near) {
-		t.Error("nothing stands on the connection, and it is not quiet")
+		t.Error("the connection has no unread bytes and is not quiet")
 	}
 	far.Write([]byte("x"))
-	standin.Eventually(t, "a byte unread", func() bool { n, _, _ := realRecvfromOf(near, realRecvfrom); return n > 0 })
+	standin.Eventually(t, "an unread byte", func() bool { n, _, _ := realRecvfromOf(near, realRecvfrom); return n > 0 })
 	if n, err := Peek(near); n != 1 || err != nil {
-		t.Errorf("a byte stands unread: %d, %v", n, err)
+		t.Errorf("peek with one unread byte: %d, %v", n, err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if some, known := Waiting(l); some || !known {
-		t.Errorf("nobody waits: some %v, known %v", some, known)
+	if waiting, known := Waiting(l); waiting || !known {
+		t.Errorf("empty queue: waiting %v, known %v", waiting, known)
 	}
 }
 
-// realRecvfromOf looks at a connection past the interruptions.
+// realRecvfromOf peeks at a connection without interruptions.
 func realRecvfromOf(c net.Conn, call func(int, []byte, int) (int, syscall.Sockaddr, error)) (n int, from syscall.Sockaddr, err error) {
 	err = control(c, func(fd int) error {
 		var b [1]byte
--- a/internal/sock/moment.go
+++ b/internal/sock/moment.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// localFailures are what socket(2), bind(2) and connect(2) fail with where this machine lacks something: the other side has no part
-// in it.
+// localErrors are the errors of socket(2), bind(2) and connect(2) when this machine lacks a resource. They don't concern the other
+// side.
 var localFailures = []error{syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// momentaryFailures are what they fail with where the network, or an address in use, may be another in a moment.
+// temporaryErrors are further errors of these calls, which may end when the network or the use of an address changes.
 var momentaryFailures = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EADDRINUSE, syscall.EINTR}
 
-// LocalFailure tells whether a system call failed for want of something on this machine, as descriptors, ports or memory.
+// LocalFailure reports whether a system call failed because this machine lacks a resource such as descriptors, ports or memory.
 func LocalFailure(err error) bool { return isAny(err, localFailures) }
 
-// Momentary tells whether a system call that failed may succeed in a moment.
+// IsTemporary reports whether a failed system call may succeed if it is repeated.
 func Momentary(err error) bool { return LocalFailure(err) || isAny(err, momentaryFailures) }
 
 func isAny(err error, targets []error) bool {
@@ -29,10 +29,10 @@
 	return false
 }
 
-// The pause before a call that failed is repeated doubles from retryLeast to retryMost.
+// The pause before a retry doubles from minRetryPause to maxRetryPause.
 const retryLeast, retryMost = time.Millisecond, 50 * time.Millisecond
 
-// Retry calls try until it succeeds, fails with what is not Momentary, or ctx ends. It returns the last error of try.
+// Retry calls try until it succeeds, its error is not temporary (IsTemporary) or ctx ends. It returns the last error of try.
 func Retry(ctx context.Context, try func() error) error {
 	for pause := retryLeast; ; pause = min(2*pause, retryMost) {
 		err := try()
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,4 +1,5 @@
-// Package sock looks at sockets in ways that package net has no words for.
+// Package sock has socket operations that package net lacks. It checks the state of sockets without reading from them, and retries
+// calls that fail temporarily.
 package sock
 
 import (
@@ -9,20 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// The system calls that may be interrupted. Tests make them fail.
+// System calls that a signal may interrupt. Tests replace them.
 var (
 	recvfrom = syscall.Recvfrom
 	poll     = unix.Poll
 )
 
-// Quiet tells whether a connection is up with nothing unread on it. A backend that was restarted under its old address
-// leaves connections behind that would swallow a request. One that can't be looked at is not quiet.
+// Quiet reports whether a connection is open without unread bytes. A backend restarted at the same address leaves dead connections
+// behind, on which a request would be lost. Quiet returns false if the state is unknown.
 func Quiet(c net.Conn) bool {
 	n, err := Peek(c)
 	return n < 0 && err == syscall.EAGAIN
 }
 
-// Peek looks for something unread on a connection, and leaves it there. Zero bytes without an error are its end.
+// Peek reads a byte from a connection without removing it. It doesn't block. Zero bytes without an error are the end of the input.
 func Peek(c net.Conn) (n int, err error) {
 	if _, ok := c.(syscall.Conn); !ok {
 		return 0, nil
@@ -37,37 +38,37 @@
 	return n, err
 }
 
-// Gone tells whether the other side of a TCP connection has ended its sending or reset it, by the connection's state: unlike with
-// Peek, what stands unread before that hides nothing. One that can't be looked at is not gone.
-func Gone(c net.Conn) (is bool) {
+// Gone reports whether the other side of a TCP connection has closed or reset it. It uses the state of the connection. Unlike with
+// Peek, unread bytes don't hide the end. Gone returns false if the state is unknown.
+func Gone(c net.Conn) (gone bool) {
 	control(c, func(fd int) error {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
 			switch info.State {
 			case unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING, unix.BPF_TCP_TIME_WAIT:
-				is = true
+				gone = true
 			}
 		}
 		return err
 	})
-	return is
+	return gone
 }
 
-// Waiting tells whether somebody stands in a listener's queue. known is false where that can't be told.
-func Waiting(l net.Listener) (some, known bool) {
+// Waiting reports whether a connection waits in a listener's queue. known is false if that can't be determined.
+func Waiting(l net.Listener) (waiting, known bool) {
 	fds := []unix.PollFd{{Events: unix.POLLIN}}
 	err := control(l, func(fd int) error {
 		fds[0].Fd = int32(fd)
 		return uninterrupted(func() error {
 			n, err := poll(fds, 0)
-			some = n > 0
+			waiting = n > 0
 			return err
 		})
 	})
-	return some, err == nil
+	return waiting, err == nil
 }
 
-// SinceData is how long ago data came last on a connection, by the kernel (tcpi_last_data_recv of tcp(7)); 0 where it can't tell.
+// SinceData returns the time since a connection last received data (tcpi_last_data_recv of tcp(7)), or 0 if it is unknown.
 func SinceData(c net.Conn) (d time.Duration) {
 	control(c, func(fd int) error {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -79,22 +80,22 @@
 	return d
 }
 
-// Abort ends a connection with what the system has not sent of it yet (SO_LINGER 0 of socket(7)). After Close alone that is still sent:
-// long after, where the other machine was cut off, or does not read.
+// Abort closes a connection and discards unsent bytes (SO_LINGER 0 of socket(7)). After a plain Close the system still sends them,
+// even much later if the other machine was unreachable or didn't read.
 func Abort(c net.Conn) error {
-	under := c
+	raw := c
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
-		under = t.NetConn()
+		raw = t.NetConn()
 	}
-	if t, ok := under.(interface{ SetLinger(sec int) error }); ok {
+	if t, ok := raw.(interface{ SetLinger(sec int) error }); ok {
 		t.SetLinger(0)
 	}
-	return under.Close()
+	return raw.Close()
 }
 
-// control runs do on the descriptor of what is a socket.
-func control(of any, do func(fd int) error) error {
-	sc, ok := of.(syscall.Conn)
+// control runs call on the descriptor of a socket.
+func control(socket any, call func(fd int) error) error {
+	sc, ok := socket.(syscall.Conn)
 	if !ok {
 		return syscall.ENOTSOCK
 	}
@@ -102,14 +103,14 @@
 	if err != nil {
 		return err
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = do(int(fd)) }); err != nil {
+	var callErr error
+	if err := raw.Control(func(fd uintptr) { callErr = call(int(fd)) }); err != nil {
 		return err
 	}
-	return failed
+	return callErr
 }
 
-// uninterrupted repeats a system call for as long as a signal interrupts it.
+// uninterrupted repeats a system call until no signal interrupts it.
 func uninterrupted(call func() error) error {
 	for {
 		if err := call(); err != syscall.EINTR {
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -8,7 +8,7 @@
 	"glencart/internal/standin"
 )
 
-// pair is a TCP connection, from both sides.
+// pair returns both ends of a TCP connection.
 func pair(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,8 +28,9 @@
 	return a.(*net.TCPConn), c.(*net.TCPConn)
 }
 
-// The end of a connection is seen in whichever way it came, also behind bytes that nobody has read.
-func TestGone(t *testing.T) {
+// A request of a client that has left would run for nothing. Gone must detect the end of a connection, however it happens, even behind
+// unread bytes.
+func TestGoneDetectsClosedConnection(t *testing.T) {
 	for name, tc := range map[string]struct {
 		leave  func(far *net.TCPConn)
 		unread int
@@ -50,10 +51,10 @@
 			near, far := pair(t)
 			if tc.unread > 0 {
 				far.Write(make([]byte, tc.unread))
-				standin.Eventually(t, "something unread", func() bool { n, _ := Peek(near); return n > 0 })
+				standin.Eventually(t, "unread bytes", func() bool { n, _ := Peek(near); return n > 0 })
 			}
 			if Gone(near) {
-				t.Fatal("gone before it left")
+				t.Fatal("gone before the other side closed")
 			}
 			if name == "we have ended, it stays" || name == "we have ended, it closes" {
 				near.CloseWrite()
@@ -64,32 +65,32 @@
 			if tc.gone {
 				standin.Eventually(t, "gone", func() bool { return Gone(near) })
 			} else if Gone(near) {
-				t.Error("gone, and it stays")
+				t.Error("gone, but the other side is open")
 			}
 		})
 	}
 }
 
-// What can't be looked at is not gone: its request is served.
-func TestGoneWhereItCannotBeTold(t *testing.T) {
+// If the state of a connection is unknown, its request must be served, so it doesn't count as gone.
+func TestUnknownStateIsNotGone(t *testing.T) {
 	near, far := pair(t)
 	far.Close()
 	standin.Eventually(t, "gone", func() bool { return Gone(near) })
 	if Gone(struct{ net.Conn }{near}) {
-		t.Error("no socket to look at, and gone")
+		t.Error("a connection without a socket is gone")
 	}
 	near.Close()
 	if Gone(near) {
-		t.Error("closed here, and gone")
+		t.Error("a connection closed on this side is gone")
 	}
 	one, other := net.Pipe()
 	other.Close()
 	if Gone(one) {
-		t.Error("a pipe, and gone")
+		t.Error("a pipe is gone")
 	}
 }
 
-// BenchmarkGone is what the look before each attempt costs.
+// BenchmarkGone measures the check before each attempt.
 func BenchmarkGone(b *testing.B) {
 	near, _ := pair(b)
 	near.SetDeadline(time.Time{})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire reads and writes the line protocol between the bench and the
-// adapter. It holds no policy. Malformed lines are errors that name the line
-// and the field; unknown messages, fields and settings are skipped.
+// Package wire reads and writes the line protocol between the simulator and its adapter. It makes no decisions. A malformed line is
+// an error that names the line and the field. Unknown messages, fields and settings are skipped.
 package wire
 
 import (
@@ -17,24 +16,24 @@
 	"glencart/internal/settings"
 )
 
-// Kind says what a message is.
+// Kind is the kind of a message.
 type Kind uint8
 
-// Kinds of messages.
+// Kinds of messages. The comments name the fields of Message that are set.
 const (
 	Clock    Kind = iota // At
-	Turn                 // the batch is complete: reply now
+	Turn                 // the end of a batch, which is to be answered
 	Spawn                // Node, Salt, Config
 	Teardown             // Node
 	List                 // Sheet, Members
 	Happened             // Node, Event; Sheet if UsesSheet
-	Unknown              // Name: a message this version does not know
+	Unknown              // Name; a message that this version doesn't support
 )
 
-// MaxSheet is the highest number of a list.
+// MaxSheet is the highest number of an endpoint list (field sheet).
 const MaxSheet = 15
 
-// Message is one message from the bench.
+// Message is one message from the simulator.
 type Message struct {
 	Kind      Kind
 	Line      int
@@ -44,12 +43,12 @@
 	Salt      uint64
 	Config    balance.Config
 	Sheet     int
-	UsesSheet bool // Event.Members is to be taken from list Sheet
+	UsesSheet bool // the members of Event are those of list Sheet
 	Members   []balance.Member
 	Event     balance.Event
 }
 
-// Reader reads messages.
+// Reader reads messages and counts lines.
 type Reader struct {
 	in   *bufio.Reader
 	line int
@@ -58,11 +57,11 @@
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 1<<16)} }
 
-// readLine returns the next line without its end; io.EOF only at a clean end.
+// readLine returns the next line without its line end. It returns io.EOF only if the input ends after a whole line.
 func (r *Reader) readLine() (string, error) {
 	s, err := r.in.ReadString('\n')
 	if err == io.EOF && s != "" {
-		return "", fmt.Errorf("line %d: cut short", r.line+1)
+		return "", fmt.Errorf("line %d: truncated: no line end", r.line+1)
 	}
 	if err != nil {
 		return "", err
@@ -71,7 +70,7 @@
 	return s[:len(s)-1], nil
 }
 
-// Next returns the next message; io.EOF at the end of input.
+// Next returns the next message, or io.EOF at the end of the input.
 func (r *Reader) Next() (Message, error) {
 	s, err := r.readLine()
 	if err != nil {
@@ -86,7 +85,7 @@
 	return m, f.err
 }
 
-// decode fills in m from its fields; errors stay in f.
+// decode sets m from its fields. f keeps the first error.
 func (r *Reader) decode(m *Message, f *fields) {
 	switch f.name {
 	case "clock":
@@ -150,7 +149,7 @@
 	m.Node = f.text("node")
 }
 
-// entries reads the lines of a list.
+// entries reads the entry lines of an endpoint list.
 func (r *Reader) entries(f *fields) []balance.Member {
 	n := f.index("elements")
 	if f.err != nil {
@@ -160,12 +159,12 @@
 	for range n {
 		s, err := r.readLine()
 		if err != nil {
-			f.fail("elements", fmt.Sprintf("%d announced, %d found", n, len(list)))
+			f.fail("elements", fmt.Sprintf("expected %d entries, found %d", n, len(list)))
 			return nil
 		}
 		e, err := split(s, r.line)
 		if err == nil && e.name != "entry" {
-			err = fmt.Errorf("line %d: %q where an entry is due", r.line, e.name)
+			err = fmt.Errorf("line %d: %q instead of an entry", r.line, e.name)
 		}
 		if err != nil {
 			f.err = err
@@ -198,30 +197,30 @@
 		"revoked", "unused"}
 )
 
-// fields are the parts of one line. The first failure stays in err.
+// fields are the fields of one line. err is the first error.
 type fields struct {
 	line  int
 	name  string
 	kv    []field
-	loose bool // missing fields read as zero
+	loose bool // missing fields are zero
 	err   error
 }
 
 type field struct{ key, value string }
 
-// split cuts a line at its spaces. A text field runs to the end of the line.
+// split splits a line at its spaces. A text field extends to the end of the line.
 func split(s string, line int) (*fields, error) {
-	name, rest, more := strings.Cut(s, " ")
+	name, remaining, more := strings.Cut(s, " ")
 	f := &fields{line: line, name: name, kv: make([]field, 0, 12)}
 	if name == "" || strings.Contains(name, "=") {
 		return nil, fmt.Errorf("line %d: no message name", line)
 	}
 	for more {
 		var part string
-		if strings.HasPrefix(rest, "conf=") || strings.HasPrefix(rest, "bodyText=") {
-			part, more = rest, false
+		if strings.HasPrefix(remaining, "conf=") || strings.HasPrefix(remaining, "bodyText=") {
+			part, more = remaining, false
 		} else {
-			part, rest, more = strings.Cut(rest, " ")
+			part, remaining, more = strings.Cut(remaining, " ")
 		}
 		key, value, ok := strings.Cut(part, "=")
 		if !ok || key == "" {
@@ -250,14 +249,14 @@
 	return false
 }
 
-// optional runs read with missing fields taken as zero.
+// optional runs read. Fields that are missing meanwhile are zero and no error.
 func (f *fields) optional(read func()) {
 	f.loose = true
 	read()
 	f.loose = false
 }
 
-// get returns the value of a field; ok is false if there is nothing to parse.
+// get returns the value of a field. ok is false if the field is missing.
 func (f *fields) get(key string) (value string, ok bool) {
 	for i := range f.kv {
 		if f.kv[i].key == key {
@@ -278,14 +277,14 @@
 	return s
 }
 
-func (f *fields) unsigned(key string, most uint64) uint64 {
+func (f *fields) unsigned(key string, maxValue uint64) uint64 {
 	s, ok := f.get(key)
 	if !ok {
 		return 0
 	}
 	v, err := strconv.ParseUint(s, 10, 64)
-	if err != nil || v > most {
-		f.fail(key, fmt.Sprintf("%q is not a whole number up to %d", s, most))
+	if err != nil || v > maxValue {
+		f.fail(key, fmt.Sprintf("%q is not a whole number up to %d", s, maxValue))
 		return 0
 	}
 	return v
@@ -347,7 +346,7 @@
 	return b
 }
 
-// load reads a load report. Values of other names are skipped.
+// load parses a load report. Unknown names are skipped.
 func (f *fields) load() balance.Load {
 	var l balance.Load
 	if !f.has("load") {
@@ -357,7 +356,7 @@
 	if s == "" || s == "-" {
 		return l
 	}
-	into := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS}
+	targets := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS}
 	for _, pair := range strings.Split(s, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		if !ok {
@@ -366,7 +365,7 @@
 		}
 		for i, n := range settings.LoadNames {
 			if n == name {
-				*into[i] = f.parseNumber("load", value)
+				*targets[i] = f.parseNumber("load", value)
 				l.Has |= 1 << i
 			}
 		}
@@ -374,7 +373,7 @@
 	return l
 }
 
-// settings reads the settings object.
+// settings parses a settings object.
 func (f *fields) settings(key string) balance.Config {
 	s, ok := f.get(key)
 	if !ok {
@@ -387,7 +386,7 @@
 	return parsed.Config
 }
 
-// AppendAction appends an action of a node as a line of a reply.
+// AppendAction appends a line with an action of a node to a reply.
 func AppendAction(b []byte, node string, a *balance.Action) []byte {
 	num := func(key string, v int64) {
 		b = append(append(b, ' '), key...)
@@ -397,48 +396,48 @@
 		b = append(append(b, ' '), key...)
 		b = append(append(b, '='), v...)
 	}
-	verb := func(name string) {
+	begin := func(name string) {
 		b = append(b, name...)
 		str("node", node)
 	}
 	switch a.Kind {
 	case balance.Send:
-		verb("call_out")
+		begin("call_out")
 		str("requestId", a.Request)
 		num("backend", int64(a.Backend))
 		if a.Limit != 0 {
 			num("limit", int64(a.Limit))
 		}
 	case balance.Cancel:
-		verb("abandon")
+		begin("abandon")
 		str("requestId", a.Request)
 		num("attempt", int64(a.Attempt))
 	case balance.Refuse:
-		verb("decline")
+		begin("decline")
 		str("requestId", a.Request)
 		if a.RetryIn > 0 {
 			num("retryIn", int64(a.RetryIn))
 		}
 	case balance.Fail:
-		verb("give_up")
+		begin("give_up")
 		str("requestId", a.Request)
 	case balance.Probe:
-		verb("test")
+		begin("test")
 		num("backend", int64(a.Backend))
 	case balance.SetTimer:
-		verb("schedule")
+		begin("schedule")
 		num("in", int64(a.In))
 		num("mark", int64(a.Mark))
 	case balance.Watch:
-		verb("subscribe")
+		begin("subscribe")
 		num("active", 1)
 	case balance.Unwatch:
-		verb("subscribe")
+		begin("subscribe")
 		num("active", 0)
 	case balance.Fetch:
-		verb("query_all")
+		begin("query_all")
 	case balance.Tell:
-		verb("say")
+		begin("say")
 		if a.Peer == balance.AllPeers {
 			str("target", "all")
 		} else {
@@ -450,14 +449,14 @@
 			str("raw", base64.StdEncoding.EncodeToString(a.Payload))
 		}
 	case balance.Close:
-		verb("disconnect")
+		begin("disconnect")
 		num("backend", int64(a.Backend))
 	case balance.Log:
-		verb("say_log")
+		begin("say_log")
 		str("bodyText", strings.NewReplacer("\n", " ", "\r", " ").Replace(a.Text))
 	}
 	return append(b, '\n')
 }
 
-// AppendAck appends the end of a reply.
+// AppendAck appends the line that ends a reply.
 func AppendAck(b []byte) []byte { return append(b, "ack\n"...) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,16 +14,16 @@
 func read(t testing.TB, text string) ([]Message, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader(text))
-	var out []Message
+	var messages []Message
 	for {
 		m, err := r.Next()
 		if err == io.EOF {
-			return out, nil
+			return messages, nil
 		}
 		if err != nil {
-			return out, err
+			return messages, err
 		}
-		out = append(out, m)
+		messages = append(messages, m)
 	}
 }
 
@@ -36,7 +36,8 @@
 	return ms[0]
 }
 
-func TestEvents(t *testing.T) {
+// Guards the mapping of event lines to events. Fields may come in any order, and unknown ones are skipped.
+func TestEventLines(t *testing.T) {
 	const id = "5d3a91c4-a8f6-4e6c-a7c4-4415b8b3b467"
 	for line, want := range map[string]balance.Event{
 		"work_item node=node_3 requestId=" + id + " band=2 userGroup=1 routeKey=9007199254740991 timeBudget=240000000 " +
@@ -64,20 +65,22 @@
 	}
 }
 
-func TestEveryStatusHasItsName(t *testing.T) {
+// A wrong status could make an attempt that ran count as never run, which allows a second execution.
+func TestStatusNames(t *testing.T) {
 	for i, name := range []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"} {
 		m := one(t, "probe_result node=n backend=1 spent=1 status="+name)
 		if m.Event.Status != balance.Status(i) {
-			t.Errorf("%s reads as %d", name, m.Event.Status)
+			t.Errorf("%s is parsed as %d", name, m.Event.Status)
 		}
-		proves := name == "shed" || name == "dial_failed" || name == "unused"
-		if m.Event.Status.NeverRan() != proves {
-			t.Errorf("%s: NeverRan is %v", name, !proves)
+		neverRan := name == "shed" || name == "dial_failed" || name == "unused"
+		if m.Event.Status.NeverRan() != neverRan {
+			t.Errorf("%s: NeverRan is %v", name, !neverRan)
 		}
 	}
 }
 
-func TestListAndMembers(t *testing.T) {
+// Guards the parsing of endpoint lists and of the events that refer to them.
+func TestEndpointLists(t *testing.T) {
 	ms, err := read(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
 		"entry backend=51530247 stripe=4 nominal=1 generationHw=2 rackZone=1 phase=draining\n"+
 		"entry launched=6100000000 backend=7 nominal=1.5 phase=ready\n"+
@@ -101,7 +104,8 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+// Guards the parsing of settings in a spawn line.
+func TestSpawnSettings(t *testing.T) {
 	m := one(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1, "new": [1],`+
 		` "classes": [{"aim": 5, "deadline": 6, "effect": "token", "keyScope": "zone", "window": 7, "points": 2.5}],`+
 		` "membershipMode": "ask", "loadReport": {"source": "inline"}, "limits": {"maxAttempts": 4, "peers": true},`+
@@ -115,8 +119,8 @@
 	}
 }
 
-// Every setting that the module can use reaches it, and those it cannot are still checked.
-func TestEverySettingIsRead(t *testing.T) {
+// A setting could be lost between the line and the Balancer. Those that the Balancer doesn't use are still checked.
+func TestAllSettingsAreParsedAndChecked(t *testing.T) {
 	m := one(t, `spawn node=n salt=1 conf={"nInstances": 2, "limits": {"cpuUsPerS": 364369, "cpuUsPerRequest": 10.5,`+
 		` "maxOpen": 910922}, "loadReport": {"source": "on_probe", "columns": ["active", "err_rps", "novel"]},`+
 		` "prices": {"connection": 0.5, "membershipMode": 0.25, "moves": 1, "origin": 1, "fleet": 1},`+
@@ -129,7 +133,7 @@
 	if !reflect.DeepEqual(m.Config, want) {
 		t.Errorf("got %+v", m.Config)
 	}
-	for conf, names := range map[string]string{
+	for conf, wantText := range map[string]string{
 		`{"index": 3, "nInstances": 3}`:                                  "index",
 		`{"nInstances": -1}`:                                             "nInstances",
 		`{"zone": 2, "zones": ["a", "b"]}`:                               "zone",
@@ -145,13 +149,14 @@
 	} {
 		_, err := read(t, "clock atTime=1\nspawn node=n salt=1 conf="+conf+"\n")
 		if err == nil || !strings.Contains(err.Error(), "line 2") || !strings.Contains(err.Error(), "conf") ||
-			!strings.Contains(err.Error(), names) {
+			!strings.Contains(err.Error(), wantText) {
 			t.Errorf("%s: %v", conf, err)
 		}
 	}
 }
 
-func TestSubscribingAndUnsubscribing(t *testing.T) {
+// Subscribing and unsubscribing use the same message, with a different flag.
+func TestSubscribeActions(t *testing.T) {
 	for kind, want := range map[balance.ActionKind]string{balance.Watch: "active=1", balance.Unwatch: "active=0"} {
 		if got := string(AppendAction(nil, "n", &balance.Action{Kind: kind})); got != "subscribe node=n "+want+"\n" {
 			t.Errorf("got %q", got)
@@ -159,18 +164,19 @@
 	}
 }
 
-// No name reaches the decisions: renaming everything leaves the same Config, and so the same actions.
-func TestNamesDoNotReachTheConfig(t *testing.T) {
-	conf := func(n string) string {
-		return `spawn node=node_1 salt=1 conf={"classes": [{"aim": 5, "name": "` + n + `1"}], "skus": ["` + n + `2"],` +
-			` "tenants": [{"name": "` + n + `3", "share": 1, "quotaPerS": 5}], "zones": ["` + n + `4"], "tiers": ["` + n + `5"]}`
+// Decisions must not depend on names. Settings with other names give an equal Config, and so the same actions.
+func TestConfigDoesNotDependOnNames(t *testing.T) {
+	conf := func(prefix string) string {
+		return `spawn node=node_1 salt=1 conf={"classes": [{"aim": 5, "name": "` + prefix + `1"}], "skus": ["` + prefix + `2"],` +
+			` "tenants": [{"name": "` + prefix + `3", "share": 1, "quotaPerS": 5}], "zones": ["` + prefix + `4"], "tiers": ["` + prefix + `5"]}`
 	}
 	if a, b := one(t, conf("old")), one(t, conf("new")); !reflect.DeepEqual(a.Config, b.Config) {
 		t.Errorf("%+v\n%+v", a.Config, b.Config)
 	}
 }
 
-func TestMalformedLinesNameLineAndField(t *testing.T) {
+// An error in a long input must be found, so it names the line and the field.
+func TestErrorNamesLineAndField(t *testing.T) {
 	for line, want := range map[string]string{
 		"work_item node=n requestId=r band=0":                                        "timeBudget",
 		"work_item node=n requestId=r band=x timeBudget=1":                           "band",
@@ -209,17 +215,19 @@
 		}
 	}
 	if _, err := read(t, "clock atTime=1"); err == nil {
-		t.Error("a line cut short was taken")
+		t.Error("accepted a truncated line")
 	}
 }
 
-func TestUnknownMessagesAreSkipped(t *testing.T) {
+// A newer simulator may send messages that this version doesn't support. They must not be errors.
+func TestUnknownMessageIsNoError(t *testing.T) {
 	if m := one(t, "weather node=node_3 sky=blue"); m.Kind != Unknown || m.Name != "weather" {
 		t.Errorf("got %+v", m)
 	}
 }
 
-func TestActions(t *testing.T) {
+// Guards the lines for actions.
+func TestActionLines(t *testing.T) {
 	for want, a := range map[string]balance.Action{
 		"call_out node=node_3 requestId=r backend=51530247 limit=80000000": {Kind: balance.Send, Request: "r",
 			Backend: 51530247, Limit: 80 * time.Millisecond},
@@ -243,7 +251,7 @@
 	}
 }
 
-// What is written as an action reads back as a line of the same shape, whatever the text holds.
+// Arbitrary input must give messages, or an error that names the line. An action must stay one line whatever text it contains.
 func FuzzReader(f *testing.F) {
 	f.Add("clock atTime=8412250000\nyour_turn\n")
 	f.Add("list sheet=0 elements=1\nentry backend=1 phase=ready\n")
@@ -252,15 +260,15 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		ms, err := read(t, text)
 		if err != nil && !strings.Contains(err.Error(), "line ") {
-			t.Fatalf("an error without a line: %v", err)
+			t.Fatalf("error does not name a line: %v", err)
 		}
 		for _, m := range ms {
 			if m.Kind == Happened && m.Node == "" {
-				t.Fatal("an event without a node")
+				t.Fatal("event without a node")
 			}
 			out := AppendAction(nil, "n", &balance.Action{Kind: balance.Log, Text: m.Event.Request})
 			if bytes.Count(out, []byte("\n")) != 1 {
-				t.Fatalf("an action of more than one line: %q", out)
+				t.Fatalf("action of more than one line: %q", out)
 			}
 		}
 	})
