--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -40,8 +40,8 @@
 			got, _ = io.ReadFull(c, buf)
 		})
 		wg.Go(func() {
-			for !isClosed && !c.asking() {
-				isClosed = c.closeUnasked(true, lingerFor)
+			for !isClosed && !c.hasUnanswered() {
+				isClosed = c.closeIfNoRequest(true, lingerTimeout)
 				if isClosed {
 					break
 				}
@@ -73,7 +73,7 @@
 	limited := Limit(l, 8)
 	defer limited.Close()
 	table := NewTable(8, Platform)
-	table.full = 2
+	table.evictAbove = 2
 	acceptOne := func(text string) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -87,7 +87,7 @@
 		}
 		t.Cleanup(func() { accepted.Close() })
 		if text != "" {
-			for !accepted.(*Conn).unread() { // the text is on its way
+			for !accepted.(*Conn).hasUnread() { // the text is on its way
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -119,7 +119,7 @@
 	limited := Limit(l, 4)
 	defer limited.Close()
 	table := NewTable(4, Own)
-	table.full = 1
+	table.evictAbove = 1
 	acceptOne := func(since time.Duration, states ...http.ConnState) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -162,18 +162,18 @@
 			f := framing{length: -1}
 			for text := []byte(c.text); len(text) > 0; {
 				n := min(piece, len(text))
-				f.saw(text[:n])
+				f.observe(text[:n])
 				text = text[n:]
 			}
-			if f.asked.Load() != c.asked || f.begun.Load() != c.begun {
-				t.Errorf("%q in pieces of %d: %d unanswered, partial %t", c.text, piece, f.asked.Load(), f.begun.Load())
+			if f.unanswered.Load() != c.asked || f.partial.Load() != c.begun {
+				t.Errorf("%q in pieces of %d: %d unanswered, partial %t", c.text, piece, f.unanswered.Load(), f.partial.Load())
 			}
-			f.answered()
-			if f.Chunked.Load() && f.begun.Load() {
+			f.markAnswered()
+			if f.Chunked.Load() && f.partial.Load() {
 				t.Errorf("%q in pieces of %d: partial after its answer", c.text, piece)
 			}
-			if f.asking() != (c.asked > 1) {
-				t.Errorf("%q in pieces of %d: unanswered after an answer: %t", c.text, piece, f.asking())
+			if f.hasUnanswered() != (c.asked > 1) {
+				t.Errorf("%q in pieces of %d: unanswered after an answer: %t", c.text, piece, f.hasUnanswered())
 			}
 		}
 	}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -19,38 +19,38 @@
 type Conn struct {
 	net.Conn // the socket
 	framing
-	home  *Listener // the listener that counts it
-	known net.Conn  // the connection that http.Server uses: this one, or the TLS connection over it
+	listener  *Listener // the listener that counts it
+	serverConn net.Conn  // the connection that http.Server uses: this one, or the TLS connection over it
 
 	// readMu is held while bytes are read from the socket and recorded, and while the connection is checked and closed. In
 	// between, a whole request would count neither as unread nor as unanswered.
-	taking sync.Mutex
-	raw    syscall.RawConn // nil: not a socket
-	take   func(fd uintptr) bool
-	into   []byte // buffer of the current Read; net/http calls one at a time
-	took   int
-	failed error
+	readMu sync.Mutex
+	rawConn    syscall.RawConn // nil: not a socket
+	readFunc   func(fd uintptr) bool
+	readBuf   []byte // buffer of the current Read; net/http calls one at a time
+	readCount   int
+	readErr error
 	// notBefore is the earliest time at which the next request can have arrived. It is the last time that the listener's queue
 	// was empty, or the time of the previous answer. It belongs to the connection's handlers, and to Track between two of them.
 	notBefore time.Time
 
-	cut        atomic.Bool   // the wait for the rest of a body was ended
-	cutLingers time.Duration // how long the connection may linger after that
+	bodyCut        atomic.Bool   // the wait for the rest of a body was ended
+	cutLinger time.Duration // how long the connection may linger after that
 	// headDeadline is the deadline for the whole head of a further request, set at its first byte. It is zero if no head has
 	// begun. Guarded by readMu.
-	headBy time.Time
+	headDeadline time.Time
 	// readDeadline is the read deadline that net/http has set; zero: none. Guarded by readMu.
-	readBy time.Time
+	readDeadline time.Time
 
-	ended bool // guarded by readMu. linger owns the connection and no request is read: the client retries elsewhere
+	ending bool // guarded by readMu. linger owns the connection and no request is read: the client retries elsewhere
 }
 
 // newConn returns a Conn over a client's connection.
-func watch(c net.Conn, listener *Listener) *Conn {
-	conn := &Conn{Conn: c, home: listener, framing: framing{length: -1}}
+func newConn(c net.Conn, listener *Listener) *Conn {
+	conn := &Conn{Conn: c, listener: listener, framing: framing{length: -1}}
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			conn.raw, conn.take = raw, conn.takeBytes
+			conn.rawConn, conn.readFunc = raw, conn.readSocket
 		}
 	}
 	return conn
@@ -59,61 +59,61 @@
 // SetReadDeadline sets the read deadline of net/http. It has no effect on a closing connection, where linger has set its own. The
 // deadline of a partial head still applies.
 func (c *Conn) SetReadDeadline(t time.Time) error {
-	c.taking.Lock()
-	defer c.taking.Unlock()
-	if c.ended {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if c.ending {
 		return nil
 	}
-	c.readBy = t
-	c.boundHead()
-	return c.Conn.SetReadDeadline(c.deadline())
+	c.readDeadline = t
+	c.startHeadTimeout()
+	return c.Conn.SetReadDeadline(c.effectiveDeadline())
 }
 
 // startHeadTimeout starts the time limit for a head at its first byte. If that byte came before the answer to the previous
 // request, the limit starts at that answer. net/http starts its own at the fourth byte and treats a connection with
 // fewer as idle. It requires readMu.
-func (c *Conn) boundHead() (started bool) {
-	timeout := c.home.HeadWithin
-	switch partialHead := c.inHead() && !c.asking(); {
+func (c *Conn) startHeadTimeout() (started bool) {
+	timeout := c.listener.HeadWithin
+	switch partialHead := c.inHead() && !c.hasUnanswered(); {
 	case !partialHead || timeout <= 0:
-		c.headBy = time.Time{}
-	case c.headBy.IsZero():
-		c.headBy = time.Now().Add(timeout)
+		c.headDeadline = time.Time{}
+	case c.headDeadline.IsZero():
+		c.headDeadline = time.Now().Add(timeout)
 		return true
 	}
 	return false
 }
 
-// deadline returns the effective read deadline. It requires readMu.
-func (c *Conn) deadline() time.Time {
-	if c.cut.Load() {
-		return c.home.born // in the past
+// effectiveDeadline returns the effective read effectiveDeadline. It requires readMu.
+func (c *Conn) effectiveDeadline() time.Time {
+	if c.bodyCut.Load() {
+		return c.listener.createdAt // in the past
 	}
-	if !c.headBy.IsZero() && (c.readBy.IsZero() || c.headBy.Before(c.readBy)) {
-		return c.headBy
+	if !c.headDeadline.IsZero() && (c.readDeadline.IsZero() || c.headDeadline.Before(c.readDeadline)) {
+		return c.headDeadline
 	}
-	return c.readBy
+	return c.readDeadline
 }
 
 // readSocket reads from the socket without blocking and records the bytes. It reports whether it got bytes, an end or an error.
-func (c *Conn) takeBytes(fd uintptr) bool {
-	c.taking.Lock()
-	defer c.taking.Unlock()
-	if c.ended {
-		c.took, c.failed = 0, net.ErrClosed
+func (c *Conn) readSocket(fd uintptr) bool {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if c.ending {
+		c.readCount, c.readErr = 0, net.ErrClosed
 		return true
 	}
 	for {
-		c.took, c.failed = syscall.Read(int(fd), c.into)
-		switch c.failed {
+		c.readCount, c.readErr = syscall.Read(int(fd), c.readBuf)
+		switch c.readErr {
 		case syscall.EINTR:
 			continue
 		case syscall.EAGAIN:
 			return false
 		case nil:
-			c.mark(c.into[:max(c.took, 0)])
-			if c.boundHead() {
-				c.Conn.SetReadDeadline(c.deadline())
+			c.recordRead(c.readBuf[:max(c.readCount, 0)])
+			if c.startHeadTimeout() {
+				c.Conn.SetReadDeadline(c.effectiveDeadline())
 			}
 		}
 		return true
@@ -121,41 +121,41 @@
 }
 
 // lastReadAt returns the time of the last byte; zero: none.
-func (c *Conn) readAt() time.Time {
-	if offset := c.readAfter.Load(); offset > 0 {
-		return c.home.born.Add(time.Duration(offset))
+func (c *Conn) lastReadAt() time.Time {
+	if offset := c.lastReadOffset.Load(); offset > 0 {
+		return c.listener.createdAt.Add(time.Duration(offset))
 	}
 	return time.Time{}
 }
 
 // recordRead records bytes that have been read.
-func (c *Conn) mark(p []byte) {
+func (c *Conn) recordRead(p []byte) {
 	if len(p) > 0 {
-		c.readAfter.Store(int64(time.Since(c.home.born)))
+		c.lastReadOffset.Store(int64(time.Since(c.listener.createdAt)))
 	}
-	c.saw(p)
+	c.observe(p)
 }
 
 // Read reads from the socket and records the bytes.
 func (c *Conn) Read(p []byte) (int, error) {
-	if c.raw == nil || len(p) == 0 {
+	if c.rawConn == nil || len(p) == 0 {
 		n, err := c.Conn.Read(p)
-		c.mark(p[:n])
+		c.recordRead(p[:n])
 		return n, err
 	}
-	c.into, c.took, c.failed = p, 0, nil
-	err := c.raw.Read(c.take)
-	if errors.Is(err, os.ErrDeadlineExceeded) && !c.asking() && !c.begun.Load() {
+	c.readBuf, c.readCount, c.readErr = p, 0, nil
+	err := c.rawConn.Read(c.readFunc)
+	if errors.Is(err, os.ErrDeadlineExceeded) && !c.hasUnanswered() && !c.partial.Load() {
 		// A request may have arrived at the moment of the deadline. Package net doesn't check again, so it would be lost.
 		hasInput := false
-		if c.raw.Control(func(fd uintptr) { hasInput = c.takeBytes(fd) }) == nil && hasInput {
+		if c.rawConn.Control(func(fd uintptr) { hasInput = c.readSocket(fd) }) == nil && hasInput {
 			err = nil
 		} else {
-			c.took, c.failed = 0, nil
+			c.readCount, c.readErr = 0, nil
 		}
 	}
-	n, readErr := max(c.took, 0), c.failed
-	c.into, c.took, c.failed = nil, 0, nil
+	n, readErr := max(c.readCount, 0), c.readErr
+	c.readBuf, c.readCount, c.readErr = nil, 0, nil
 	if err == nil && readErr == nil {
 		if n == 0 {
 			return 0, io.EOF
@@ -179,21 +179,21 @@
 }
 
 // minQueueTime is the shortest possible wait for which Stood asks the kernel. Below it Stood returns 0.
-const stoodLeast = 20 * time.Millisecond
+const minQueueTime = 20 * time.Millisecond
 
 // Stood returns how long a request waited in the kernel before it was read. The time for a request starts with its last
 // byte, but its handler starts only after the connection is accepted and read. The kernel has the time of the last data. A
 // request can't have come before the queue was last empty, or before the previous answer.
 func (c *Conn) Stood(now time.Time) time.Duration {
 	longest := now.Sub(c.notBefore)
-	if longest < stoodLeast {
+	if longest < minQueueTime {
 		return 0
 	}
 	return min(longest, sock.SinceData(c.Conn))
 }
 
-// hasUnread reports whether the connection has unread bytes.
-func (c *Conn) unread() bool {
+// hasUnread reports whether the connection has hasUnread bytes.
+func (c *Conn) hasUnread() bool {
 	n, _ := sock.Peek(c.Conn)
 	return n > 0
 }
@@ -215,7 +215,7 @@
 	if conn == nil {
 		return ctx
 	}
-	conn.known = c
+	conn.serverConn = c
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
--- a/internal/clients/ending.go
+++ b/internal/clients/ending.go
@@ -13,19 +13,19 @@
 	// lingerTimeout and maxLingerBytes limit how long, and how many bytes, a closing connection is read and the input
 	// discarded. The client closes its side as soon as it has read the end of this one. fullLingerTimeout applies where new
 	// connections wait for a slot.
-	lingerFor, lingerCrowd = 400 * time.Millisecond, 40 * time.Millisecond
-	lingerMost             = 256 << 10
+	lingerTimeout, fullLingerTimeout = 400 * time.Millisecond, 40 * time.Millisecond
+	maxLingerBytes             = 256 << 10
 )
 
 // Close closes the connection without waiting for its client. Bytes that arrive from here on are not processed.
 func (c *Conn) Close() error {
-	c.taking.Lock()
-	alreadyEnding, linger := c.ended, lingerFor
+	c.readMu.Lock()
+	alreadyEnding, linger := c.ending, lingerTimeout
 	if c.Cut() {
-		linger = c.cutLingers
+		linger = c.cutLinger
 	}
-	c.ended = true
-	c.taking.Unlock() // the Close of the socket waits for a current Read, which waits for readMu
+	c.ending = true
+	c.readMu.Unlock() // the Close of the socket waits for a current Read, which waits for readMu
 	if !alreadyEnding {
 		c.linger(linger)
 	}
@@ -35,32 +35,32 @@
 // linger closes the sending side, discards input until the client closes its side or a limit is reached, and frees the slot. A
 // close with unread bytes sends a reset, which can destroy the last bytes written. Only the caller that set ending may call it.
 func (c *Conn) linger(timeout time.Duration) {
-	left, done := lingerMost, false
+	left, done := maxLingerBytes, false
 	discardInput := func(fd uintptr) bool {
-		done = drop(fd, &left)
+		done = discard(fd, &left)
 		return done
 	}
-	if c.raw == nil || c.raw.Control(func(fd uintptr) { discardInput(fd) }) != nil || done {
+	if c.rawConn == nil || c.rawConn.Control(func(fd uintptr) { discardInput(fd) }) != nil || done {
 		c.Conn.Close()
-		c.home.left(false)
+		c.listener.release(false)
 		return
 	}
-	c.endSending()
-	c.Conn.SetReadDeadline(time.Now().Add(c.home.lingers(timeout)))
+	c.closeSendingSide()
+	c.Conn.SetReadDeadline(time.Now().Add(c.listener.beginLinger(timeout)))
 	go func() {
-		c.raw.Read(discardInput) // waits for a current Read, which finds ending set
+		c.rawConn.Read(discardInput) // waits for a current Read, which finds ending set
 		c.Conn.Close()
-		c.home.left(true)
+		c.listener.release(true)
 	}()
 }
 
 // discardBuffers holds buffers for the input of closing connections.
-var dropped = sync.Pool{New: func() any { return new([4 << 10]byte) }}
+var discardBuffers = sync.Pool{New: func() any { return new([4 << 10]byte) }}
 
 // discard reads and discards the input of a socket. It reports whether the end, an error or the limit was reached.
-func drop(fd uintptr, left *int) (done bool) {
-	buf := dropped.Get().(*[4 << 10]byte)
-	defer dropped.Put(buf)
+func discard(fd uintptr, left *int) (done bool) {
+	buf := discardBuffers.Get().(*[4 << 10]byte)
+	defer discardBuffers.Put(buf)
 	for *left > 0 {
 		switch n, err := syscall.Read(int(fd), buf[:]); {
 		case err == syscall.EINTR:
@@ -79,25 +79,25 @@
 // request only if includePartial is set. It reports whether the connection is closing. Bytes that arrive during the close are
 // not processed. The connection lingers for at most linger. A client in the middle of a request first gets a 503, because the rest may
 // be on its way.
-func (c *Conn) closeUnasked(includePartial bool, linger time.Duration) bool {
-	if !c.taking.TryLock() {
+func (c *Conn) closeIfNoRequest(includePartial bool, linger time.Duration) bool {
+	if !c.readMu.TryLock() {
 		return false // a read is in progress
 	}
-	if c.ended || c.asking() || !includePartial && c.begun.Load() || c.unread() {
-		ended := c.ended
-		c.taking.Unlock()
+	if c.ending || c.hasUnanswered() || !includePartial && c.partial.Load() || c.hasUnread() {
+		ended := c.ending
+		c.readMu.Unlock()
 		return ended
 	}
-	if c.begun.Load() && !c.inHead() {
+	if c.partial.Load() && !c.inHead() {
 		c.cutBody(linger)
-		c.taking.Unlock()
+		c.readMu.Unlock()
 		return true
 	}
 	if c.inHead() && !c.opaque {
-		c.refuseHalf()
+		c.rejectPartialHead()
 	}
-	c.ended = true
-	c.taking.Unlock()
+	c.ending = true
+	c.readMu.Unlock()
 	c.linger(linger)
 	return true
 }
@@ -105,22 +105,22 @@
 // cutBody makes the read deadline of a handler that waits for the rest of a body expire. The handler answers and closes the
 // connection, which then lingers for linger. It requires readMu.
 func (c *Conn) cutBody(linger time.Duration) {
-	c.cutLingers = linger
-	c.cut.Store(true)
-	c.Conn.SetReadDeadline(c.deadline())
+	c.cutLinger = linger
+	c.bodyCut.Store(true)
+	c.Conn.SetReadDeadline(c.effectiveDeadline())
 }
 
 // Cut reports whether this side has ended the wait for the rest of a body.
-func (c *Conn) Cut() bool { return c.cut.Load() }
+func (c *Conn) Cut() bool { return c.bodyCut.Load() }
 
 // partialRequestResponse answers an incomplete request. No part of it was forwarded.
-const refusal = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const partialRequestResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // rejectPartialHead answers a partial head with a 503. net/http writes nothing while it waits for the rest. It doesn't block, so
 // a full send buffer truncates the response. It requires readMu.
-func (c *Conn) refuseHalf() {
-	if c.raw != nil {
-		c.raw.Control(func(fd uintptr) { syscall.Write(int(fd), []byte(refusal)) })
+func (c *Conn) rejectPartialHead() {
+	if c.rawConn != nil {
+		c.rawConn.Control(func(fd uintptr) { syscall.Write(int(fd), []byte(partialRequestResponse)) })
 	}
 }
 
@@ -130,10 +130,10 @@
 	if c.Cut() {
 		return c.Close()
 	}
-	return c.endSending()
+	return c.closeSendingSide()
 }
 
-func (c *Conn) endSending() error {
+func (c *Conn) closeSendingSide() error {
 	if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return t.CloseWrite()
 	}
--- a/internal/clients/ending_test.go
+++ b/internal/clients/ending_test.go
@@ -16,20 +16,20 @@
 const patience = 10 * time.Second
 
 // racingConn is a socket on which bytes of the client arrive at the moment in which the server closes it or its sending side.
-type crossed struct {
+type racingConn struct {
 	*net.TCPConn
-	write func()
+	duringClose func()
 }
 
-func (c *crossed) cross() {
-	if c.write != nil {
-		c.write()
-		c.write = nil
+func (c *racingConn) runDuringClose() {
+	if c.duringClose != nil {
+		c.duringClose()
+		c.duringClose = nil
 	}
 }
 
-func (c *crossed) Close() error      { c.cross(); return c.TCPConn.Close() }
-func (c *crossed) CloseWrite() error { c.cross(); return c.TCPConn.CloseWrite() }
+func (c *racingConn) Close() error      { c.runDuringClose(); return c.TCPConn.Close() }
+func (c *racingConn) CloseWrite() error { c.runDuringClose(); return c.TCPConn.CloseWrite() }
 
 // racingListener is a listener with connections of type racingConn.
 type crossing struct{ net.Listener }
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &crossed{TCPConn: c.(*net.TCPConn)}, nil
+	return &racingConn{TCPConn: c.(*net.TCPConn)}, nil
 }
 
 // connect returns both ends of a connection of a listener.
@@ -86,7 +86,7 @@
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for name, closeConn := range map[string]func(t *testing.T, c *Conn){
 		"closed as quiet": func(t *testing.T, c *Conn) {
-			if !c.closeUnasked(false, lingerFor) {
+			if !c.closeIfNoRequest(false, lingerTimeout) {
 				t.Error("not closed")
 			}
 		},
@@ -96,9 +96,9 @@
 			l := listen(t, 8)
 			client, c := meet(t, l)
 			io.WriteString(c, answer)
-			c.Conn.(*crossed).write = func() {
+			c.Conn.(*racingConn).duringClose = func() {
 				io.WriteString(client, wholeRequest)
-				await(t, "the bytes", c.unread)
+				await(t, "the bytes", c.hasUnread)
 			}
 			read := make(chan string, 1)
 			go func() { // like net/http, which waits for the next request
@@ -129,7 +129,7 @@
 				}
 			}
 		},
-		"writes much": func(c net.Conn) { c.Write(make([]byte, 4*lingerMost)) },
+		"writes much": func(c net.Conn) { c.Write(make([]byte, 4*maxLingerBytes)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -146,11 +146,11 @@
 func TestLingerIsShorterWhenFull(t *testing.T) {
 	l := listen(t, 2)
 	_, c := meet(t, l)
-	if d := l.lingers(lingerFor); d != lingerFor {
+	if d := l.beginLinger(lingerTimeout); d != lingerTimeout {
 		t.Errorf("with a free slot: %v", d)
 	}
 	meet(t, l)
-	if d := l.lingers(lingerFor); d != lingerCrowd {
+	if d := l.beginLinger(lingerTimeout); d != fullLingerTimeout {
 		t.Errorf("full: %v", d)
 	}
 	l.mu.Lock()
@@ -178,7 +178,7 @@
 			c.SetReadDeadline(time.Now().Add(-time.Second))
 			if s.text != "" {
 				io.WriteString(client, s.text)
-				await(t, "the bytes", c.unread)
+				await(t, "the bytes", c.hasUnread)
 			}
 			n, err := c.Read(b)
 			if late := errors.Is(err, os.ErrDeadlineExceeded); string(b[:n]) != s.want || late != (s.want == "") {
@@ -198,7 +198,7 @@
 	srv := &http.Server{ConnState: table.Track, ConnContext: WithConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran = append(ran, r.URL.Path)
 		c := FromContext(r.Context())
-		await(t, "the second request", c.unread)
+		await(t, "the second request", c.hasUnread)
 		w.Header().Set("Connection", "close")
 		w.Header().Set("Content-Length", fmt.Sprint(length))
 		w.Write(make([]byte, length))
--- a/internal/clients/framing.go
+++ b/internal/clients/framing.go
@@ -20,33 +20,33 @@
 	Chunked atomic.Bool
 
 	// unanswered is the number of whole requests read but not answered. It exceeds one for pipelined requests.
-	asked atomic.Int32
+	unanswered atomic.Int32
 
 	// partial is set if part of a request was read. net/http reports a request only once its head is complete.
-	begun atomic.Bool
+	partial atomic.Bool
 
 	// opaque is set if the bytes are TLS and requests can't be distinguished. All bytes since the last answer count as one
 	// request.
 	opaque bool
 
-	readAfter atomic.Int64 // time of the last byte, in ns since the listener was created; 0: none
+	lastReadOffset atomic.Int64 // time of the last byte, in ns since the listener was created; 0: none
 
 	line   []byte // current line of the head, truncated to maxLineBytes
-	long   bool   // line was truncated
-	lines  int    // lines of the head so far
+	isTruncated   bool   // line was truncated
+	lineCount  int    // lines of the head so far
 	length int64  // content length in the head so far; -1: none
-	coded  bool   // the head has Transfer-Encoding
-	rest   int64  // remaining bytes of the body
+	hasTransferEncoding  bool   // the head has Transfer-Encoding
+	bodyRemaining   int64  // remaining bytes of the body
 }
 
 // maxLineBytes is longer than any line that affects the framing.
-const lineMost = 64
+const maxLineBytes = 64
 
 // observe processes bytes that were read.
-func (f *framing) saw(p []byte) {
+func (f *framing) observe(p []byte) {
 	if f.opaque {
 		if len(p) > 0 {
-			f.asked.Store(1)
+			f.unanswered.Store(1)
 		}
 		return
 	}
@@ -55,15 +55,15 @@
 	}
 	// The end of a request with an unknown length can't be determined, so it counts as partial until its answer.
 	defer func() {
-		f.begun.Store(f.rest > 0 || f.lines > 0 || len(f.line) > 0 || f.Unsure.Load() || f.Chunked.Load())
+		f.partial.Store(f.bodyRemaining > 0 || f.lineCount > 0 || len(f.line) > 0 || f.Unsure.Load() || f.Chunked.Load())
 	}()
 	for len(p) > 0 && !f.Unsure.Load() && !f.Chunked.Load() {
-		if f.rest > 0 {
-			n := min(f.rest, int64(len(p)))
-			f.rest -= n
+		if f.bodyRemaining > 0 {
+			n := min(f.bodyRemaining, int64(len(p)))
+			f.bodyRemaining -= n
 			p = p[n:]
-			if f.rest == 0 {
-				f.asked.Add(1)
+			if f.bodyRemaining == 0 {
+				f.unanswered.Add(1)
 			}
 			continue
 		}
@@ -74,37 +74,37 @@
 		} else {
 			p = nil
 		}
-		kept := min(lineMost-len(f.line), len(lineBytes))
-		f.line, f.long = append(f.line, lineBytes[:kept]...), f.long || kept < len(lineBytes)
+		kept := min(maxLineBytes-len(f.line), len(lineBytes))
+		f.line, f.isTruncated = append(f.line, lineBytes[:kept]...), f.isTruncated || kept < len(lineBytes)
 		if newline >= 0 {
-			f.headLine()
-			f.line, f.long = f.line[:0], false
+			f.parseHeadLine()
+			f.line, f.isTruncated = f.line[:0], false
 		}
 	}
 }
 
 // parseHeadLine processes a line of a head.
-func (f *framing) headLine() {
+func (f *framing) parseHeadLine() {
 	line := strings.TrimSuffix(string(f.line), "\r")
-	f.lines++
+	f.lineCount++
 	name, value, _ := strings.Cut(line, ":")
 	switch {
-	case line == "" && !f.long:
+	case line == "" && !f.isTruncated:
 		switch {
-		case f.coded && f.length >= 0:
+		case f.hasTransferEncoding && f.length >= 0:
 			f.Unsure.Store(true)
-		case f.coded:
+		case f.hasTransferEncoding:
 			f.Chunked.Store(true)
 		case f.length <= 0:
-			f.asked.Add(1)
+			f.unanswered.Add(1)
 		}
-		f.rest, f.length, f.coded, f.lines = max(f.length, 0), -1, false, 0
+		f.bodyRemaining, f.length, f.hasTransferEncoding, f.lineCount = max(f.length, 0), -1, false, 0
 		return
 	case strings.EqualFold(strings.TrimSpace(name), "Transfer-Encoding"):
-		f.coded = true
+		f.hasTransferEncoding = true
 	case strings.EqualFold(strings.TrimSpace(name), "Content-Length"):
 		n, err := strconv.ParseUint(strings.TrimSpace(value), 10, 63)
-		if err != nil || f.long || f.length >= 0 && f.length != int64(n) {
+		if err != nil || f.isTruncated || f.length >= 0 && f.length != int64(n) {
 			f.Unsure.Store(true)
 			return
 		}
@@ -113,21 +113,21 @@
 }
 
 // inHead reports whether part of a head was read.
-func (f *framing) inHead() bool { return f.rest == 0 && (f.lines > 0 || len(f.line) > 0) }
+func (f *framing) inHead() bool { return f.bodyRemaining == 0 && (f.lineCount > 0 || len(f.line) > 0) }
 
 // hasUnanswered reports whether a whole request was read and not answered.
-func (f *framing) asking() bool { return f.asked.Load() > 0 }
+func (f *framing) hasUnanswered() bool { return f.unanswered.Load() > 0 }
 
 // Behind reports whether a further whole request was read behind the current one. It would be lost if the answer closed the
 // connection.
-func (f *framing) Behind() bool { return f.asked.Load() > 1 && !f.Chunked.Load() && !f.Unsure.Load() }
+func (f *framing) Behind() bool { return f.unanswered.Load() > 1 && !f.Chunked.Load() && !f.Unsure.Load() }
 
-// markAnswered records that a request was answered. It may run concurrently with reads.
-func (f *framing) answered() {
-	if f.asked.Load() > 0 {
-		f.asked.Add(-1)
+// markAnswered records that a request was markAnswered. It may run concurrently with reads.
+func (f *framing) markAnswered() {
+	if f.unanswered.Load() > 0 {
+		f.unanswered.Add(-1)
 	}
 	if f.Chunked.Load() || f.Unsure.Load() {
-		f.begun.Store(false)
+		f.partial.Store(false)
 	}
 }
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -12,8 +12,8 @@
 // could use up the descriptors of the process.
 func Limit(l net.Listener, maxOpen int) *Listener {
 	now := time.Now()
-	limited := &Listener{Listener: l, most: maxOpen, born: now, emptyAt: now}
-	limited.free.L = &limited.mu
+	limited := &Listener{Listener: l, maxOpen: maxOpen, createdAt: now, emptyAt: now}
+	limited.slotFree.L = &limited.mu
 	return limited
 }
 
@@ -25,18 +25,18 @@
 	Opaque     bool          // clients use TLS
 	HeadWithin time.Duration // time limit for the head of a further request, from its first byte; 0: that of net/http
 
-	born time.Time
+	createdAt time.Time
 
 	mu         sync.Mutex
-	free       sync.Cond
-	open, most int // open connections and their limit
+	slotFree       sync.Cond
+	open, maxOpen int // open connections and their limit
 	lingering  int // open connections that are closing
 	closed     bool
 	emptyAt    time.Time // last time that the queue was known to be empty; used by Accept only
 }
 
 // minEmptyWait is how long accept(2) must block for the queue to count as empty before.
-const queueEmpty = time.Millisecond
+const minEmptyWait = time.Millisecond
 
 // Holds returns the number of open connections.
 func (l *Listener) Holds() int {
@@ -54,54 +54,54 @@
 
 // beginLinger counts a connection as closing. It returns how long the connection may linger: timeout, or less if the listener is
 // full.
-func (l *Listener) lingers(timeout time.Duration) time.Duration {
+func (l *Listener) beginLinger(timeout time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lingering++
-	if l.open >= l.most {
-		return min(timeout, lingerCrowd)
+	if l.open >= l.maxOpen {
+		return min(timeout, fullLingerTimeout)
 	}
 	return timeout
 }
 
 // release frees the slot of a connection. lingered reports whether the connection was counted as closing.
-func (l *Listener) left(lingered bool) {
+func (l *Listener) release(lingered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
 	if lingered {
 		l.lingering--
 	}
-	l.free.Signal()
+	l.slotFree.Signal()
 }
 
 // Waits reports whether the listener is full or closed.
 func (l *Listener) Waits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open >= l.most || l.closed
+	return l.open >= l.maxOpen || l.closed
 }
 
 // Full reports whether the limit on open connections is reached.
 func (l *Listener) Full() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open >= l.most
+	return l.open >= l.maxOpen
 }
 
 // Resize changes the limit on open connections. Open ones stay open.
 func (l *Listener) Resize(maxOpen int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most = maxOpen
-	l.free.Broadcast()
+	l.maxOpen = maxOpen
+	l.slotFree.Broadcast()
 }
 
 // Accept waits for a free slot and for a connection. Only one goroutine may call it.
 func (l *Listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
-	for l.open >= l.most && !l.closed {
-		l.free.Wait()
+	for l.open >= l.maxOpen && !l.closed {
+		l.slotFree.Wait()
 	}
 	closed := l.closed
 	l.mu.Unlock()
@@ -113,13 +113,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if now := time.Now(); now.Sub(start) >= queueEmpty {
+	if now := time.Now(); now.Sub(start) >= minEmptyWait {
 		l.emptyAt = now
 	}
 	l.mu.Lock()
 	l.open++
 	l.mu.Unlock()
-	conn := watch(c, l)
+	conn := newConn(c, l)
 	conn.opaque, conn.notBefore = l.Opaque, l.emptyAt
 	return conn, nil
 }
@@ -128,7 +128,7 @@
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	l.free.Broadcast()
+	l.slotFree.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
--- a/internal/clients/table.go
+++ b/internal/clients/table.go
@@ -15,14 +15,14 @@
 const (
 	// slowTimeout is the inactivity after which a connection without a whole request is evicted first. Normal clients send
 	// their request at once.
-	slowAfter = 250 * time.Millisecond
+	slowTimeout = 250 * time.Millisecond
 	// freshGrace is the inactivity before a connection may be evicted. A client that has just connected or still writes is
 	// about to send its request. A client without a slot meanwhile waits in the backlog.
-	freshFor = 30 * time.Millisecond
+	freshGrace = 30 * time.Millisecond
 	// tlsQuietTimeout is the inactivity after which the bytes of a TLS connection without a request count as a handshake only.
-	opaqueQuiet = time.Second
+	tlsQuietTimeout = time.Second
 	// maxEvictionTries limits how many connections are tried for one eviction.
-	giveWayTries = 8
+	maxEvictionTries = 8
 	// RelieveEvery is the interval for calls of Relieve.
 	RelieveEvery = 20 * time.Millisecond
 )
@@ -40,12 +40,12 @@
 
 // Table tracks the states of a listener's client connections. NewTable returns one.
 type Table struct {
-	parts   Parts
+	thresholds   Parts
 	mu      sync.Mutex
-	crowded int // number of connections above which answers close theirs
-	full    int // number of connections above which some are evicted
+	crowdedAbove int // number of connections above which answers close theirs
+	evictAbove    int // number of connections above which some are evicted
 	conns   map[net.Conn]*entry
-	waiting int // connections in stateWaiting
+	waitingCount int // connections in stateWaiting
 }
 
 // entry is the state of a connection.
@@ -57,14 +57,14 @@
 type state uint8
 
 const (
-	waits state = iota // no whole request was received yet
-	open               // a request is in progress: never closed by this side
-	idle               // the last request was answered
+	stateWaiting state = iota // no whole request was received yet
+	stateOpen               // a request is in progress: never closed by this side
+	stateIdle               // the last request was answered
 )
 
 // NewTable returns the table of a listener with at most maxOpen connections.
 func NewTable(maxOpen int, parts Parts) *Table {
-	t := &Table{parts: parts, conns: map[net.Conn]*entry{}}
+	t := &Table{thresholds: parts, conns: map[net.Conn]*entry{}}
 	t.Resize(maxOpen)
 	return t
 }
@@ -73,14 +73,14 @@
 func (t *Table) Resize(maxOpen int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crowded, t.full = maxOpen*t.parts.Crowded/100, maxOpen*t.parts.Full/100
+	t.crowdedAbove, t.evictAbove = maxOpen*t.thresholds.Crowded/100, maxOpen*t.thresholds.Full/100
 }
 
 // KeepAll disables evictions, and the closing of connections by answers.
 func (t *Table) KeepAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crowded, t.full = math.MaxInt, math.MaxInt
+	t.crowdedAbove, t.evictAbove = math.MaxInt, math.MaxInt
 }
 
 // Relieve evicts connections above the threshold. Track evicts only when a new connection is accepted, and a full listener accepts
@@ -88,7 +88,7 @@
 func (t *Table) Relieve() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for len(t.conns) > t.full && t.giveWay() {
+	for len(t.conns) > t.evictAbove && t.evict() {
 	}
 }
 
@@ -98,10 +98,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
-		if conn := Of(c); conn != nil && conn.opaque && e.state == waits && time.Since(t.moved(c)) > opaqueQuiet {
-			conn.asked.Store(0) // only a handshake: a request would have reached its handler by now
+		if conn := Of(c); conn != nil && conn.opaque && e.state == stateWaiting && time.Since(t.lastActivity(c)) > tlsQuietTimeout {
+			conn.unanswered.Store(0) // only a handshake: a request would have reached its handler by now
 		}
-		if e.state != open && closeUnasked(c, includePartial, lingerFor) {
+		if e.state != stateOpen && closeIfNoRequest(c, includePartial, lingerTimeout) {
 			t.remove(c)
 		}
 	}
@@ -109,9 +109,9 @@
 
 // closeIfNoRequest closes a connection unless it has an unanswered request. It closes the socket without a TLS close notification,
 // which could block on a client that doesn't read.
-func closeUnasked(c net.Conn, includePartial bool, linger time.Duration) bool {
+func closeIfNoRequest(c net.Conn, includePartial bool, linger time.Duration) bool {
 	if conn := Of(c); conn != nil {
-		return conn.closeUnasked(includePartial, linger)
+		return conn.closeIfNoRequest(includePartial, linger)
 	}
 	c.Close()
 	return true
@@ -125,36 +125,36 @@
 	switch s {
 	case http.StateNew:
 		t.conns[c] = &entry{since: time.Now()}
-		t.waiting++
-		if len(t.conns) > t.full {
-			t.giveWay()
+		t.waitingCount++
+		if len(t.conns) > t.evictAbove {
+			t.evict()
 		}
 	case http.StateActive:
-		if e := t.conns[c]; e != nil && e.state == idle {
-			t.enter(c, waits)
+		if e := t.conns[c]; e != nil && e.state == stateIdle {
+			t.setState(c, stateWaiting)
 		}
 	case http.StateIdle:
 		if conn := Of(c); conn != nil {
-			conn.answered()
+			conn.markAnswered()
 			conn.notBefore = time.Now()
 		}
-		t.enter(c, idle)
+		t.setState(c, stateIdle)
 	case http.StateClosed, http.StateHijacked:
 		t.remove(c)
 	}
 }
 
 // setState changes the state of a connection. It reports false if the connection was evicted.
-func (t *Table) enter(c net.Conn, to state) bool {
+func (t *Table) setState(c net.Conn, to state) bool {
 	e := t.conns[c]
 	if e == nil {
 		return false
 	}
-	if e.state == waits {
-		t.waiting--
+	if e.state == stateWaiting {
+		t.waitingCount--
 	}
-	if to == waits {
-		t.waiting++
+	if to == stateWaiting {
+		t.waitingCount++
 	}
 	e.state, e.since = to, time.Now()
 	return true
@@ -162,8 +162,8 @@
 
 func (t *Table) remove(c net.Conn) {
 	if e := t.conns[c]; e != nil {
-		if e.state == waits {
-			t.waiting--
+		if e.state == stateWaiting {
+			t.waitingCount--
 		}
 		delete(t.conns, c)
 	}
@@ -172,35 +172,35 @@
 // evict closes one connection and reports whether it did. It prefers one that has long been without a whole request, then the
 // one idle longest. If many new connections are silent, it closes one of these before idle ones. A connection with unread
 // bytes is not silent: this process is slow, and a close could lose a request.
-func (t *Table) giveWay() bool {
-	for range giveWayTries {
-		var oldest [idle + 1]net.Conn
+func (t *Table) evict() bool {
+	for range maxEvictionTries {
+		var oldest [stateIdle + 1]net.Conn
 		for c, e := range t.conns {
-			if conn := Of(c); conn != nil && conn.asking() {
+			if conn := Of(c); conn != nil && conn.hasUnanswered() {
 				continue // it has an unanswered request
 			}
-			if e.state == waits && time.Since(t.moved(c)) < freshFor {
+			if e.state == stateWaiting && time.Since(t.lastActivity(c)) < freshGrace {
 				continue
 			}
-			if current := oldest[e.state]; current == nil || t.moved(c).Before(t.moved(current)) {
+			if current := oldest[e.state]; current == nil || t.lastActivity(c).Before(t.lastActivity(current)) {
 				oldest[e.state] = c
 			}
 		}
-		silent, idleLongest := oldest[waits], oldest[idle]
-		if t.parts.KeepIdle {
+		silent, idleLongest := oldest[stateWaiting], oldest[stateIdle]
+		if t.thresholds.KeepIdle {
 			idleLongest = nil
-			if silent != nil && time.Since(t.moved(silent)) <= slowAfter {
+			if silent != nil && time.Since(t.lastActivity(silent)) <= slowTimeout {
 				return false
 			}
 		}
 		victim := idleLongest
-		if silent != nil && (idleLongest == nil || t.waiting > t.crowded/3 || time.Since(t.moved(silent)) > slowAfter) {
+		if silent != nil && (idleLongest == nil || t.waitingCount > t.crowdedAbove/3 || time.Since(t.lastActivity(silent)) > slowTimeout) {
 			victim = silent
 		}
 		if victim == nil {
 			return false
 		}
-		if !closeUnasked(victim, true, lingerCrowd) {
+		if !closeIfNoRequest(victim, true, fullLingerTimeout) {
 			t.conns[victim].since = time.Now() // tried last from now on
 			continue
 		}
@@ -212,10 +212,10 @@
 
 // lastActivity returns the time of the last change of a connection's state or of its last byte. A slowly written request counts
 // as active.
-func (t *Table) moved(c net.Conn) time.Time {
+func (t *Table) lastActivity(c net.Conn) time.Time {
 	changedAt := t.conns[c].since
 	if conn := Of(c); conn != nil {
-		if last := conn.readAt(); last.After(changedAt) {
+		if last := conn.lastReadAt(); last.After(changedAt) {
 			return last
 		}
 	}
@@ -231,7 +231,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.enter(conn.known, open)
+	return t.setState(conn.serverConn, stateOpen)
 }
 
 // Counts are numbers of connections.
@@ -245,9 +245,9 @@
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counts := Counts{Open: len(t.conns), Waiting: t.waiting}
+	counts := Counts{Open: len(t.conns), Waiting: t.waitingCount}
 	for c := range t.conns {
-		if conn := Of(c); conn != nil && conn.begun.Load() {
+		if conn := Of(c); conn != nil && conn.partial.Load() {
 			counts.Begun++
 		}
 	}
@@ -259,7 +259,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
-		if conn := Of(c); e.state == open || conn != nil && conn.asking() {
+		if conn := Of(c); e.state == stateOpen || conn != nil && conn.hasUnanswered() {
 			n++
 		}
 	}
@@ -271,5 +271,5 @@
 func (t *Table) Crowded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.conns)-t.waiting > t.crowded
+	return len(t.conns)-t.waitingCount > t.crowdedAbove
 }
--- a/internal/engine/backends.go
+++ b/internal/engine/backends.go
@@ -37,22 +37,22 @@
 			if m.Phase == balance.Gone {
 				continue // never listed, or already deleted
 			}
-			b = &backend{number: e.numbers, id: m.ID}
-			e.numbers++
+			b = &backend{number: e.nextNumber, id: m.ID}
+			e.nextNumber++
 			e.backends[m.ID], e.byNumber[b.number] = b, b
 			e.Log.Info("added backend", "number", b.number, "id", b.id, "address", m.Addr)
 		}
 		endpoint := Endpoint{m.ID, m.Addr, m.Launched}
 		if m.Phase == balance.Gone {
-			endpoint = b.to // a removed backend keeps its last endpoint
+			endpoint = b.endpoint // a removed backend keeps its last endpoint
 		}
-		if b.to != endpoint {
-			e.Transport.Drop(b.to)
+		if b.endpoint != endpoint {
+			e.Transport.Drop(b.endpoint)
 		}
-		b.to, b.phase = endpoint, m.Phase
+		b.endpoint, b.phase = endpoint, m.Phase
 		update := m.Member
 		update.Backend = b.number
-		update.Name = name(m.ID)
+		update.Name = nameHash(m.ID)
 		updates = append(updates, update)
 	}
 	ready := false
@@ -60,19 +60,19 @@
 		if b.phase == balance.Ready {
 			ready = true
 		} else {
-			e.Transport.Drop(b.to)
+			e.Transport.Drop(b.endpoint)
 		}
 	}
 	e.ready.Store(ready)
 	e.Handle(balance.Event{Kind: kind, Members: updates})
-	e.unsend()
+	e.cancelUnwritten()
 	for _, b := range e.backends {
-		e.drop(b)
+		e.deleteIfUnused(b)
 	}
 }
 
-// nameHash returns the name of a backend in messages between nodes. It is the lower half of XXH64 of the backend's id.
-func name(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
+// nameHash returns the nameHash of a backend in messages between nodes. It is the lower half of XXH64 of the backend's id.
+func nameHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // Backend returns what the endpoint list has for an id. known is false if the engine has no such backend. On the loop.
 func (e *Engine) Backend(id string) (to Endpoint, number balance.BackendID, phase balance.Phase, known bool) {
@@ -80,7 +80,7 @@
 	if b == nil {
 		return Endpoint{}, 0, balance.Gone, false
 	}
-	return b.to, b.number, b.phase, true
+	return b.endpoint, b.number, b.phase, true
 }
 
 // Backends returns the number of backends in the table. It includes removed backends with outstanding attempts or probes.
@@ -88,15 +88,15 @@
 func (e *Engine) Backends() int { return max(len(e.backends), len(e.byNumber)) }
 
 // release counts one attempt or probe of a backend as ended.
-func (e *Engine) settle(b *backend) {
-	b.out--
-	e.drop(b)
+func (e *Engine) release(b *backend) {
+	b.outstanding--
+	e.deleteIfUnused(b)
 }
 
 // deleteIfUnused deletes a removed backend once no attempt or probe refers to it. Otherwise the table would grow for as
 // long as the node runs, because new ids keep being listed.
-func (e *Engine) drop(b *backend) {
-	if b.phase == balance.Gone && b.out == 0 && e.backends[b.id] == b {
+func (e *Engine) deleteIfUnused(b *backend) {
+	if b.phase == balance.Gone && b.outstanding == 0 && e.backends[b.id] == b {
 		delete(e.backends, b.id)
 		delete(e.byNumber, b.number)
 	}
@@ -105,17 +105,17 @@
 // cancelUnwritten stops unwritten attempts to backends that accept no new requests or whose process was replaced.
 // Otherwise an attempt that hangs in a dial would be written long after the drain grace, or to another process that has
 // the address by then.
-func (e *Engine) unsend() {
+func (e *Engine) cancelUnwritten() {
 	var unwritten []*Attempt
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
-			if !a.over && (a.to.phase != balance.Ready || a.To != a.to.to) && a.begun && e.Transport.Bar(a) {
+			if !a.hasEnded && (a.backend.phase != balance.Ready || a.To != a.backend.endpoint) && a.isSent && e.Transport.Bar(a) {
 				unwritten = append(unwritten, a)
 			}
 		}
 	}
 	slices.SortFunc(unwritten, func(x, y *Attempt) int {
-		return cmp.Or(cmp.Compare(x.sent, y.sent), cmp.Compare(x.Request.seq, y.Request.seq))
+		return cmp.Or(cmp.Compare(x.sentAt, y.sentAt), cmp.Compare(x.Request.seq, y.Request.seq))
 	})
 	for _, a := range unwritten {
 		e.Transport.GiveUp(a)
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -21,7 +21,7 @@
 			for class := range 3 {
 				for _, written := range []bool{true, false} {
 					for _, step := range []bool{true, false} {
-						oneInstant(t, class, written, step, done)
+						runOrder(t, class, written, step, done)
 						runs++
 					}
 				}
@@ -38,19 +38,19 @@
 	}
 }
 
-func oneInstant(t *testing.T, class int, written, step bool, order []string) {
-	h := newWorld(t)
+func runOrder(t *testing.T, class int, written, step bool, order []string) {
+	h := newHarness(t)
 	member := func(id, addr string, p balance.Phase) Member {
 		return Member{ID: id, Addr: addr, Member: balance.Member{Weight: 1, Phase: p}}
 	}
 	h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{member("a", "1:1", 0), member("b", "2:1", 0)}})
-	h.earn()
+	h.fillRetryBudget()
 	answers, gone, passedOn := 0, false, 0
 	var answer Answer
 	r := &Request{ID: "x", Class: class, Deadline: h.clock.Add(time.Second), Answered: func(a Answer) { answers++; answer = a }}
 	h.e.Arrive(r)
-	a := h.out["x/0"]
-	h.late["x/0"] = written
+	a := h.attempts["x/0"]
+	h.written["x/0"] = written
 	for _, event := range order {
 		switch event {
 		case "answer":
@@ -66,7 +66,7 @@
 		case "shed":
 			a.Done(Result{Status: balance.Shed})
 		case "cancel":
-			h.e.Post(func() { h.e.do(&balance.Action{Kind: balance.Cancel, Request: "x"}) })
+			h.e.Post(func() { h.e.execute(&balance.Action{Kind: balance.Cancel, Request: "x"}) })
 		case "gone":
 			h.e.Post(func() { gone = gone || !r.answered; h.e.Gone(r) })
 		case "deadline":
@@ -84,7 +84,7 @@
 	}
 	h.e.Step()
 	for i := range 3 { // retries end too
-		if b := h.out[fmt.Sprint("x/", i)]; b != nil {
+		if b := h.attempts[fmt.Sprint("x/", i)]; b != nil {
 			b.Done(Result{Status: balance.Dropped})
 			h.e.Step()
 		}
@@ -95,18 +95,18 @@
 	if total := answers + passedOn; total > 1 || total == 0 && !gone {
 		t.Errorf("%s %d answers, %d passed on, gone %t", context, answers, passedOn, gone)
 	}
-	reported := h.said.String()
+	reported := h.output.String()
 	ran := written && (strings.Contains(reported, "told x/0 dropped") || strings.Contains(reported, "told x/0 expired") ||
 		strings.Contains(reported, "told x/0 revoked"))
-	if ran && class == 1 && (h.out["x/1"] != nil || answers > 0 && answer.Kind == Refused) {
+	if ran && class == 1 && (h.attempts["x/1"] != nil || answers > 0 && answer.Kind == Refused) {
 		t.Errorf("%s retried or refused, although it may have run: %s", context, reported)
 	}
 	if h.e.Open() != 0 {
 		t.Errorf("%s request left in the table", context)
 	}
 	for _, b := range h.e.byNumber {
-		if b.out != 0 {
-			t.Errorf("%s %d attempts outstanding", context, b.out)
+		if b.outstanding != 0 {
+			t.Errorf("%s %d attempts outstanding", context, b.outstanding)
 		}
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -42,25 +42,25 @@
 // Run starts.
 type Engine struct {
 	Config
-	own  sync.Mutex
+	loopMu  sync.Mutex
 	done chan struct{} // closed when Run has ended
 
 	mu    sync.Mutex
 	queue []func() // posted, not yet run
-	ahead []func() // runs before queue
+	urgentQueue []func() // runs before queue
 	ended bool
 
-	urgent atomic.Bool   // urgentQueue is not empty
+	hasUrgent atomic.Bool   // urgentQueue is not empty
 	wake   chan struct{} // wakes Run
-	armed  time.Duration // next time that Run checks the timers; guarded by loopMu
-	spare  []func()
+	nextCheckAt  time.Duration // next time that Run checks the timers; guarded by loopMu
+	spareQueue  []func()
 	start  time.Time
 	origin time.Duration // value of the clock at start: Unix time, as the start times in endpoint lists
 
 	requests map[string]*Request
 	backends map[string]*backend // by id in the endpoint list
 	byNumber map[balance.BackendID]*backend
-	numbers  balance.BackendID // numbers are never reused
+	nextNumber  balance.BackendID // numbers are never reused
 	arrived  uint64
 	answerBy time.Time // zero: the process is not shutting down
 	timers   timers
@@ -77,9 +77,9 @@
 type backend struct {
 	number balance.BackendID
 	id     string
-	to     Endpoint
+	endpoint     Endpoint
 	phase  balance.Phase
-	out    int // attempts and probes without an outcome reported to the Balancer
+	outstanding    int // attempts and probes without an outcome reported to the Balancer
 }
 
 // New returns an engine that is ready to run.
@@ -118,7 +118,7 @@
 	first := len(e.queue) == 1
 	e.mu.Unlock()
 	if first {
-		e.nudge()
+		e.wakeLoop()
 	}
 	return true
 }
@@ -130,14 +130,14 @@
 		e.mu.Unlock()
 		return false
 	}
-	e.ahead = append(e.ahead, f)
-	e.urgent.Store(true)
+	e.urgentQueue = append(e.urgentQueue, f)
+	e.hasUrgent.Store(true)
 	e.mu.Unlock()
-	e.nudge()
+	e.wakeLoop()
 	return true
 }
 
-func (e *Engine) nudge() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -146,65 +146,65 @@
 
 // tryAcquireLoop makes the calling goroutine the loop if the loop is idle, and runs all posted functions. The caller calls
 // releaseLoop if it returns true.
-func (e *Engine) enter() bool {
-	if !e.own.TryLock() {
+func (e *Engine) tryAcquireLoop() bool {
+	if !e.loopMu.TryLock() {
 		return false
 	}
 	e.mu.Lock()
 	ended := e.ended
 	e.mu.Unlock()
 	if ended {
-		e.own.Unlock()
+		e.loopMu.Unlock()
 		return false
 	}
-	e.drain()
+	e.runPosted()
 	return true
 }
 
 // releaseLoop ends what tryAcquireLoop began. Functions posted later wake Run.
-func (e *Engine) leave() {
-	e.drain()
-	earlier := len(e.timers) > 0 && e.timers[0].at < e.armed
-	e.own.Unlock()
+func (e *Engine) releaseLoop() {
+	e.runPosted()
+	earlier := len(e.timers) > 0 && e.timers[0].at < e.nextCheckAt
+	e.loopMu.Unlock()
 	if earlier {
-		e.nudge()
+		e.wakeLoop()
 	}
 }
 
 // runPosted runs posted functions until none is left. It reports whether there were any. On the loop.
-func (e *Engine) drain() bool {
+func (e *Engine) runPosted() bool {
 	ran := false
 	for {
-		ran = e.drainAhead() || ran
+		ran = e.runUrgent() || ran
 		e.mu.Lock()
 		batch := e.queue
-		e.queue = e.spare[:0]
+		e.queue = e.spareQueue[:0]
 		e.mu.Unlock()
 		if len(batch) == 0 {
-			e.spare = batch
+			e.spareQueue = batch
 			return ran
 		}
 		ran = true
 		for i, f := range batch {
 			batch[i] = nil
 			f()
-			if e.urgent.Load() {
-				e.drainAhead()
+			if e.hasUrgent.Load() {
+				e.runUrgent()
 			}
 		}
-		e.spare = batch[:0]
+		e.spareQueue = batch[:0]
 	}
 }
 
 // runUrgent runs the functions posted with PostFirst. On the loop.
-func (e *Engine) drainAhead() bool {
-	if !e.urgent.Load() {
+func (e *Engine) runUrgent() bool {
+	if !e.hasUrgent.Load() {
 		return false
 	}
 	e.mu.Lock()
-	batch := e.ahead
-	e.ahead = nil
-	e.urgent.Store(false)
+	batch := e.urgentQueue
+	e.urgentQueue = nil
+	e.hasUrgent.Store(false)
 	e.mu.Unlock()
 	for _, f := range batch {
 		f()
@@ -227,23 +227,23 @@
 	wakeUp := time.NewTimer(time.Hour)
 	defer wakeUp.Stop()
 	defer func() {
-		e.own.Lock()
+		e.loopMu.Lock()
 		e.mu.Lock()
-		e.ended, e.queue, e.ahead = true, nil, nil
+		e.ended, e.queue, e.urgentQueue = true, nil, nil
 		e.mu.Unlock()
 		e.stopAll() // no timer fires any more
-		e.own.Unlock()
+		e.loopMu.Unlock()
 		close(e.done)
 	}()
 	for {
-		e.own.Lock()
-		e.settleAll()
+		e.loopMu.Lock()
+		e.runDue()
 		wait := time.Hour
 		if len(e.timers) > 0 {
 			wait = e.timers[0].at - e.Clock()
 		}
-		e.armed = e.Clock() + wait
-		e.own.Unlock()
+		e.nextCheckAt = e.Clock() + wait
+		e.loopMu.Unlock()
 		wakeUp.Reset(wait)
 		select {
 		case <-quit:
@@ -255,14 +255,14 @@
 }
 
 // runDue runs posted functions and due timers until there are none.
-func (e *Engine) settleAll() {
-	for e.drain() || e.ring() {
+func (e *Engine) runDue() {
+	for e.runPosted() || e.fireTimers() {
 	}
 }
 
 // Step replaces Run where a driver controls the time. It runs posted functions and due timers and returns when there are
 // none. Only one goroutine may call it, and not while Run is running.
-func (e *Engine) Step() { e.settleAll() }
+func (e *Engine) Step() { e.runDue() }
 
 // Next returns the time on Clock at which the next timer is due. It reports false if there is none. On the loop.
 func (e *Engine) Next() (time.Duration, bool) {
@@ -273,7 +273,7 @@
 }
 
 // fireTimers handles due timers and reports whether there were any.
-func (e *Engine) ring() bool {
+func (e *Engine) fireTimers() bool {
 	fired := false
 	for now := e.Clock(); len(e.timers) > 0 && e.timers[0].at <= now; fired = true {
 		t := e.timers.pop()
@@ -297,14 +297,14 @@
 			e.Trace(Step{now, &e.events[i], e.actions})
 		}
 		for j := range e.actions {
-			e.do(&e.actions[j])
+			e.execute(&e.actions[j])
 		}
 	}
 	clear(e.events)
 	e.events, e.busy = e.events[:0], false
 }
 
-func (e *Engine) do(a *balance.Action) {
+func (e *Engine) execute(a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
 		e.send(a)
@@ -327,7 +327,7 @@
 		e.Tell(a.Peer, a.Payload)
 	case balance.Close:
 		if b := e.byNumber[a.Backend]; b != nil {
-			e.Transport.Drop(b.to)
+			e.Transport.Drop(b.endpoint)
 		}
 	case balance.Log:
 		e.Log.Info(a.Text)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -16,30 +16,30 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // randomTransport ends each attempt in a goroutine of its own, after a random time and with a random status.
-type rough struct {
+type randomTransport struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
-	ran     map[string]int // executed attempts by request
+	executions     map[string]int // executed attempts by request
 	dropped int
 }
 
-type roughCall struct {
+type randomCall struct {
 	mu            sync.Mutex
-	begun, barred bool
+	hasBegun, isBarred bool
 	stop          chan struct{}
 	stopped       bool
 }
 
-func (x *rough) draw(n int) int {
+func (x *randomTransport) intN(n int) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.rng.IntN(n)
 }
 
-func (x *rough) Send(a *Attempt) {
-	c := &roughCall{stop: make(chan struct{})}
+func (x *randomTransport) Send(a *Attempt) {
+	c := &randomCall{stop: make(chan struct{})}
 	a.State = c
-	dial, work, end := time.Duration(x.draw(40))*time.Millisecond, time.Duration(x.draw(900))*time.Millisecond, x.draw(10)
+	dial, work, end := time.Duration(x.intN(40))*time.Millisecond, time.Duration(x.intN(900))*time.Millisecond, x.intN(10)
 	id := a.Request.ID
 	go func() {
 		sleep := func(d time.Duration) bool {
@@ -55,19 +55,19 @@
 			return
 		}
 		c.mu.Lock()
-		if c.barred {
+		if c.isBarred {
 			c.mu.Unlock()
 			a.Done(Result{Status: balance.Unused})
 			return
 		}
-		c.begun = true
+		c.hasBegun = true
 		c.mu.Unlock()
 		if end == 0 {
 			a.Done(Result{Status: balance.Shed})
 			return
 		}
 		x.mu.Lock()
-		x.ran[id]++
+		x.executions[id]++
 		x.mu.Unlock()
 		if !sleep(work) {
 			a.Done(Result{Status: balance.Expired})
@@ -86,16 +86,16 @@
 	}()
 }
 
-func (x *rough) Bar(a *Attempt) bool {
-	c := a.State.(*roughCall)
+func (x *randomTransport) Bar(a *Attempt) bool {
+	c := a.State.(*randomCall)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.barred = c.barred || !c.begun
-	return c.barred
+	c.isBarred = c.isBarred || !c.hasBegun
+	return c.isBarred
 }
 
-func (x *rough) GiveUp(a *Attempt) {
-	c := a.State.(*roughCall)
+func (x *randomTransport) GiveUp(a *Attempt) {
+	c := a.State.(*randomCall)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.stopped {
@@ -104,21 +104,21 @@
 	}
 }
 
-func (x *rough) Probe(_ Endpoint, told func(Result)) { told(Result{Status: balance.Shed}) }
-func (x *rough) Drop(Endpoint)                       { x.dropped++ }
+func (x *randomTransport) Probe(_ Endpoint, told func(Result)) { told(Result{Status: balance.Shed}) }
+func (x *randomTransport) Drop(Endpoint)                       { x.dropped++ }
 
 // Guards the rules for requests under random results, drains and disconnecting clients, with goroutines in simulated time.
 // Every request gets one answer by its deadline, no unsafe request runs twice, a refusal means that nothing ran, and no
 // state is left over.
-func TestRulesUnderRandomFaults(t *testing.T) {
+func TestRequestRulesUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { randomFaults(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runRandomFaults(t, seed) })
 		})
 	}
 }
 
-func randomFaults(t *testing.T, seed uint64) {
+func runRandomFaults(t *testing.T, seed uint64) {
 	const requests, backends = 600, 6
 	bal, err := balance.New(balance.Config{
 		Classes: []balance.Class{
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	transport := &rough{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[string]int{}}
+	transport := &randomTransport{rng: rand.New(rand.NewPCG(seed, 1)), executions: map[string]int{}}
 	e := New(Config{Balancer: bal, Transport: transport})
 	quit, ended := make(chan struct{}), make(chan struct{})
 	go func() { e.Run(quit); close(ended) }()
@@ -148,15 +148,15 @@
 	var wg sync.WaitGroup
 	counts := map[AnswerKind]int{}
 	for i := range requests {
-		time.Sleep(time.Duration(transport.draw(12)) * time.Millisecond)
+		time.Sleep(time.Duration(transport.intN(12)) * time.Millisecond)
 		if i%50 == 49 {
-			phases[transport.draw(backends)] = balance.Phase(transport.draw(2))
+			phases[transport.intN(backends)] = balance.Phase(transport.intN(2))
 			list()
 		}
 		r := &Request{ID: fmt.Sprint("r", i), Class: i % 2, Deadline: time.Now().Add(time.Second), Reply: make(chan Answer, 1)}
 		disconnectAfter := time.Hour
-		if transport.draw(10) == 0 {
-			disconnectAfter = time.Duration(transport.draw(500)) * time.Millisecond
+		if transport.intN(10) == 0 {
+			disconnectAfter = time.Duration(transport.intN(500)) * time.Millisecond
 		}
 		wg.Go(func() {
 			e.Post(func() { e.Arrive(r) })
@@ -168,13 +168,13 @@
 				if time.Now().After(r.Deadline.Add(time.Millisecond)) {
 					t.Errorf("%s answered %v late", r.ID, time.Since(r.Deadline))
 				}
-				if a.Kind == Refused && r.Class == 1 && transport.ran[r.ID] > 0 {
+				if a.Kind == Refused && r.Class == 1 && transport.executions[r.ID] > 0 {
 					t.Errorf("%s refused, although it ran", r.ID)
 				}
 			case <-time.After(disconnectAfter):
 				e.Post(func() { e.Gone(r) })
 			case <-time.After(2 * time.Second):
-				if !r.claimed.Load() { // otherwise the transport passed its answer on
+				if !r.answerClaimed.Load() { // otherwise the transport passed its answer on
 					t.Errorf("%s has no answer", r.ID)
 				}
 			}
@@ -188,14 +188,14 @@
 			t.Errorf("%d requests left in the table", e.Open())
 		}
 		for id, b := range e.backends {
-			if b.out != 0 {
-				t.Errorf("%s has %d attempts outstanding", id, b.out)
+			if b.outstanding != 0 {
+				t.Errorf("%s has %d attempts outstanding", id, b.outstanding)
 			}
 		}
 	})
 	synctest.Wait()
 	for i := 1; i < requests; i += 2 {
-		if n := transport.ran[fmt.Sprint("r", i)]; n > 1 {
+		if n := transport.executions[fmt.Sprint("r", i)]; n > 1 {
 			t.Errorf("r%d, unsafe, ran %d times", i, n)
 		}
 	}
@@ -219,7 +219,7 @@
 		b.Run(fmt.Sprint(backends, " backends"), func(b *testing.B) {
 			bal, _ := balance.New(balance.Config{Classes: []balance.Class{{Aim: time.Second, Deadline: time.Minute, Effect: balance.Safe, Points: 1}},
 				Limits: balance.Limits{MaxAttempts: 3}}, 1)
-			transport := &instant{}
+			transport := &lastAttemptTransport{}
 			e := New(Config{Balancer: bal, Transport: transport})
 			l := List{Complete: true}
 			for i := range backends {
@@ -238,10 +238,10 @@
 	}
 }
 
-type instant struct{ last *Attempt }
+type lastAttemptTransport struct{ last *Attempt }
 
-func (x *instant) Send(a *Attempt)              { x.last = a }
-func (x *instant) Bar(*Attempt) bool            { return false }
-func (x *instant) GiveUp(*Attempt)              {}
-func (x *instant) Probe(Endpoint, func(Result)) {}
-func (x *instant) Drop(Endpoint)                {}
+func (x *lastAttemptTransport) Send(a *Attempt)              { x.last = a }
+func (x *lastAttemptTransport) Bar(*Attempt) bool            { return false }
+func (x *lastAttemptTransport) GiveUp(*Attempt)              {}
+func (x *lastAttemptTransport) Probe(Endpoint, func(Result)) {}
+func (x *lastAttemptTransport) Drop(Endpoint)                {}
--- a/internal/engine/repeats_test.go
+++ b/internal/engine/repeats_test.go
@@ -11,20 +11,20 @@
 // has a time limit for its write, on the engine's clock. The limit leaves room for a process that stalls for 0.15 s.
 func TestRepeatHasTimeLimitForWrite(t *testing.T) {
 	const window, stall = time.Second, 150 * time.Millisecond
-	h := newWorld(t)
+	h := newHarness(t)
 	h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{
 		{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}, {ID: "b", Addr: "10.0.0.2:1", Member: balance.Member{Weight: 1}}}})
-	h.earn()
+	h.fillRetryBudget()
 	start := h.clock
 	h.e.Arrive(&Request{ID: "x", Class: 2, Deadline: start.Add(2 * time.Second), Reply: make(chan Answer, 1)})
-	first := h.out["x/0"]
+	first := h.attempts["x/0"]
 	h.clock = start.Add(800 * time.Millisecond)
 	if first.TooLate() || !first.WriteBy.IsZero() {
 		t.Errorf("the first attempt has the time limit %v", first.WriteBy)
 	}
 	first.Done(Result{Status: balance.Dropped})
 	h.e.Step()
-	repeat := h.out["x/1"]
+	repeat := h.attempts["x/1"]
 	if repeat == nil {
 		t.Fatal("no repeat was sent")
 	}
@@ -38,12 +38,12 @@
 	}
 }
 
-// fillRetryBudget serves a few requests, which earn retries.
-func (h *world) earn() {
+// fillRetryBudget serves a few requests, which fillRetryBudget retries.
+func (h *harness) fillRetryBudget() {
 	for i := range 20 {
 		r := &Request{ID: string(rune('A' + i)), Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
 		h.e.Arrive(r)
-		h.out[r.ID+"/0"].Done(Result{Status: balance.Delivered})
+		h.attempts[r.ID+"/0"].Done(Result{Status: balance.Delivered})
 		h.e.Step()
 	}
 }
@@ -56,17 +56,17 @@
 		"restarted": {ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1, Launched: time.Duration(1_799_999_000) * time.Second}},
 	} {
 		for _, written := range []bool{false, true} {
-			h := newWorld(t)
+			h := newHarness(t)
 			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}}})
-			h.earn()
+			h.fillRetryBudget()
 			r := &Request{ID: "x", Class: 1, Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
 			h.e.Arrive(r)
-			h.late["x/0"] = written
+			h.written["x/0"] = written
 			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{replacement}})
 			h.e.Step()
-			a := h.out["x/0"]
-			if a.over == written {
-				t.Errorf("%s, written %t: over %t", name, written, a.over)
+			a := h.attempts["x/0"]
+			if a.hasEnded == written {
+				t.Errorf("%s, written %t: over %t", name, written, a.hasEnded)
 			}
 			if len(r.Reply) == 0 == !written {
 				t.Errorf("%s, written %t: %d answers", name, written, len(r.Reply))
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -53,9 +53,9 @@
 // Place calls Arrive on the loop, directly in this goroutine if the loop is idle. It reports false if the engine has
 // ended. It is safe for concurrent use. The caller must hold no lock that a method of the Transport acquires.
 func (e *Engine) Place(r *Request) bool {
-	if e.enter() {
+	if e.tryAcquireLoop() {
 		e.Arrive(r)
-		e.leave()
+		e.releaseLoop()
 		return true
 	}
 	return e.Post(func() { e.Arrive(r) })
@@ -67,7 +67,7 @@
 		return
 	}
 	r.answered = true
-	r.claimed.Store(true)
+	r.answerClaimed.Store(true)
 	e.Handle(balance.Event{Kind: balance.ClientGone, Request: r.ID})
 	e.endAttempts(r, balance.Revoked)
 }
@@ -98,14 +98,14 @@
 	}
 	var a *Attempt
 	if len(r.attempts) == 0 {
-		a, r.attempts = &r.first, r.room[:0]
+		a, r.attempts = &r.firstAttempt, r.attemptsBuf[:0]
 	} else {
 		a = new(Attempt)
 	}
-	*a = Attempt{Request: r, To: b.to, Deadline: r.Deadline, engine: e, number: len(r.attempts), to: b, sent: e.Clock()}
+	*a = Attempt{Request: r, To: b.endpoint, Deadline: r.Deadline, engine: e, number: len(r.attempts), backend: b, sentAt: e.Clock()}
 	r.attempts = append(r.attempts, a)
-	b.out++
-	if b.phase != balance.Ready || r.claimed.Load() || r.stream != nil {
+	b.outstanding++
+	if b.phase != balance.Ready || r.answerClaimed.Load() || r.stream != nil {
 		e.outcome(a, Result{Status: balance.Unused})
 		return
 	}
@@ -117,27 +117,27 @@
 	if act.Within > 0 {
 		a.WriteBy = e.Now().Add(act.Within)
 	}
-	a.begun = true
+	a.isSent = true
 	e.Transport.Send(a)
 }
 
 // outcome reports the result of an attempt to the Balancer, once. Results after the attempt was given up are ignored.
 func (e *Engine) outcome(a *Attempt, res Result) {
 	r := a.Request
-	if a.over {
+	if a.hasEnded {
 		return
 	}
 	if !r.answered {
 		switch {
-		case res.Status == balance.Delivered && r.claimed.CompareAndSwap(false, true):
+		case res.Status == balance.Delivered && r.answerClaimed.CompareAndSwap(false, true):
 			r.answered = true
 			r.reply(Answer{Kind: Served, Body: res.Body})
-		case r.stream == a && r.claimed.CompareAndSwap(false, true): // the stream has begun, so a failed attempt ends it
+		case r.stream == a && r.answerClaimed.CompareAndSwap(false, true): // the stream has begun, so a failed attempt ends it
 			r.answered = true
 			r.reply(Answer{Kind: Failed, Begun: true, Body: res.Body})
 		}
 	}
-	e.tell(a, res)
+	e.reportOutcome(a, res)
 	if r.answered {
 		e.endAttempts(r, balance.Revoked)
 	}
@@ -151,8 +151,8 @@
 		r.answered = true
 	}
 	switch {
-	case !a.over:
-		e.tell(a, res)
+	case !a.hasEnded:
+		e.reportOutcome(a, res)
 	case won && wasOpen: // the attempt was given up, but its answer reaches the client
 		e.Handle(balance.Event{Kind: balance.ClientGone, Request: r.ID})
 	}
@@ -161,36 +161,36 @@
 	}
 }
 
-func (e *Engine) tell(a *Attempt, res Result) {
+func (e *Engine) reportOutcome(a *Attempt, res Result) {
 	r := a.Request
 	if r.Hasty && res.Status == balance.Expired {
 		res.Status = balance.Revoked
 	}
-	a.over = true
-	r.begun = r.begun || !res.Status.NeverRan()
+	a.hasEnded = true
+	r.mayHaveRun = r.mayHaveRun || !res.Status.NeverRan()
 	if res.Body != nil {
-		r.last = res.Body
+		r.lastBody = res.Body
 	}
 	e.forget(r)
 	e.Handle(balance.Event{
-		Kind: balance.Outcome, Request: r.ID, Attempt: a.number, Backend: a.to.number, Spent: e.Clock() - a.sent,
+		Kind: balance.Outcome, Request: r.ID, Attempt: a.number, Backend: a.backend.number, Spent: e.Clock() - a.sentAt,
 		Status: res.Status, NoMore: r.answered, Load: res.Load,
 	})
 	if e.Saw != nil {
 		e.Saw(a.To.ID, res)
 	}
-	e.settle(a.to)
+	e.release(a.backend)
 }
 
 // started records that the client receives the stream of an attempt.
 func (e *Engine) started(a *Attempt) {
 	r := a.Request
-	if a.over || r.answered || r.stream != nil {
+	if a.hasEnded || r.answered || r.stream != nil {
 		return
 	}
 	r.stream = a
-	e.Handle(balance.Event{Kind: balance.StreamStarted, Request: r.ID, Attempt: a.number, Backend: a.to.number,
-		Spent: e.Clock() - a.sent})
+	e.Handle(balance.Event{Kind: balance.StreamStarted, Request: r.ID, Attempt: a.number, Backend: a.backend.number,
+		Spent: e.Clock() - a.sentAt})
 	for _, other := range r.attempts {
 		if other != a {
 			e.giveUp(other, balance.Revoked)
@@ -203,10 +203,10 @@
 
 // giveUp ends an attempt, and its use of a connection.
 func (e *Engine) giveUp(a *Attempt, st balance.Status) {
-	if a.over {
+	if a.hasEnded {
 		return
 	}
-	if a.begun {
+	if a.isSent {
 		if e.Transport.Bar(a) {
 			st = balance.Unused
 		}
@@ -222,14 +222,14 @@
 	}
 	r.answered = true
 	late := !e.Now().Before(r.Deadline)
-	won := r.claimed.CompareAndSwap(false, true) // false: another answer is already on its way to the client
+	won := r.answerClaimed.CompareAndSwap(false, true) // false: another answer is already on its way to the client
 	st := balance.Revoked
 	if late {
 		st = balance.Expired
 	}
 	e.endAttempts(r, st)
 	if won {
-		ans.Late, ans.Begun, ans.Body = late, r.begun, r.last
+		ans.Late, ans.Begun, ans.Body = late, r.mayHaveRun, r.lastBody
 		r.reply(ans)
 	}
 }
@@ -245,7 +245,7 @@
 func (e *Engine) stopAll() {
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
-			if !a.over && a.begun {
+			if !a.hasEnded && a.isSent {
 				e.Transport.GiveUp(a)
 			}
 		}
@@ -271,12 +271,12 @@
 		if e.Saw != nil {
 			e.Saw(b.id, res)
 		}
-		e.settle(b)
+		e.release(b)
 	}
-	b.out++
+	b.outstanding++
 	if b.phase != balance.Ready {
 		report(Result{Status: balance.Unused})
 		return
 	}
-	e.Transport.Probe(b.to, func(res Result) { e.Post(func() { report(res) }) })
+	e.Transport.Probe(b.endpoint, func(res Result) { e.Post(func() { report(res) }) })
 }
--- a/internal/engine/scenario_test.go
+++ b/internal/engine/scenario_test.go
@@ -15,23 +15,23 @@
 )
 
 // harness is an engine with the clock, transport and backends of a scenario.
-type world struct {
+type harness struct {
 	t     *testing.T
 	e     *Engine
 	clock time.Time
-	said  strings.Builder
-	out   map[string]*Attempt // by request and attempt number
-	late  map[string]bool     // attempts with a first byte written, which can't be prevented
-	reqs  map[string]*Request
-	ids   map[Endpoint]func(Result) // outstanding probes
+	output  strings.Builder
+	attempts   map[string]*Attempt // by request and attempt number
+	written  map[string]bool     // attempts with a first byte written, which can't be prevented
+	requests  map[string]*Request
+	probes   map[Endpoint]func(Result) // outstanding probes
 }
 
-var statuses = []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"}
-var phases = []string{"ready", "draining", "gone"}
+var statusNames = []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"}
+var phaseNames = []string{"ready", "draining", "gone"}
 
-func newWorld(t *testing.T, change ...func(*balance.Config)) *world {
-	h := &world{t: t, clock: time.Unix(1_800_000_000, 0), out: map[string]*Attempt{}, late: map[string]bool{}, reqs: map[string]*Request{},
-		ids: map[Endpoint]func(Result){}}
+func newHarness(t *testing.T, change ...func(*balance.Config)) *harness {
+	h := &harness{t: t, clock: time.Unix(1_800_000_000, 0), attempts: map[string]*Attempt{}, written: map[string]bool{}, requests: map[string]*Request{},
+		probes: map[Endpoint]func(Result){}}
 	second := time.Second
 	cfg := balance.Config{
 		Classes: []balance.Class{
@@ -50,10 +50,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tell := func(peer int, payload []byte) { fmt.Fprintf(&h.said, "tell %d: %x\n", peer, payload) }
+	tell := func(peer int, payload []byte) { fmt.Fprintf(&h.output, "tell %d: %x\n", peer, payload) }
 	log := slog.New(slog.DiscardHandler)
 	if len(change) > 0 {
-		log = slog.New(slog.NewTextHandler(&h.said, &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
+		log = slog.New(slog.NewTextHandler(&h.output, &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.MessageKey {
 				return a
 			}
@@ -66,45 +66,45 @@
 			if ev.NoMore {
 				more = ", no more"
 			}
-			fmt.Fprintf(&h.said, "told %s/%d %s%s\n", ev.Request, ev.Attempt, statuses[ev.Status], more)
+			fmt.Fprintf(&h.output, "told %s/%d %s%s\n", ev.Request, ev.Attempt, statusNames[ev.Status], more)
 		}
 	}})
 	return h
 }
 
-func (h *world) name(a *Attempt) string { return fmt.Sprintf("%s/%d", a.Request.ID, a.Number()) }
+func (h *harness) name(a *Attempt) string { return fmt.Sprintf("%s/%d", a.Request.ID, a.Number()) }
 
-func (h *world) Send(a *Attempt) {
-	h.out[h.name(a)] = a
-	fmt.Fprintf(&h.said, "send %s to %s\n", h.name(a), a.To.Addr)
+func (h *harness) Send(a *Attempt) {
+	h.attempts[h.name(a)] = a
+	fmt.Fprintf(&h.output, "send %s to %s\n", h.name(a), a.To.Addr)
 }
-func (h *world) Bar(a *Attempt) bool {
-	if h.late[h.name(a)] {
+func (h *harness) Bar(a *Attempt) bool {
+	if h.written[h.name(a)] {
 		return false
 	}
-	fmt.Fprintf(&h.said, "bar %s\n", h.name(a))
+	fmt.Fprintf(&h.output, "bar %s\n", h.name(a))
 	return true
 }
-func (h *world) GiveUp(a *Attempt)                    { fmt.Fprintf(&h.said, "give up %s\n", h.name(a)) }
-func (h *world) Probe(to Endpoint, told func(Result)) { h.ids[to] = told }
-func (h *world) Drop(to Endpoint) {
+func (h *harness) GiveUp(a *Attempt)                    { fmt.Fprintf(&h.output, "give up %s\n", h.name(a)) }
+func (h *harness) Probe(to Endpoint, told func(Result)) { h.probes[to] = told }
+func (h *harness) Drop(to Endpoint) {
 	if to.Addr != "" {
-		fmt.Fprintf(&h.said, "drop %s\n", to.Addr)
+		fmt.Fprintf(&h.output, "drop %s\n", to.Addr)
 	}
 }
 
 // step runs the engine and prints the answers.
-func (h *world) step() {
+func (h *harness) step() {
 	h.e.Step()
 	for _, id := range slices.Sorted(func(yield func(string) bool) {
-		for id := range h.reqs {
+		for id := range h.requests {
 			if !yield(id) {
 				return
 			}
 		}
 	}) {
 		select {
-		case a := <-h.reqs[id].Reply:
+		case a := <-h.requests[id].Reply:
 			kind := []string{"served", "refused", "failed", "doubled"}[a.Kind]
 			if a.Late {
 				kind += ", late"
@@ -115,7 +115,7 @@
 			if a.Body != nil {
 				kind += fmt.Sprintf(", %v", a.Body)
 			}
-			fmt.Fprintf(&h.said, "answer %s: %s\n", id, kind)
+			fmt.Fprintf(&h.output, "answer %s: %s\n", id, kind)
 		default:
 		}
 	}
@@ -141,9 +141,9 @@
 //	hear from=.. hex=..                a peer sends a message
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		h := newWorld(t)
+		h := newHarness(t)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			h.said.Reset()
+			h.output.Reset()
 			arg := func(name string) string {
 				var s string
 				if d.HasArg(name) {
@@ -152,14 +152,14 @@
 				return s
 			}
 			at := func() *Attempt {
-				a := h.out[arg("at")]
+				a := h.attempts[arg("at")]
 				if a == nil {
 					d.Fatalf(t, "no attempt %q", arg("at"))
 				}
 				return a
 			}
 			status := func() balance.Status {
-				i := slices.Index(statuses, arg("status"))
+				i := slices.Index(statusNames, arg("status"))
 				if i < 0 {
 					d.Fatalf(t, "no status %q", arg("status"))
 				}
@@ -173,7 +173,7 @@
 				for line := range strings.Lines(d.Input) {
 					f := strings.Fields(line)
 					list.Members = append(list.Members, Member{ID: f[0], Addr: f[1],
-						Member: balance.Member{Weight: 1, Phase: balance.Phase(slices.Index(phases, f[2]))}})
+						Member: balance.Member{Weight: 1, Phase: balance.Phase(slices.Index(phaseNames, f[2]))}})
 					if len(f) > 3 { // cold
 						list.Members[len(list.Members)-1].Launched = h.e.Clock()
 					}
@@ -188,14 +188,14 @@
 				d.ScanArgs(t, "class", &class)
 				r := &Request{ID: arg("id"), Class: class, Hasty: d.HasArg("hasty"), Deadline: h.clock.Add(budget), Reply: make(chan Answer, 1)}
 				key := r.ID
-				for h.reqs[key] != nil {
+				for h.requests[key] != nil {
 					key += "'"
 				}
-				h.reqs[key] = r
+				h.requests[key] = r
 				h.e.Arrive(r)
 			case "written":
 				at()
-				h.late[arg("at")] = true
+				h.written[arg("at")] = true
 			case "end":
 				res := Result{Status: status()}
 				if b := arg("body"); b != "" {
@@ -203,21 +203,21 @@
 				}
 				at().Done(res)
 			case "deliver":
-				fmt.Fprintf(&h.said, "handed on: %t\n", at().Deliver(Result{Status: balance.Delivered}))
+				fmt.Fprintf(&h.output, "handed on: %t\n", at().Deliver(Result{Status: balance.Delivered}))
 			case "started":
 				at().Started()
 			case "copy":
 				var to int
 				d.ScanArgs(t, "to", &to)
-				h.e.do(&balance.Action{Kind: balance.Send, Request: arg("id"), Backend: balance.BackendID(to)})
+				h.e.execute(&balance.Action{Kind: balance.Send, Request: arg("id"), Backend: balance.BackendID(to)})
 			case "say":
 				kind := balance.Refuse
 				if d.HasArg("fail") {
 					kind = balance.Fail
 				}
-				h.e.do(&balance.Action{Kind: kind, Request: arg("id")})
+				h.e.execute(&balance.Action{Kind: kind, Request: arg("id")})
 			case "gone":
-				h.e.Gone(h.reqs[arg("id")])
+				h.e.Gone(h.requests[arg("id")])
 			case "answer-by":
 				in, err := time.ParseDuration(arg("in"))
 				if err != nil {
@@ -243,7 +243,7 @@
 				var nodes, quota int
 				d.ScanArgs(t, "nodes", &nodes)
 				d.ScanArgs(t, "quota", &quota)
-				h = newWorld(t, func(c *balance.Config) {
+				h = newHarness(t, func(c *balance.Config) {
 					c.Instances, c.Limits.Peers, c.Prices.Peer, c.Prices.Probe = nodes, !d.HasArg("alone"), 0.01, 0.05
 					c.Limits.Probing = true
 					c.Tenants = []balance.Tenant{{QuotaPerSecond: float64(quota), Share: 1}}
@@ -266,14 +266,14 @@
 				_, timer := h.e.Next()
 				out := 0
 				for _, b := range h.e.byNumber {
-					out += b.out
+					out += b.outstanding
 				}
 				return fmt.Sprintf("%d requests, %d backends, %d out, timers: %t\n", h.e.Open(), h.e.Backends(), out, timer)
 			default:
 				d.Fatalf(t, "no command %q", d.Cmd)
 			}
 			h.step()
-			return h.said.String()
+			return h.output.String()
 		})
 	})
 }
@@ -281,7 +281,7 @@
 // The engine doesn't rely on the Balancer here. It ignores a Send to a backend that accepts no new requests and a Send for
 // a request that has its answer.
 func TestEngineIgnoresInvalidSend(t *testing.T) {
-	h := newWorld(t)
+	h := newHarness(t)
 	list := func(p balance.Phase) {
 		h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Phase: p}}}})
 	}
@@ -289,17 +289,17 @@
 	r := &Request{ID: "x", Class: 1, Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
 	h.e.Arrive(r)
 	send := &balance.Action{Kind: balance.Send, Request: "x"}
-	sends := strings.Count(h.said.String(), "send ")
-	h.late["x/0"] = true // the attempt and the request stay open
+	sends := strings.Count(h.output.String(), "send ")
+	h.written["x/0"] = true // the attempt and the request stay open
 	list(balance.Draining)
-	h.e.do(send)
+	h.e.execute(send)
 	list(balance.Ready)
 	r.stream = new(Attempt)
-	h.e.do(send)
+	h.e.execute(send)
 	r.stream = nil
-	r.claimed.Store(true) // answered by Deliver, before the loop has handled it
-	h.e.do(send)
-	if n := strings.Count(h.said.String(), "send "); sends != 1 || n != 1 {
-		t.Errorf("%d sends before and %d after: %s", sends, n, h.said.String())
+	r.answerClaimed.Store(true) // answered by Deliver, before the loop has handled it
+	h.e.execute(send)
+	if n := strings.Count(h.output.String(), "send "); sends != 1 || n != 1 {
+		t.Errorf("%d sends before and %d after: %s", sends, n, h.output.String())
 	}
 }
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -64,13 +64,13 @@
 
 	seq      uint64 // order of arrival
 	attempts []*Attempt
-	first    Attempt     // saves an allocation in the usual case of one attempt
-	room     [1]*Attempt // storage of attempts, for the same case
+	firstAttempt    Attempt     // saves an allocation in the usual case of one attempt
+	attemptsBuf     [1]*Attempt // storage of attempts, for the same case
 	answered bool
-	begun    bool        // some attempt may have run
-	last     any         // Result.Body of the last attempt that returned one
+	mayHaveRun    bool        // some attempt may have run
+	lastBody     any         // Result.Body of the last attempt that returned one
 	stream   *Attempt    // the client has received part of its answer: no attempt follows
-	claimed  atomic.Bool // the final answer is chosen, by the loop or by Attempt.Deliver
+	answerClaimed  atomic.Bool // the final answer is chosen, by the loop or by Attempt.Deliver
 }
 
 // Attempt is one copy of a request on its way to a backend.
@@ -84,10 +84,10 @@
 
 	engine *Engine
 	number int
-	to     *backend
-	sent   time.Duration
-	begun  bool // passed to Transport.Send
-	over   bool // its outcome was reported
+	backend     *backend
+	sentAt   time.Duration
+	isSent  bool // passed to Transport.Send
+	hasEnded   bool // its outcome was reported
 }
 
 // Number returns the number of the attempt among those of its request, from 0.
@@ -105,10 +105,10 @@
 // Deliver is Done for an answer that the caller itself can pass to the client, without waiting for the loop. It reports
 // false if the client gets another answer. Then the caller passes nothing on. After true, no answer is sent to Reply.
 func (a *Attempt) Deliver(res Result) bool {
-	won := a.Request.claimed.CompareAndSwap(false, true)
-	if e := a.engine; e.enter() {
+	won := a.Request.answerClaimed.CompareAndSwap(false, true)
+	if e := a.engine; e.tryAcquireLoop() {
 		e.delivered(a, res, won)
-		e.leave()
+		e.releaseLoop()
 	} else {
 		e.Post(func() { e.delivered(a, res, won) })
 	}
@@ -125,7 +125,7 @@
 // unanswered, however long the stream lasts.
 func (a *Attempt) Answering() {
 	a.engine.Post(func() {
-		a.engine.Handle(balance.Event{Kind: balance.StreamAnswered, Request: a.Request.ID, Attempt: a.number, Backend: a.to.number})
+		a.engine.Handle(balance.Event{Kind: balance.StreamAnswered, Request: a.Request.ID, Attempt: a.number, Backend: a.backend.number})
 	})
 }
 
