--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -19,22 +19,22 @@
 type Conn struct {
 	net.Conn // the socket
 	framing
-	listener  *Listener // the listener that counts it
+	listener   *Listener // the listener that counts it
 	serverConn net.Conn  // the connection that http.Server uses: this one, or the TLS connection over it
 
 	// readMu is held while bytes are read from the socket and recorded, and while the connection is checked and closed. In
 	// between, a whole request would count neither as unread nor as unanswered.
-	readMu sync.Mutex
-	rawConn    syscall.RawConn // nil: not a socket
-	readFunc   func(fd uintptr) bool
+	readMu    sync.Mutex
+	rawConn   syscall.RawConn // nil: not a socket
+	readFunc  func(fd uintptr) bool
 	readBuf   []byte // buffer of the current Read; net/http calls one at a time
-	readCount   int
-	readErr error
+	readCount int
+	readErr   error
 	// notBefore is the earliest time at which the next request can have arrived. It is the last time that the listener's queue
 	// was empty, or the time of the previous answer. It belongs to the connection's handlers, and to Track between two of them.
 	notBefore time.Time
 
-	bodyCut        atomic.Bool   // the wait for the rest of a body was ended
+	bodyCut   atomic.Bool   // the wait for the rest of a body was ended
 	cutLinger time.Duration // how long the connection may linger after that
 	// headDeadline is the deadline for the whole head of a further request, set at its first byte. It is zero if no head has
 	// begun. Guarded by readMu.
@@ -198,8 +198,8 @@
 	return n > 0
 }
 
-// Of returns the Conn under c, which may be a TLS connection. It returns nil if there is none.
-func Of(c net.Conn) *Conn {
+// ConnOf returns the Conn under c, which may be a TLS connection. It returns nil if there is none.
+func ConnOf(c net.Conn) *Conn {
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = t.NetConn()
 	}
@@ -211,7 +211,7 @@
 
 // WithConn adds a client's connection to the context of its requests. It is for http.Server.ConnContext.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
-	conn := Of(c)
+	conn := ConnOf(c)
 	if conn == nil {
 		return ctx
 	}
--- a/internal/clients/ending.go
+++ b/internal/clients/ending.go
@@ -14,20 +14,20 @@
 	// discarded. The client closes its side as soon as it has read the end of this one. fullLingerTimeout applies where new
 	// connections wait for a slot.
 	lingerTimeout, fullLingerTimeout = 400 * time.Millisecond, 40 * time.Millisecond
-	maxLingerBytes             = 256 << 10
+	maxLingerBytes                   = 256 << 10
 )
 
 // Close closes the connection without waiting for its client. Bytes that arrive from here on are not processed.
 func (c *Conn) Close() error {
 	c.readMu.Lock()
-	alreadyEnding, linger := c.ending, lingerTimeout
+	alreadyEnding, timeout := c.ending, lingerTimeout
 	if c.Cut() {
-		linger = c.cutLinger
+		timeout = c.cutLinger
 	}
 	c.ending = true
 	c.readMu.Unlock() // the Close of the socket waits for a current Read, which waits for readMu
 	if !alreadyEnding {
-		c.linger(linger)
+		c.linger(timeout)
 	}
 	return nil
 }
@@ -77,9 +77,9 @@
 
 // closeIfNoRequest closes the connection unless it has an unanswered request or unread bytes. It closes one with part of a
 // request only if includePartial is set. It reports whether the connection is closing. Bytes that arrive during the close are
-// not processed. The connection lingers for at most linger. A client in the middle of a request first gets a 503, because the rest may
+// not processed. The connection lingers for at most timeout. A client in the middle of a request first gets a 503, because the rest may
 // be on its way.
-func (c *Conn) closeIfNoRequest(includePartial bool, linger time.Duration) bool {
+func (c *Conn) closeIfNoRequest(includePartial bool, timeout time.Duration) bool {
 	if !c.readMu.TryLock() {
 		return false // a read is in progress
 	}
@@ -89,7 +89,7 @@
 		return ended
 	}
 	if c.partial.Load() && !c.inHead() {
-		c.cutBody(linger)
+		c.cutBody(timeout)
 		c.readMu.Unlock()
 		return true
 	}
@@ -98,7 +98,7 @@
 	}
 	c.ending = true
 	c.readMu.Unlock()
-	c.linger(linger)
+	c.linger(timeout)
 	return true
 }
 
--- a/internal/clients/ending_test.go
+++ b/internal/clients/ending_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // racingConn is a socket on which bytes of the client arrive at the moment in which the server closes it or its sending side.
 type racingConn struct {
@@ -32,9 +32,9 @@
 func (c *racingConn) CloseWrite() error { c.runDuringClose(); return c.TCPConn.CloseWrite() }
 
 // racingListener is a listener with connections of type racingConn.
-type crossing struct{ net.Listener }
+type racingListener struct{ net.Listener }
 
-func (l crossing) Accept() (net.Conn, error) {
+func (l racingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -43,14 +43,14 @@
 }
 
 // connect returns both ends of a connection of a listener.
-func meet(t *testing.T, l *Listener) (client *net.TCPConn, served *Conn) {
+func connect(t *testing.T, l *Listener) (client *net.TCPConn, served *Conn) {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	s, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounded := Limit(crossing{l}, most)
+	bounded := Limit(racingListener{l}, most)
 	t.Cleanup(func() { bounded.Close() })
 	return bounded
 }
@@ -73,7 +73,7 @@
 // await waits for a condition.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -94,7 +94,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := listen(t, 8)
-			client, c := meet(t, l)
+			client, c := connect(t, l)
 			io.WriteString(c, answer)
 			c.Conn.(*racingConn).duringClose = func() {
 				io.WriteString(client, wholeRequest)
@@ -134,7 +134,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t, 8)
-			client, c := meet(t, l)
+			client, c := connect(t, l)
 			c.Close()
 			go write(client)
 			await(t, "a free slot", func() bool { return l.Holds() == 0 })
@@ -145,11 +145,11 @@
 // New connections wait while closing ones hold all slots. So a connection lingers for a shorter time if the listener is full.
 func TestLingerIsShorterWhenFull(t *testing.T) {
 	l := listen(t, 2)
-	_, c := meet(t, l)
+	_, c := connect(t, l)
 	if d := l.beginLinger(lingerTimeout); d != lingerTimeout {
 		t.Errorf("with a free slot: %v", d)
 	}
-	meet(t, l)
+	connect(t, l)
 	if d := l.beginLinger(lingerTimeout); d != fullLingerTimeout {
 		t.Errorf("full: %v", d)
 	}
@@ -157,7 +157,7 @@
 	l.lingering = 0
 	l.mu.Unlock()
 	c.Close()
-	meet(t, l) // waits for the slot
+	connect(t, l) // waits for the slot
 }
 
 // A request that arrives at the moment of the read deadline of an idle connection would be lost. Read must return it. The
@@ -167,7 +167,7 @@
 		name, before, text, want string
 	}{{name: "silence"}, {"a request", "", wholeRequest, wholeRequest}, {"the rest of one", wholeRequest[:9], wholeRequest[9:], ""}} {
 		t.Run(s.name, func(t *testing.T) {
-			client, c := meet(t, listen(t, 8))
+			client, c := connect(t, listen(t, 8))
 			b := make([]byte, 256)
 			if s.before != "" {
 				io.WriteString(client, s.before)
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	client.SetDeadline(time.Now().Add(patience))
+	client.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(client, "GET /first HTTP/1.1\r\nHost: x\r\n\r\n")
 	await(t, "the first request", func() bool { return table.Asked() == 1 })
 	io.WriteString(client, strings.Replace(wholeRequest, "/api/x", "/behind", 1))
--- a/internal/clients/framing.go
+++ b/internal/clients/framing.go
@@ -31,12 +31,12 @@
 
 	lastReadOffset atomic.Int64 // time of the last byte, in ns since the listener was created; 0: none
 
-	line   []byte // current line of the head, truncated to maxLineBytes
-	isTruncated   bool   // line was truncated
-	lineCount  int    // lines of the head so far
-	length int64  // content length in the head so far; -1: none
-	hasTransferEncoding  bool   // the head has Transfer-Encoding
-	bodyRemaining   int64  // remaining bytes of the body
+	line                []byte // current line of the head, truncated to maxLineBytes
+	isTruncated         bool   // line was truncated
+	lineCount           int    // lines of the head so far
+	length              int64  // content length in the head so far; -1: none
+	hasTransferEncoding bool   // the head has Transfer-Encoding
+	bodyRemaining       int64  // remaining bytes of the body
 }
 
 // maxLineBytes is longer than any line that affects the framing.
@@ -120,7 +120,9 @@
 
 // Behind reports whether a further whole request was read behind the current one. It would be lost if the answer closed the
 // connection.
-func (f *framing) Behind() bool { return f.unanswered.Load() > 1 && !f.Chunked.Load() && !f.Unsure.Load() }
+func (f *framing) Behind() bool {
+	return f.unanswered.Load() > 1 && !f.Chunked.Load() && !f.Unsure.Load()
+}
 
 // markAnswered records that a request was markAnswered. It may run concurrently with reads.
 func (f *framing) markAnswered() {
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -27,12 +27,12 @@
 
 	createdAt time.Time
 
-	mu         sync.Mutex
-	slotFree       sync.Cond
+	mu            sync.Mutex
+	slotFree      sync.Cond
 	open, maxOpen int // open connections and their limit
-	lingering  int // open connections that are closing
-	closed     bool
-	emptyAt    time.Time // last time that the queue was known to be empty; used by Accept only
+	lingering     int // open connections that are closing
+	closed        bool
+	emptyAt       time.Time // last time that the queue was known to be empty; used by Accept only
 }
 
 // minEmptyWait is how long accept(2) must block for the queue to count as empty before.
@@ -75,8 +75,8 @@
 	l.slotFree.Signal()
 }
 
-// Waits reports whether the listener is full or closed.
-func (l *Listener) Waits() bool {
+// IsBlocked reports whether the listener is full or closed.
+func (l *Listener) IsBlocked() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open >= l.maxOpen || l.closed
@@ -136,7 +136,7 @@
 // Queued reports whether connections may be waiting in the queue. That is so if the listener is full or closed, or if the kernel
 // reports one.
 func (l *Listener) Queued() bool {
-	if l.Waits() {
+	if l.IsBlocked() {
 		return true // if closed, the last accepted connection may not be counted yet
 	}
 	waiting, known := sock.Waiting(l.Listener)
--- a/internal/clients/table.go
+++ b/internal/clients/table.go
@@ -27,24 +27,24 @@
 	RelieveEvery = 20 * time.Millisecond
 )
 
-// Parts are thresholds for the open connections, in percent of the listener's limit.
-type Parts struct {
-	Crowded  int  // above it, answers close their connections; connections without a request don't count
-	Full     int  // above it, connections without a request and idle ones are evicted
-	KeepIdle bool // idle connections and those silent for less than slowTimeout are not evicted
+// Thresholds are thresholds for the open connections, in percent of the listener's limit.
+type Thresholds struct {
+	CrowdedPercent int  // above it, answers close their connections; connections without a request don't count
+	EvictPercent   int  // above it, connections without a request and idle ones are evicted
+	KeepIdle       bool // idle connections and those silent for less than slowTimeout are not evicted
 }
 
 // Platform is for clients that hold many connections and resend a request if the connection closes as they send it. Own is for
 // clients that may not resend. Such a client would lose a request sent on a kept-alive connection as it is closed.
-var Platform, Own = Parts{Crowded: 75, Full: 60}, Parts{Crowded: 75, Full: 95, KeepIdle: true}
+var Platform, Own = Thresholds{CrowdedPercent: 75, EvictPercent: 60}, Thresholds{CrowdedPercent: 75, EvictPercent: 95, KeepIdle: true}
 
 // Table tracks the states of a listener's client connections. NewTable returns one.
 type Table struct {
-	thresholds   Parts
-	mu      sync.Mutex
+	thresholds   Thresholds
+	mu           sync.Mutex
 	crowdedAbove int // number of connections above which answers close theirs
-	evictAbove    int // number of connections above which some are evicted
-	conns   map[net.Conn]*entry
+	evictAbove   int // number of connections above which some are evicted
+	conns        map[net.Conn]*entry
 	waitingCount int // connections in stateWaiting
 }
 
@@ -58,12 +58,12 @@
 
 const (
 	stateWaiting state = iota // no whole request was received yet
-	stateOpen               // a request is in progress: never closed by this side
-	stateIdle               // the last request was answered
+	stateOpen                 // a request is in progress: never closed by this side
+	stateIdle                 // the last request was answered
 )
 
 // NewTable returns the table of a listener with at most maxOpen connections.
-func NewTable(maxOpen int, parts Parts) *Table {
+func NewTable(maxOpen int, parts Thresholds) *Table {
 	t := &Table{thresholds: parts, conns: map[net.Conn]*entry{}}
 	t.Resize(maxOpen)
 	return t
@@ -73,7 +73,7 @@
 func (t *Table) Resize(maxOpen int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crowdedAbove, t.evictAbove = maxOpen*t.thresholds.Crowded/100, maxOpen*t.thresholds.Full/100
+	t.crowdedAbove, t.evictAbove = maxOpen*t.thresholds.CrowdedPercent/100, maxOpen*t.thresholds.EvictPercent/100
 }
 
 // KeepAll disables evictions, and the closing of connections by answers.
@@ -98,7 +98,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
-		if conn := Of(c); conn != nil && conn.opaque && e.state == stateWaiting && time.Since(t.lastActivity(c)) > tlsQuietTimeout {
+		if conn := ConnOf(c); conn != nil && conn.opaque && e.state == stateWaiting && time.Since(t.lastActivity(c)) > tlsQuietTimeout {
 			conn.unanswered.Store(0) // only a handshake: a request would have reached its handler by now
 		}
 		if e.state != stateOpen && closeIfNoRequest(c, includePartial, lingerTimeout) {
@@ -110,7 +110,7 @@
 // closeIfNoRequest closes a connection unless it has an unanswered request. It closes the socket without a TLS close notification,
 // which could block on a client that doesn't read.
 func closeIfNoRequest(c net.Conn, includePartial bool, linger time.Duration) bool {
-	if conn := Of(c); conn != nil {
+	if conn := ConnOf(c); conn != nil {
 		return conn.closeIfNoRequest(includePartial, linger)
 	}
 	c.Close()
@@ -134,7 +134,7 @@
 			t.setState(c, stateWaiting)
 		}
 	case http.StateIdle:
-		if conn := Of(c); conn != nil {
+		if conn := ConnOf(c); conn != nil {
 			conn.markAnswered()
 			conn.notBefore = time.Now()
 		}
@@ -176,7 +176,7 @@
 	for range maxEvictionTries {
 		var oldest [stateIdle + 1]net.Conn
 		for c, e := range t.conns {
-			if conn := Of(c); conn != nil && conn.hasUnanswered() {
+			if conn := ConnOf(c); conn != nil && conn.hasUnanswered() {
 				continue // it has an unanswered request
 			}
 			if e.state == stateWaiting && time.Since(t.lastActivity(c)) < freshGrace {
@@ -214,7 +214,7 @@
 // as active.
 func (t *Table) lastActivity(c net.Conn) time.Time {
 	changedAt := t.conns[c].since
-	if conn := Of(c); conn != nil {
+	if conn := ConnOf(c); conn != nil {
 		if last := conn.lastReadAt(); last.After(changedAt) {
 			return last
 		}
@@ -247,7 +247,7 @@
 	defer t.mu.Unlock()
 	counts := Counts{Open: len(t.conns), Waiting: t.waitingCount}
 	for c := range t.conns {
-		if conn := Of(c); conn != nil && conn.partial.Load() {
+		if conn := ConnOf(c); conn != nil && conn.partial.Load() {
 			counts.Begun++
 		}
 	}
@@ -259,7 +259,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
-		if conn := Of(c); e.state == stateOpen || conn != nil && conn.hasUnanswered() {
+		if conn := ConnOf(c); e.state == stateOpen || conn != nil && conn.hasUnanswered() {
 			n++
 		}
 	}
--- a/internal/engine/backends.go
+++ b/internal/engine/backends.go
@@ -119,6 +119,6 @@
 	})
 	for _, a := range unwritten {
 		e.Transport.GiveUp(a)
-		e.outcome(a, Result{Status: balance.Unused})
+		e.handleResult(a, Result{Status: balance.Unused})
 	}
 }
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -13,7 +13,7 @@
 // request, handled at once or with earlier events still queued. Each order gives one final answer (none after the client
 // left), no retry or refusal of an unsafe request that may have run, and no leftover state.
 func TestSimultaneousEventsInAllOrders(t *testing.T) {
-	events := []string{"answer", "pass on", "reset", "time-out", "shed", "cancel", "gone", "deadline", "drain", "end"}
+	events := []string{"answer", "pass on", "reset", "time-out", "shed by backend", "cancel", "gone", "deadline", "drain", "end"}
 	var walk func(done []string, left int)
 	runs := 0
 	walk = func(done []string, left int) {
@@ -38,7 +38,7 @@
 	}
 }
 
-func runOrder(t *testing.T, class int, written, step bool, order []string) {
+func runOrder(t *testing.T, class int, isWritten, step bool, order []string) {
 	h := newHarness(t)
 	member := func(id, addr string, p balance.Phase) Member {
 		return Member{ID: id, Addr: addr, Member: balance.Member{Weight: 1, Phase: p}}
@@ -50,7 +50,7 @@
 	r := &Request{ID: "x", Class: class, Deadline: h.clock.Add(time.Second), Answered: func(a Answer) { answers++; answer = a }}
 	h.e.Arrive(r)
 	a := h.attempts["x/0"]
-	h.written["x/0"] = written
+	h.written["x/0"] = isWritten
 	for _, event := range order {
 		switch event {
 		case "answer":
@@ -63,7 +63,7 @@
 			a.Done(Result{Status: balance.Dropped})
 		case "time-out":
 			a.Done(Result{Status: balance.Expired})
-		case "shed":
+		case "shed by backend":
 			a.Done(Result{Status: balance.Shed})
 		case "cancel":
 			h.e.Post(func() { h.e.execute(&balance.Action{Kind: balance.Cancel, Request: "x"}) })
@@ -91,12 +91,12 @@
 	}
 	h.clock = h.clock.Add(2 * time.Second)
 	h.e.Step()
-	context := fmt.Sprintf("class %d, written %t, step %t, %v:", class, written, step, order)
+	context := fmt.Sprintf("class %d, written %t, step %t, %v:", class, isWritten, step, order)
 	if total := answers + passedOn; total > 1 || total == 0 && !gone {
 		t.Errorf("%s %d answers, %d passed on, gone %t", context, answers, passedOn, gone)
 	}
 	reported := h.output.String()
-	ran := written && (strings.Contains(reported, "told x/0 dropped") || strings.Contains(reported, "told x/0 expired") ||
+	ran := isWritten && (strings.Contains(reported, "told x/0 dropped") || strings.Contains(reported, "told x/0 expired") ||
 		strings.Contains(reported, "told x/0 revoked"))
 	if ran && class == 1 && (h.attempts["x/1"] != nil || answers > 0 && answer.Kind == Refused) {
 		t.Errorf("%s retried or refused, although it may have run: %s", context, reported)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -42,44 +42,44 @@
 // Run starts.
 type Engine struct {
 	Config
-	loopMu  sync.Mutex
-	done chan struct{} // closed when Run has ended
+	loopMu sync.Mutex
+	done   chan struct{} // closed when Run has ended
 
-	mu    sync.Mutex
-	queue []func() // posted, not yet run
+	mu          sync.Mutex
+	queue       []func() // posted, not yet run
 	urgentQueue []func() // runs before queue
-	ended bool
+	ended       bool
 
-	hasUrgent atomic.Bool   // urgentQueue is not empty
-	wake   chan struct{} // wakes Run
-	nextCheckAt  time.Duration // next time that Run checks the timers; guarded by loopMu
+	hasUrgent   atomic.Bool   // urgentQueue is not empty
+	wake        chan struct{} // wakes Run
+	nextCheckAt time.Duration // next time that Run checks the timers; guarded by loopMu
 	spareQueue  []func()
-	start  time.Time
-	origin time.Duration // value of the clock at start: Unix time, as the start times in endpoint lists
-
-	requests map[string]*Request
-	backends map[string]*backend // by id in the endpoint list
-	byNumber map[balance.BackendID]*backend
-	nextNumber  balance.BackendID // numbers are never reused
-	arrived  uint64
-	answerBy time.Time // zero: the process is not shutting down
-	timers   timers
-	seq      uint64
-
-	events  []balance.Event // queued behind the event in progress
-	busy    bool
-	actions []balance.Action
+	start       time.Time
+	origin      time.Duration // value of the clock at start: Unix time, as the start times in endpoint lists
+
+	requests   map[string]*Request
+	backends   map[string]*backend // by id in the endpoint list
+	byNumber   map[balance.BackendID]*backend
+	nextNumber balance.BackendID // numbers are never reused
+	arrived    uint64
+	answerBy   time.Time // zero: the process is not shutting down
+	timers     timers
+	seq        uint64
+
+	pendingEvents []balance.Event // queued behind the event in progress
+	isHandling    bool
+	actions       []balance.Action
 
 	ready atomic.Bool // at least one backend accepts requests
 }
 
 // backend is a backend of an endpoint list. A removed one stays in the tables while it has outstanding attempts or probes.
 type backend struct {
-	number balance.BackendID
-	id     string
-	endpoint     Endpoint
-	phase  balance.Phase
-	outstanding    int // attempts and probes without an outcome reported to the Balancer
+	number      balance.BackendID
+	id          string
+	endpoint    Endpoint
+	phase       balance.Phase
+	outstanding int // attempts and probes without an outcome reported to the Balancer
 }
 
 // New returns an engine that is ready to run.
@@ -231,7 +231,7 @@
 		e.mu.Lock()
 		e.ended, e.queue, e.urgentQueue = true, nil, nil
 		e.mu.Unlock()
-		e.stopAll() // no timer fires any more
+		e.giveUpAll() // no timer fires any more
 		e.loopMu.Unlock()
 		close(e.done)
 	}()
@@ -285,23 +285,23 @@
 // Handle passes an event to the Balancer and executes the resulting actions. Events caused by these actions are handled
 // in order afterwards. On the loop.
 func (e *Engine) Handle(ev balance.Event) {
-	e.events = append(e.events, ev)
-	if e.busy {
+	e.pendingEvents = append(e.pendingEvents, ev)
+	if e.isHandling {
 		return
 	}
-	e.busy = true
-	for i := 0; i < len(e.events); i++ {
+	e.isHandling = true
+	for i := 0; i < len(e.pendingEvents); i++ {
 		now := e.Clock()
-		e.actions = e.Balancer.Handle(now, e.events[i], e.actions[:0])
+		e.actions = e.Balancer.Handle(now, e.pendingEvents[i], e.actions[:0])
 		if e.Trace != nil {
-			e.Trace(Step{now, &e.events[i], e.actions})
+			e.Trace(Step{now, &e.pendingEvents[i], e.actions})
 		}
 		for j := range e.actions {
 			e.execute(&e.actions[j])
 		}
 	}
-	clear(e.events)
-	e.events, e.busy = e.events[:0], false
+	clear(e.pendingEvents)
+	e.pendingEvents, e.isHandling = e.pendingEvents[:0], false
 }
 
 func (e *Engine) execute(a *balance.Action) {
@@ -317,7 +317,7 @@
 	case balance.Fail:
 		e.finish(e.requests[a.Request], Answer{Kind: Failed})
 	case balance.Probe:
-		e.probe(a.Backend)
+		e.sendProbe(a.Backend)
 	case balance.SetTimer:
 		e.seq++
 		e.timers.push(timer{at: e.Clock() + a.In, seq: e.seq, mark: a.Mark})
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -17,17 +17,17 @@
 
 // randomTransport ends each attempt in a goroutine of its own, after a random time and with a random status.
 type randomTransport struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	executions     map[string]int // executed attempts by request
-	dropped int
+	mu         sync.Mutex
+	rng        *rand.Rand
+	executions map[string]int // executed attempts by request
+	dropped    int
 }
 
 type randomCall struct {
-	mu            sync.Mutex
+	mu                 sync.Mutex
 	hasBegun, isBarred bool
-	stop          chan struct{}
-	stopped       bool
+	stop               chan struct{}
+	stopped            bool
 }
 
 func (x *randomTransport) intN(n int) int {
--- a/internal/engine/repeats_test.go
+++ b/internal/engine/repeats_test.go
@@ -55,21 +55,21 @@
 		"moved":     {ID: "a", Addr: "10.0.0.2:1", Member: balance.Member{Weight: 1}},
 		"restarted": {ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1, Launched: time.Duration(1_799_999_000) * time.Second}},
 	} {
-		for _, written := range []bool{false, true} {
+		for _, isWritten := range []bool{false, true} {
 			h := newHarness(t)
 			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}}})
 			h.fillRetryBudget()
 			r := &Request{ID: "x", Class: 1, Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
 			h.e.Arrive(r)
-			h.written["x/0"] = written
+			h.written["x/0"] = isWritten
 			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{replacement}})
 			h.e.Step()
 			a := h.attempts["x/0"]
-			if a.hasEnded == written {
-				t.Errorf("%s, written %t: over %t", name, written, a.hasEnded)
+			if a.hasEnded == isWritten {
+				t.Errorf("%s, written %t: over %t", name, isWritten, a.hasEnded)
 			}
-			if len(r.Reply) == 0 == !written {
-				t.Errorf("%s, written %t: %d answers", name, written, len(r.Reply))
+			if len(r.Reply) == 0 == !isWritten {
+				t.Errorf("%s, written %t: %d answers", name, isWritten, len(r.Reply))
 			}
 		}
 	}
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -106,7 +106,7 @@
 	r.attempts = append(r.attempts, a)
 	b.outstanding++
 	if b.phase != balance.Ready || r.answerClaimed.Load() || r.stream != nil {
-		e.outcome(a, Result{Status: balance.Unused})
+		e.handleResult(a, Result{Status: balance.Unused})
 		return
 	}
 	if act.Limit > 0 {
@@ -121,8 +121,8 @@
 	e.Transport.Send(a)
 }
 
-// outcome reports the result of an attempt to the Balancer, once. Results after the attempt was given up are ignored.
-func (e *Engine) outcome(a *Attempt, res Result) {
+// handleResult reports the result of an attempt to the Balancer, once. Results after the attempt was given up are ignored.
+func (e *Engine) handleResult(a *Attempt, res Result) {
 	r := a.Request
 	if a.hasEnded {
 		return
@@ -143,8 +143,8 @@
 	}
 }
 
-// delivered is outcome for an answer that the transport itself passes on to the client. won reports whether it may do so.
-func (e *Engine) delivered(a *Attempt, res Result, won bool) {
+// handleDelivered is handleResult for an answer that the transport itself passes on to the client. won reports whether it may do so.
+func (e *Engine) handleDelivered(a *Attempt, res Result, won bool) {
 	r := a.Request
 	wasOpen := !r.answered
 	if won {
@@ -182,8 +182,8 @@
 	e.release(a.backend)
 }
 
-// started records that the client receives the stream of an attempt.
-func (e *Engine) started(a *Attempt) {
+// handleStreamStarted records that the client receives the stream of an attempt.
+func (e *Engine) handleStreamStarted(a *Attempt) {
 	r := a.Request
 	if a.hasEnded || r.answered || r.stream != nil {
 		return
@@ -212,7 +212,7 @@
 		}
 		e.Transport.GiveUp(a)
 	}
-	e.outcome(a, Result{Status: st})
+	e.handleResult(a, Result{Status: st})
 }
 
 // finish sends the final answer to a request and ends its attempts, whose results are of no use any more.
@@ -241,8 +241,8 @@
 	e.forget(r)
 }
 
-// stopAll gives up all outstanding attempts when the engine ends.
-func (e *Engine) stopAll() {
+// giveUpAll gives up all outstanding attempts when the engine ends.
+func (e *Engine) giveUpAll() {
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
 			if !a.hasEnded && a.isSent {
@@ -259,7 +259,7 @@
 	}
 }
 
-func (e *Engine) probe(number balance.BackendID) {
+func (e *Engine) sendProbe(number balance.BackendID) {
 	b := e.byNumber[number]
 	if b == nil {
 		return
--- a/internal/engine/scenario_test.go
+++ b/internal/engine/scenario_test.go
@@ -16,13 +16,13 @@
 
 // harness is an engine with the clock, transport and backends of a scenario.
 type harness struct {
-	t     *testing.T
-	e     *Engine
-	clock time.Time
-	output  strings.Builder
-	attempts   map[string]*Attempt // by request and attempt number
+	t        *testing.T
+	e        *Engine
+	clock    time.Time
+	output   strings.Builder
+	attempts map[string]*Attempt // by request and attempt number
 	written  map[string]bool     // attempts with a first byte written, which can't be prevented
-	requests  map[string]*Request
+	requests map[string]*Request
 	probes   map[Endpoint]func(Result) // outstanding probes
 }
 
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -62,15 +62,15 @@
 	// Answered, if set, receives the final answer instead of Reply. It is called on the loop, by drivers that control the time.
 	Answered func(Answer)
 
-	seq      uint64 // order of arrival
-	attempts []*Attempt
-	firstAttempt    Attempt     // saves an allocation in the usual case of one attempt
-	attemptsBuf     [1]*Attempt // storage of attempts, for the same case
-	answered bool
+	seq           uint64 // order of arrival
+	attempts      []*Attempt
+	firstAttempt  Attempt     // saves an allocation in the usual case of one attempt
+	attemptsBuf   [1]*Attempt // storage of attempts, for the same case
+	answered      bool
 	mayHaveRun    bool        // some attempt may have run
-	lastBody     any         // Result.Body of the last attempt that returned one
-	stream   *Attempt    // the client has received part of its answer: no attempt follows
-	answerClaimed  atomic.Bool // the final answer is chosen, by the loop or by Attempt.Deliver
+	lastBody      any         // Result.Body of the last attempt that returned one
+	stream        *Attempt    // the client has received part of its answer: no attempt follows
+	answerClaimed atomic.Bool // the final answer is chosen, by the loop or by Attempt.Deliver
 }
 
 // Attempt is one copy of a request on its way to a backend.
@@ -82,12 +82,12 @@
 	// State belongs to the transport. The engine never uses it.
 	State any
 
-	engine *Engine
-	number int
-	backend     *backend
+	engine   *Engine
+	number   int
+	backend  *backend
 	sentAt   time.Duration
-	isSent  bool // passed to Transport.Send
-	hasEnded   bool // its outcome was reported
+	isSent   bool // passed to Transport.Send
+	hasEnded bool // its outcome was reported
 }
 
 // Number returns the number of the attempt among those of its request, from 0.
@@ -99,7 +99,7 @@
 
 // Done reports the result of the attempt. Later calls, and calls after the attempt was given up, have no effect.
 func (a *Attempt) Done(res Result) {
-	a.engine.Post(func() { a.engine.outcome(a, res) })
+	a.engine.Post(func() { a.engine.handleResult(a, res) })
 }
 
 // Deliver is Done for an answer that the caller itself can pass to the client, without waiting for the loop. It reports
@@ -107,10 +107,10 @@
 func (a *Attempt) Deliver(res Result) bool {
 	won := a.Request.answerClaimed.CompareAndSwap(false, true)
 	if e := a.engine; e.tryAcquireLoop() {
-		e.delivered(a, res, won)
+		e.handleDelivered(a, res, won)
 		e.releaseLoop()
 	} else {
-		e.Post(func() { e.delivered(a, res, won) })
+		e.Post(func() { e.handleDelivered(a, res, won) })
 	}
 	return won
 }
@@ -118,7 +118,7 @@
 // Started reports that the client receives the stream of this attempt. The request has no further attempt and ends with
 // this one.
 func (a *Attempt) Started() {
-	a.engine.Post(func() { a.engine.started(a) })
+	a.engine.Post(func() { a.engine.handleStreamStarted(a) })
 }
 
 // Answering reports that the backend has begun to answer a stream. From then on the attempt no longer counts as
--- a/internal/handover/disk_test.go
+++ b/internal/handover/disk_test.go
@@ -79,15 +79,15 @@
 	p := open(t, t.TempDir(), "n1")
 	for round := range 3 {
 		var calls []members.Call
-		for i := range callsMost {
-			calls = append(calls, call(fmt.Sprintf("%d-%d", round, i), false, round*callsMost+i+1))
+		for i := range maxCalls {
+			calls = append(calls, call(fmt.Sprintf("%d-%d", round, i), false, round*maxCalls+i+1))
 		}
 		if err := p.Write(calls); err != nil {
 			t.Fatal(err)
 		}
 		p.Read()
 	}
-	if len(p.known) > callsMost {
-		t.Errorf("%d known calls, the limit of the file is %d", len(p.known), callsMost)
+	if len(p.known) > maxCalls {
+		t.Errorf("%d known calls, the limit of the file is %d", len(p.known), maxCalls)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -60,9 +60,9 @@
 
 const (
 	// pollInterval is the interval between checks for the other process and for changed files.
-	lookEvery = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 	// stateVersion is the version of the state file format. The others limit the bytes of the file, its calls and the bytes of an id.
-	stateVersion, stateMost, callsMost, idMost = 1, 8 << 20, 4096, 256
+	stateVersion, maxStateBytes, maxCalls, maxIDBytes = 1, 8 << 20, 4096, 256
 )
 
 // State is the content of the state file, which both processes of a node share.
@@ -86,21 +86,21 @@
 
 	serving, next *os.File
 
-	mu     sync.Mutex
-	has    bool                    // holds the serving lock
-	waits  bool                    // holds the next lock
-	seen   os.FileInfo             // state file when it was last read
-	owed   map[string]members.Call // unwritten calls by backend
-	known  map[string]members.Call // calls in the file when it was last read or written, by backend
-	unread bool                    // a failure to read the state file was logged
+	mu         sync.Mutex
+	isServing  bool                    // holds the serving lock
+	isNext     bool                    // holds the next lock
+	lastRead   os.FileInfo             // state file when it was last read
+	unwritten  map[string]members.Call // unwritten calls by backend
+	known      map[string]members.Call // calls in the file when it was last read or written, by backend
+	readFailed bool                    // a failure to read the state file was logged
 
-	failing atomic.Bool // a failure to write calls was logged
+	writeFailed atomic.Bool // a failure to write calls was logged
 }
 
 // Open becomes the serving process or, if another process is serving, its successor. An unusable folder is an error, because
 // the two processes could not detect each other.
 func Open(dir, node string, log *slog.Logger) (*Place, error) {
-	p := &Place{dir: dir, node: node, log: log, owed: map[string]members.Call{}, known: map[string]members.Call{}}
+	p := &Place{dir: dir, node: node, log: log, unwritten: map[string]members.Call{}, known: map[string]members.Call{}}
 	var err error
 	if p.serving, err = p.open(servingLock); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -109,7 +109,7 @@
 		p.serving.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	p.look()
+	p.tryLocks()
 	return p, nil
 }
 
@@ -119,7 +119,7 @@
 
 // Close tries once more to write unwritten calls and releases the locks.
 func (p *Place) Close() {
-	p.settleOn()
+	p.writePendingLogged()
 	p.serving.Close()
 	p.next.Close()
 }
@@ -128,49 +128,49 @@
 func (p *Place) Follows() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.has
+	return !p.isServing
 }
 
 // Followed reports whether another process waits for this one to end.
 func (p *Place) Followed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.has && taken(p.next)
+	return p.isServing && isLockedByOther(p.next)
 }
 
 // tryLocks acquires free locks and reports whether there is another process.
-func (p *Place) look() bool {
+func (p *Place) tryLocks() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.has {
-		p.has = lock(p.serving, syscall.F_WRLCK, ofdSetLock) == nil
+	if !p.isServing {
+		p.isServing = lock(p.serving, syscall.F_WRLCK, ofdSetLock) == nil
 		switch {
-		case p.has && p.waits:
+		case p.isServing && p.isNext:
 			lock(p.next, syscall.F_UNLCK, ofdSetLock)
-			p.waits = false
-		case !p.has && !p.waits:
-			p.waits = lock(p.next, syscall.F_WRLCK, ofdSetLock) == nil
+			p.isNext = false
+		case !p.isServing && !p.isNext:
+			p.isNext = lock(p.next, syscall.F_WRLCK, ofdSetLock) == nil
 		}
-		return !p.has
+		return !p.isServing
 	}
-	return taken(p.next)
+	return isLockedByOther(p.next)
 }
 
 // Run calls onOther at the start and whenever another process appears or ends, and onCalls with the calls that another process
 // has written. It returns when ctx ends.
 func (p *Place) Run(ctx context.Context, onOther func(bool), onCalls func([]members.Call)) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	var hadOther, reported bool
 	for {
-		if hasOther := p.look(); hasOther != hadOther || !reported {
+		if hasOther := p.tryLocks(); hasOther != hadOther || !reported {
 			hadOther, reported = hasOther, true
 			onOther(hasOther)
 		}
 		if calls := p.Read(); len(calls) > 0 {
 			onCalls(calls)
 		}
-		p.settleOn()
+		p.writePendingLogged()
 		select {
 		case <-ctx.Done():
 			return
@@ -185,19 +185,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info, err := os.Stat(filepath.Join(p.dir, stateFile))
-	if err != nil || p.seen != nil && os.SameFile(info, p.seen) && info.ModTime().Equal(p.seen.ModTime()) && info.Size() == p.seen.Size() {
+	if err != nil || p.lastRead != nil && os.SameFile(info, p.lastRead) && info.ModTime().Equal(p.lastRead.ModTime()) && info.Size() == p.lastRead.Size() {
 		return nil
 	}
 	calls, err := p.load()
-	if err != nil && !p.unread {
+	if err != nil && !p.readFailed {
 		p.log.Warn("can't read the state file shared with the other process; keeping the calls known here", "error", err)
 	}
-	p.unread = err != nil
-	if err == nil || errors.Is(err, errState) {
-		p.seen = info
+	p.readFailed = err != nil
+	if err == nil || errors.Is(err, errInvalidState) {
+		p.lastRead = info
 	}
 	if err == nil {
-		p.know(calls)
+		p.setKnown(calls)
 	}
 	return calls
 }
@@ -218,13 +218,13 @@
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, stateMost+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxStateBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	calls, err := Parse(text, p.node)
 	if err != nil {
-		err = fmt.Errorf("%w: %w", errState, err)
+		err = fmt.Errorf("%w: %w", errInvalidState, err)
 	}
 	return calls, err
 }
@@ -232,8 +232,8 @@
 // Parse decodes and validates a state file of a node.
 func Parse(text []byte, node string) ([]members.Call, error) {
 	var s State
-	if len(text) > stateMost {
-		return nil, fmt.Errorf("%s: larger than %d bytes", stateFile, stateMost)
+	if len(text) > maxStateBytes {
+		return nil, fmt.Errorf("%s: larger than %d bytes", stateFile, maxStateBytes)
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("%s: %w", stateFile, err)
@@ -243,11 +243,11 @@
 		return nil, fmt.Errorf("%s: version %d, expected %d", stateFile, s.Version, stateVersion)
 	case s.Node != node:
 		return nil, fmt.Errorf("%s: written by node %q, expected %q", stateFile, s.Node, node)
-	case len(s.Calls) > callsMost:
-		return nil, fmt.Errorf("%s: more than %d calls", stateFile, callsMost)
+	case len(s.Calls) > maxCalls:
+		return nil, fmt.Errorf("%s: more than %d calls", stateFile, maxCalls)
 	}
 	for _, c := range s.Calls {
-		if c.ID == "" || len(c.ID) > idMost || c.At <= 0 || c.Back < 0 || c.Back > c.At {
+		if c.ID == "" || len(c.ID) > maxIDBytes || c.At <= 0 || c.Back < 0 || c.Back > c.At {
 			return nil, fmt.Errorf("%s: invalid call: %q at %d", stateFile, c.ID, c.At)
 		}
 	}
@@ -267,7 +267,7 @@
 	}
 	stored, err := p.load()
 	switch {
-	case errors.Is(err, errState):
+	case errors.Is(err, errInvalidState):
 		p.log.Warn("the state file shared with the other process is invalid; overwriting it", "error", err)
 	case err != nil:
 		return err // overwriting the file would lose its calls
@@ -283,7 +283,7 @@
 		state.Calls = append(state.Calls, c)
 	}
 	slices.SortFunc(state.Calls, func(x, y members.Call) int { return cmp.Compare(x.ID, y.ID) })
-	for len(state.Calls) > callsMost { // the oldest call on a backend in service is the least useful
+	for len(state.Calls) > maxCalls { // the oldest call on a backend in service is the least useful
 		oldest := -1
 		for i, c := range state.Calls {
 			if !c.Out && (oldest < 0 || c.At < state.Calls[oldest].At) {
@@ -291,7 +291,7 @@
 			}
 		}
 		if oldest < 0 {
-			return fmt.Errorf("%s: more than %d backends are out of service", stateFile, callsMost)
+			return fmt.Errorf("%s: more than %d backends are out of service", stateFile, maxCalls)
 		}
 		state.Calls = slices.Delete(state.Calls, oldest, oldest+1)
 	}
@@ -299,17 +299,17 @@
 	if err != nil {
 		return err
 	}
-	if err := p.replace(stateFile, text); err != nil {
+	if err := p.replaceFile(stateFile, text); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.know(state.Calls)
+	p.setKnown(state.Calls)
 	return nil
 }
 
 // setKnown replaces the known calls by those of the file. It keeps no others, so they are bounded as the file is. It requires mu.
-func (p *Place) know(calls []members.Call) {
+func (p *Place) setKnown(calls []members.Call) {
 	clear(p.known)
 	for _, c := range calls {
 		p.known[c.ID] = c
@@ -317,7 +317,7 @@
 }
 
 // maxLearnedAge is the age up to which a successor uses the learned state of its predecessor.
-const learnedAge = 5 * time.Second
+const maxLearnedAge = 5 * time.Second
 
 // Learned is the learned state of a process, which its successor starts from.
 type Learned struct {
@@ -335,7 +335,7 @@
 	if err != nil {
 		return err
 	}
-	return p.replace(learnedFile, text)
+	return p.replaceFile(learnedFile, text)
 }
 
 // ReadLearned returns the learned state of the predecessor. It reports false unless that was written at since or later and is at
@@ -346,12 +346,12 @@
 		return Learned{}, false
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, stateMost))
+	text, err := io.ReadAll(io.LimitReader(f, maxStateBytes))
 	var l Learned
 	if err != nil || json.Unmarshal(text, &l) != nil || l.Version != stateVersion || l.Node != p.node {
 		return Learned{}, false
 	}
-	return l, l.At >= since && l.At <= now && now-l.At <= learnedAge
+	return l, l.At >= since && l.At <= now && now-l.At <= maxLearnedAge
 }
 
 // fcntl(2) commands for locks of open file descriptions. Package syscall does not define them.
@@ -364,7 +364,7 @@
 }
 
 // isLockedByOther reports whether another open file description holds a lock on the file.
-func taken(f *os.File) bool {
+func isLockedByOther(f *os.File) bool {
 	l := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
 	err := control(f, func(fd uintptr) error { return syscall.FcntlFlock(fd, ofdGetLock, &l) })
 	return err == nil && l.Type != syscall.F_UNLCK
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -43,7 +43,7 @@
 	}
 	second = open(t, dir, "n1")
 	first.Close()
-	if second.look() || second.Follows() {
+	if second.tryLocks() || second.Follows() {
 		t.Fatal("the successor did not become the only process")
 	}
 	if third := open(t, dir, "n1"); !third.Follows() || !second.Followed() {
@@ -95,7 +95,7 @@
 		"no id":   `{"version":1,"node":"n1","calls":[{"out":true,"at":5}]}`,
 		"no time": `{"version":1,"node":"n1","calls":[{"id":"a","out":true}]}`,
 		"back":    `{"version":1,"node":"n1","calls":[{"id":"a","out":true,"at":5,"back":6}]}`,
-		"long id": `{"version":1,"node":"n1","calls":[{"id":"` + strings.Repeat("a", idMost+1) + `","out":true,"at":5}]}`,
+		"long id": `{"version":1,"node":"n1","calls":[{"id":"` + strings.Repeat("a", maxIDBytes+1) + `","out":true,"at":5}]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -119,7 +119,7 @@
 func TestFullStateKeepsCallsThatTakeBackendsOut(t *testing.T) {
 	p := open(t, t.TempDir(), "n1")
 	var calls []members.Call
-	for i := range callsMost + 10 {
+	for i := range maxCalls + 10 {
 		calls = append(calls, call(fmt.Sprint(i), i < 10, i+1))
 	}
 	if err := p.Write(calls); err != nil {
@@ -131,7 +131,7 @@
 			out++
 		}
 	}
-	if len(got) != callsMost || out != 10 {
+	if len(got) != maxCalls || out != 10 {
 		t.Errorf("%d calls, %d out", len(got), out)
 	}
 }
@@ -147,7 +147,7 @@
 		since, now time.Duration
 		want       bool
 	}{{9 * time.Second, 11 * time.Second, true}, {10*time.Second + 1, 11 * time.Second, false},
-		{0, 10*time.Second + learnedAge + 1, false}, {0, 9 * time.Second, false}} {
+		{0, 10*time.Second + maxLearnedAge + 1, false}, {0, 9 * time.Second, false}} {
 		if got, ok := p.ReadLearned(tc.since, tc.now); ok != tc.want || ok && got.Balance.Answers != 3 {
 			t.Errorf("since %v, now %v: used %t", tc.since, tc.now, ok)
 		}
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -15,33 +15,33 @@
 // This file writes calls to the state file and retries while the disk fails. An accepted call applies to the successor too, so an
 // unwritten call is kept until it is written.
 
-// errState marks a readable state file with invalid content. Overwriting it loses nothing that could be used.
-var errState = errors.New("not a state file of this node")
+// errInvalidState marks a readable state file with invalid content. Overwriting it loses nothing that could be used.
+var errInvalidState = errors.New("not a state file of this node")
 
 // Persist writes calls to the state file and retries until ctx ends. Run continues to retry calls that are still unwritten.
 func (p *Place) Persist(ctx context.Context, calls []members.Call) error {
 	p.mu.Lock()
 	for _, c := range calls {
-		p.owed[c.ID] = later(p.owed[c.ID], c)
+		p.unwritten[c.ID] = later(p.unwritten[c.ID], c)
 	}
 	p.mu.Unlock()
 	for {
-		err := p.settle()
+		err := p.writePending()
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // writePending writes the unwritten calls, if there are any.
-func (p *Place) settle() error {
+func (p *Place) writePending() error {
 	p.mu.Lock()
-	pending := maps.Clone(p.owed)
+	pending := maps.Clone(p.unwritten)
 	p.mu.Unlock()
 	if len(pending) == 0 {
 		return nil
@@ -52,17 +52,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range pending {
-		if p.owed[id] == c {
-			delete(p.owed, id)
+		if p.unwritten[id] == c {
+			delete(p.unwritten, id)
 		}
 	}
 	return nil
 }
 
 // writePendingLogged is writePending with a log line when it starts to fail and when it succeeds again.
-func (p *Place) settleOn() {
-	err := p.settle()
-	failed := p.failing.Swap(err != nil)
+func (p *Place) writePendingLogged() {
+	err := p.writePending()
+	failed := p.writeFailed.Swap(err != nil)
 	switch {
 	case err != nil && !failed:
 		p.log.Error("can't write calls on backends to the state file, so another process does not get them; retrying: check the disk",
@@ -82,7 +82,7 @@
 
 // replaceFile replaces a file and returns when the new one is on disk. If it fails or the process is killed at any point, the old or
 // the new file is left complete.
-func (p *Place) replace(name string, text []byte) error {
+func (p *Place) replaceFile(name string, text []byte) error {
 	name = filepath.Join(p.dir, name)
 	f, err := openFile(name+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/lograte/lograte.go
+++ b/internal/lograte/lograte.go
@@ -11,7 +11,7 @@
 )
 
 // defaultInterval is the minimum interval between two lines if Every is 0.
-const complainEvery = time.Second
+const defaultInterval = time.Second
 
 // Limited logs lines at a limited rate, because input from outside must not fill the log. Use one for each kind of line.
 type Limited struct {
@@ -19,26 +19,26 @@
 	Every time.Duration // minimum interval between two lines; 0: one second
 
 	mu      sync.Mutex
-	at      time.Time
+	lastAt  time.Time
 	skipped int
 }
 
 // Warn logs a warning, or counts it as skipped if the last line was logged less than Every ago.
-func (l *Limited) Warn(msg string, args ...any) { l.line(slog.LevelWarn, msg, args) }
+func (l *Limited) Warn(msg string, args ...any) { l.logLine(slog.LevelWarn, msg, args) }
 
 // Info is Warn with level Info.
-func (l *Limited) Info(msg string, args ...any) { l.line(slog.LevelInfo, msg, args) }
+func (l *Limited) Info(msg string, args ...any) { l.logLine(slog.LevelInfo, msg, args) }
 
-func (l *Limited) line(level slog.Level, msg string, args []any) {
+func (l *Limited) logLine(level slog.Level, msg string, args []any) {
 	l.mu.Lock()
 	now := time.Now()
-	if now.Sub(l.at) < cmp.Or(l.Every, complainEvery) {
+	if now.Sub(l.lastAt) < cmp.Or(l.Every, defaultInterval) {
 		l.skipped++
 		l.mu.Unlock()
 		return
 	}
 	skipped := l.skipped
-	l.at, l.skipped = now, 0
+	l.lastAt, l.skipped = now, 0
 	l.mu.Unlock()
 	l.Log.Log(context.Background(), level, msg, append(args, "skipped", skipped)...)
 }
--- a/internal/lograte/writer.go
+++ b/internal/lograte/writer.go
@@ -13,18 +13,18 @@
 	to   io.Writer
 	most int
 
-	mu      sync.Mutex
-	some    sync.Cond
-	pending []byte
-	dropped int
-	ended   bool
-	idle    chan struct{} // closed when the Writer has ended and everything is written
+	mu       sync.Mutex
+	notEmpty sync.Cond
+	pending  []byte
+	dropped  int
+	closed   bool
+	done     chan struct{} // closed when the Writer has ended and everything is written
 }
 
 // NewWriter returns a running Writer with a buffer of maxBytes.
 func NewWriter(to io.Writer, maxBytes int) *Writer {
-	w := &Writer{to: to, most: maxBytes, idle: make(chan struct{})}
-	w.some.L = &w.mu
+	w := &Writer{to: to, most: maxBytes, done: make(chan struct{})}
+	w.notEmpty.L = &w.mu
 	go w.run()
 	return w
 }
@@ -34,25 +34,25 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	// After a dropped line, all are dropped until the next batch. So the line with their number is where they are missing.
-	if w.dropped > 0 || len(w.pending)+len(line) > w.most || w.ended {
+	if w.dropped > 0 || len(w.pending)+len(line) > w.most || w.closed {
 		w.dropped++
 		return len(line), nil
 	}
 	w.pending = append(w.pending, line...)
-	w.some.Signal()
+	w.notEmpty.Signal()
 	return len(line), nil
 }
 
 func (w *Writer) run() {
-	defer close(w.idle)
+	defer close(w.done)
 	var batch []byte
 	for {
 		w.mu.Lock()
-		for len(w.pending) == 0 && w.dropped == 0 && !w.ended {
-			w.some.Wait()
+		for len(w.pending) == 0 && w.dropped == 0 && !w.closed {
+			w.notEmpty.Wait()
 		}
 		batch, w.pending = w.pending, batch[:0]
-		dropped, ended := w.dropped, w.ended
+		dropped, ended := w.dropped, w.closed
 		w.dropped = 0
 		w.mu.Unlock()
 		if dropped > 0 {
@@ -69,13 +69,13 @@
 // Close drops further lines and waits until everything is written, for at most timeout.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
-	w.ended = true
-	w.some.Signal()
+	w.closed = true
+	w.notEmpty.Signal()
 	w.mu.Unlock()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-w.idle:
+	case <-w.done:
 	case <-timer.C:
 	}
 }
--- a/internal/lograte/writer_test.go
+++ b/internal/lograte/writer_test.go
@@ -11,13 +11,13 @@
 )
 
 // blockedWriter blocks each write until unblock is closed.
-type slow struct {
-	let chan struct{}
+type blockedWriter struct {
+	unblock chan struct{}
 	bytes.Buffer
 }
 
-func (s *slow) Write(b []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(b []byte) (int, error) {
+	<-s.unblock
 	return s.Buffer.Write(b)
 }
 
@@ -25,7 +25,7 @@
 // others must be complete and in order.
 func TestLoggingDoesNotWaitForReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		to := &slow{let: make(chan struct{})}
+		to := &blockedWriter{unblock: make(chan struct{})}
 		w := NewWriter(to, 1000)
 		for i := range 500 {
 			fmt.Fprintf(w, "line %03d\n", i)
@@ -35,8 +35,8 @@
 		if d := time.Since(start); d != 50*time.Millisecond {
 			t.Errorf("Close waited %v for a log that is not read", d)
 		}
-		close(to.let)
-		<-w.idle
+		close(to.unblock)
+		<-w.done
 		// The first batch may start before, between or after these lines. Each line is either written or counted where it is missing.
 		next, written := 0, 0
 		for line := range strings.Lines(to.String()) {
--- a/internal/settings/adopt.go
+++ b/internal/settings/adopt.go
@@ -32,7 +32,7 @@
 		if !ok {
 			return "."
 		}
-		required := common(old)
+		required := commonKeys(old)
 		for i, value := range next {
 			if path := Missing(required, value); len(required) > 0 && path != "" {
 				return fmt.Sprintf("[%d]%s", i, path)
@@ -43,7 +43,7 @@
 }
 
 // commonKeys returns the keys that all objects of a list have, with the values of the first object.
-func common(list []any) map[string]any {
+func commonKeys(list []any) map[string]any {
 	var shared map[string]any
 	for i, value := range list {
 		object, _ := value.(map[string]any)
--- a/internal/settings/adopt_test.go
+++ b/internal/settings/adopt_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func with(attempts int, classes ...string) Settings {
+func newSettings(attempts int, classes ...string) Settings {
 	s := Settings{}
 	for _, name := range classes {
 		s.Classes = append(s.Classes, name)
@@ -47,15 +47,15 @@
 // free. Numbers are reused, so any number of reloads needs bounded memory.
 func TestAdoptKeepsClassNumbers(t *testing.T) {
 	never, always := func(int) bool { return false }, func(int) bool { return true }
-	s := with(3, "a", "b").Adopt(with(2, "c", "a"), never)
+	s := newSettings(3, "a", "b").Adopt(newSettings(2, "c", "a"), never)
 	if s.Class("a") != 0 || s.Class("b") != -1 || s.Class("c") != 2 || s.Config.Limits.MaxAttempts != 2 {
 		t.Fatalf("%v %+v", s.Classes, s.Config)
 	}
-	if s = s.Adopt(with(2, "b"), never); s.Class("b") != 1 || s.Class("a") != -1 {
+	if s = s.Adopt(newSettings(2, "b"), never); s.Class("b") != 1 || s.Class("a") != -1 {
 		t.Fatalf("after a class was listed again: %v", s.Classes)
 	}
 	for i := range 100 {
-		s = s.Adopt(with(2, strings.Repeat("x", i+1)), always)
+		s = s.Adopt(newSettings(2, strings.Repeat("x", i+1)), always)
 	}
 	if len(s.Classes) > 4 {
 		t.Errorf("%d numbers after 100 files", len(s.Classes))
@@ -64,18 +64,18 @@
 
 // A reload must not drop a deadline or a limit on attempts that the file in use sets, and must not load invalid names.
 func TestCheckInServiceRejectsWorseSettings(t *testing.T) {
-	if err := with(1, "a", "b").CheckInService(with(1, "a")); err != nil {
+	if err := newSettings(1, "a", "b").CheckInService(newSettings(1, "a")); err != nil {
 		t.Fatal(err)
 	}
-	if err := with(0, "a").CheckInService(with(0, "a")); err != nil {
+	if err := newSettings(0, "a").CheckInService(newSettings(0, "a")); err != nil {
 		t.Errorf("default attempts as before: %v", err)
 	}
-	noDeadline := with(1, "a", "b")
+	noDeadline := newSettings(1, "a", "b")
 	noDeadline.Config.Classes[1].Deadline = 0
 	for want, s := range map[string]Settings{
-		"maxAttempts": with(0, "a"), "twice": with(1, "a", "a"), "empty": with(1, ""), "classes[1].deadline": noDeadline,
+		"maxAttempts": newSettings(0, "a"), "twice": newSettings(1, "a", "a"), "empty": newSettings(1, ""), "classes[1].deadline": noDeadline,
 	} {
-		if err := s.CheckInService(with(1, "a")); err == nil || !strings.Contains(err.Error(), want) {
+		if err := s.CheckInService(newSettings(1, "a")); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,11 +28,11 @@
 
 // Parse decodes a settings object. Unknown keys are ignored, and duplicate keys are errors.
 func Parse(text []byte) (Settings, error) {
-	var c conf
+	var c jsonSettings
 	if err := json.Unmarshal(text, &c); err != nil {
 		return Settings{}, err
 	}
-	if err := once(json.NewDecoder(bytes.NewReader(text)), ""); err != nil {
+	if err := checkDuplicates(json.NewDecoder(bytes.NewReader(text)), ""); err != nil {
 		return Settings{}, err
 	}
 	cfg, err := c.config()
@@ -47,7 +47,7 @@
 }
 
 // jsonSettings is the settings object in its JSON form.
-type conf struct {
+type jsonSettings struct {
 	NInstances int `json:"nInstances"`
 	Index      int `json:"index"`
 	Zone       int `json:"zone"`
@@ -138,7 +138,7 @@
 
 // check returns an error for the first invalid value, even if the Balancer doesn't use it. The error has the key, the value and the
 // remedy.
-func (c *conf) check() error {
+func (c *jsonSettings) check() error {
 	l, p := c.Limits, c.Prices
 	for _, k := range []struct {
 		path, what string
@@ -210,7 +210,7 @@
 }
 
 // checkDuplicates returns an error for the first duplicate key of an object, at any depth. It would be ambiguous which value applies.
-func once(d *json.Decoder, parent string) error {
+func checkDuplicates(d *json.Decoder, parent string) error {
 	t, err := d.Token()
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 			}
 			seen[name] = true
 		}
-		if err := once(d, path); err != nil {
+		if err := checkDuplicates(d, path); err != nil {
 			return err
 		}
 	}
@@ -240,13 +240,13 @@
 }
 
 // maxDuration limits each duration in the settings, so that sums don't overflow. No process runs for as long.
-const longest = 365 * 24 * time.Hour
+const maxDuration = 365 * 24 * time.Hour
 
 // limitDuration returns a duration in nanoseconds, at most maxDuration.
-func span(ns int64) time.Duration { return min(time.Duration(ns), longest) }
+func limitDuration(ns int64) time.Duration { return min(time.Duration(ns), maxDuration) }
 
 // config converts the settings to a balance.Config. It returns the first error.
-func (c *conf) config() (balance.Config, error) {
+func (c *jsonSettings) config() (balance.Config, error) {
 	firstErr := c.check()
 	indexOf := func(what, s string, names ...string) int {
 		for i, n := range names {
@@ -266,7 +266,7 @@
 		AskDiscovery: indexOf("membershipMode", c.MembershipMode, "push", "ask") == 1,
 		Reports:      balance.ReportSource(indexOf("loadReport.source", c.LoadReport.Source, "off", "on_probe", "inline")),
 		Weights:      balance.WeightKind(indexOf("weightKind", c.WeightKind, "off", "nominal", "rough", "live")),
-		Tick:         span(c.Tick), PassesDeadline: c.Domain.PassesDeadline, Stage: c.Stage,
+		Tick:         limitDuration(c.Tick), PassesDeadline: c.Domain.PassesDeadline, Stage: c.Stage,
 	}
 	for i, name := range LoadNames {
 		if slices.Contains(c.LoadReport.Columns, name) {
@@ -276,10 +276,10 @@
 	for i, k := range c.Classes {
 		path := fmt.Sprintf("classes[%d].", i)
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Aim: span(k.Aim), AimStretch: k.AimStretch, Deadline: span(k.Deadline),
+			Aim: limitDuration(k.Aim), AimStretch: k.AimStretch, Deadline: limitDuration(k.Deadline),
 			Effect: balance.Effect(indexOf(path+"effect", k.Effect, "side_effect", "token", "pure")),
 			Scope:  balance.Scope(indexOf(path+"keyScope", k.KeyScope, "cell", "zone", "all")),
-			Window: span(k.Window), LateWorth: k.LateWorth, Points: k.Points, Stream: k.Stream,
+			Window: limitDuration(k.Window), LateWorth: k.LateWorth, Points: k.Points, Stream: k.Stream,
 		})
 	}
 	for _, t := range c.Tenants {
@@ -288,8 +288,8 @@
 	l, p, o := c.Limits, c.Prices, c.Obligations
 	cfg.Limits = balance.Limits{
 		Cancelling: l.Cancelling, Probing: l.Probing, Peers: l.Peers, SecondCopies: l.SecondCopies,
-		RetryAfter: l.RetryAfter, MaxAttempts: l.MaxAttempts, MaxRetryAfter: span(l.MaxRetryAfter),
-		ConnectTimeout: span(l.ConnectTimeout), IdleClose: span(l.IdleClose),
+		RetryAfter: l.RetryAfter, MaxAttempts: l.MaxAttempts, MaxRetryAfter: limitDuration(l.MaxRetryAfter),
+		ConnectTimeout: limitDuration(l.ConnectTimeout), IdleClose: limitDuration(l.IdleClose),
 		StreamsPerConn: l.StreamsPerConn, MaxOpen: l.MaxOpen,
 		CPUPerSecond:  time.Duration(l.CPUPerSecond * float64(time.Microsecond)),
 		CPUPerRequest: time.Duration(l.CPUPerRequest * float64(time.Microsecond)),
@@ -298,9 +298,9 @@
 		Probe: p.Probe, Peer: p.Peer, Handshake: p.Handshake,
 		Connection: p.Connection, Discovery: p.Discovery}
 	cfg.Rules = balance.Rules{
-		GraceToAnswer: span(o.GraceToAnswer), DrainGrace: span(o.DrainGrace),
-		AskEvery: span(o.AskEvery), ColdShare: o.ColdShare, WarmWithin: span(o.WarmWithin),
-		FallMultiple: o.FallMultiple, OverloadFor: span(o.OverloadFor),
+		GraceToAnswer: limitDuration(o.GraceToAnswer), DrainGrace: limitDuration(o.DrainGrace),
+		AskEvery: limitDuration(o.AskEvery), ColdShare: o.ColdShare, WarmWithin: limitDuration(o.WarmWithin),
+		FallMultiple: o.FallMultiple, OverloadFor: limitDuration(o.OverloadFor),
 	}
 	cfg.Goal = balance.Goal{Whole: c.Goal.Whole, WorstClass: c.Goal.WorstClass,
 		WorstTenant: c.Goal.WorstTenant, WorstWindow: c.Goal.WorstWindow}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-const sound = `{"nInstances":2,"index":1,"zone":1,"zones":["a","b"],"tiers":["t"],
+const validSettings = `{"nInstances":2,"index":1,"zone":1,"zones":["a","b"],"tiers":["t"],
  "classes":[{"name":"x","deadline":5,"effect":"token","keyScope":"zone","window":3},{"name":"y"}],
  "tenants":[{"name":"p","quotaPerS":2,"share":0.5},{"name":"q"}],"limits":{"maxAttempts":4,"idleClose":7},
  "obligations":{"coldShare":0.1,"fallMultiple":3,"drainGrace":5},"prices":{"probe":0.1},"loadReport":{"columns":["cpu"]}}`
@@ -54,7 +54,7 @@
 // Invalid or ambiguous settings would make a node decide wrongly. They are rejected with one line that has the key, the value and
 // the remedy.
 func TestInvalidSettingsAreRejected(t *testing.T) {
-	if s, err := Parse([]byte(sound)); err != nil || s.Check() != nil {
+	if s, err := Parse([]byte(validSettings)); err != nil || s.Check() != nil {
 		t.Fatal(err, s.Check())
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -86,12 +86,12 @@
 		{`"columns"`, `"source":"there","columns"`, `loadReport.source: "there" is not known: give`},
 		{`"index"`, `"membershipMode":"pull","index"`, `membershipMode: "pull" is not known: give`},
 	} {
-		text := strings.Replace(sound, c.old, c.new, 1)
+		text := strings.Replace(validSettings, c.old, c.new, 1)
 		s, err := Parse([]byte(text))
 		if err == nil {
 			err = s.Check()
 		}
-		if text == sound || err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if text == validSettings || err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want a line with %q", c.new, err, c.want)
 		}
 	}
@@ -100,12 +100,12 @@
 // Zones are compared by number only. So a zone may have an empty name, two may share one, and there may be none.
 func TestZoneNamesMayBeEmptyOrEqual(t *testing.T) {
 	for _, c := range []struct{ zones, zone string }{{`[""]`, "0"}, {`[]`, "0"}, {`["a","a"]`, "1"}, {`["","b"]`, "1"}} {
-		text := strings.Replace(strings.Replace(sound, `["a","b"]`, c.zones, 1), `"zone":1`, `"zone":`+c.zone, 1)
+		text := strings.Replace(strings.Replace(validSettings, `["a","b"]`, c.zones, 1), `"zone":1`, `"zone":`+c.zone, 1)
 		s, err := Parse([]byte(text))
 		if err == nil {
 			err = s.Check()
 		}
-		if text == sound || err != nil {
+		if text == validSettings || err != nil {
 			t.Errorf("zones %s: %v", c.zones, err)
 		}
 	}
--- a/internal/sock/interrupted_test.go
+++ b/internal/sock/interrupted_test.go
@@ -13,7 +13,7 @@
 // A signal can interrupt recv(2) and poll(2) (EINTR). If that counted as a result, a connection would look closed or empty. The call
 // must be repeated.
 func TestInterruptedCallsAreRepeated(t *testing.T) {
-	near, far := pair(t)
+	near, far := tcpPair(t)
 	realRecvfrom, realPoll := recvfrom, poll
 	t.Cleanup(func() { recvfrom, poll = realRecvfrom, realPoll })
 	interruptions := 0
--- a/internal/sock/moment.go
+++ b/internal/sock/moment.go
@@ -9,16 +9,16 @@
 
 // localErrors are the errors of socket(2), bind(2) and connect(2) when this machine lacks a resource. They don't concern the other
 // side.
-var localFailures = []error{syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+var localErrors = []error{syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
 // temporaryErrors are further errors of these calls, which may end when the network or the use of an address changes.
-var momentaryFailures = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EADDRINUSE, syscall.EINTR}
+var temporaryErrors = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EADDRINUSE, syscall.EINTR}
 
 // LocalFailure reports whether a system call failed because this machine lacks a resource such as descriptors, ports or memory.
-func LocalFailure(err error) bool { return isAny(err, localFailures) }
+func LocalFailure(err error) bool { return isAny(err, localErrors) }
 
 // IsTemporary reports whether a failed system call may succeed if it is repeated.
-func Momentary(err error) bool { return LocalFailure(err) || isAny(err, momentaryFailures) }
+func IsTemporary(err error) bool { return LocalFailure(err) || isAny(err, temporaryErrors) }
 
 func isAny(err error, targets []error) bool {
 	for _, target := range targets {
@@ -30,13 +30,13 @@
 }
 
 // The pause before a retry doubles from minRetryPause to maxRetryPause.
-const retryLeast, retryMost = time.Millisecond, 50 * time.Millisecond
+const minRetryPause, maxRetryPause = time.Millisecond, 50 * time.Millisecond
 
 // Retry calls try until it succeeds, its error is not temporary (IsTemporary) or ctx ends. It returns the last error of try.
 func Retry(ctx context.Context, try func() error) error {
-	for pause := retryLeast; ; pause = min(2*pause, retryMost) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		err := try()
-		if err == nil || !Momentary(err) {
+		if err == nil || !IsTemporary(err) {
 			return err
 		}
 		timer := time.NewTimer(pause)
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -8,8 +8,8 @@
 	"glencart/internal/standin"
 )
 
-// pair returns both ends of a TCP connection.
-func pair(t testing.TB) (near, far *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 		"we have ended, it closes": {func(c *net.TCPConn) { c.Close() }, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			if tc.unread > 0 {
 				far.Write(make([]byte, tc.unread))
 				standin.Eventually(t, "unread bytes", func() bool { n, _ := Peek(near); return n > 0 })
@@ -73,7 +73,7 @@
 
 // If the state of a connection is unknown, its request must be served, so it doesn't count as gone.
 func TestUnknownStateIsNotGone(t *testing.T) {
-	near, far := pair(t)
+	near, far := tcpPair(t)
 	far.Close()
 	standin.Eventually(t, "gone", func() bool { return Gone(near) })
 	if Gone(struct{ net.Conn }{near}) {
@@ -92,7 +92,7 @@
 
 // BenchmarkGone measures the check before each attempt.
 func BenchmarkGone(b *testing.B) {
-	near, _ := pair(b)
+	near, _ := tcpPair(b)
 	near.SetDeadline(time.Time{})
 	for b.Loop() {
 		Gone(near)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -159,7 +159,7 @@
 	for range n {
 		s, err := r.readLine()
 		if err != nil {
-			f.fail("elements", fmt.Sprintf("expected %d entries, found %d", n, len(list)))
+			f.setError("elements", fmt.Sprintf("expected %d entries, found %d", n, len(list)))
 			return nil
 		}
 		e, err := split(s, r.line)
@@ -199,11 +199,11 @@
 
 // fields are the fields of one line. err is the first error.
 type fields struct {
-	line  int
-	name  string
-	kv    []field
-	loose bool // missing fields are zero
-	err   error
+	line         int
+	name         string
+	pairs        []field
+	allowMissing bool // missing fields are zero
+	err          error
 }
 
 type field struct{ key, value string }
@@ -211,7 +211,7 @@
 // split splits a line at its spaces. A text field extends to the end of the line.
 func split(s string, line int) (*fields, error) {
 	name, remaining, more := strings.Cut(s, " ")
-	f := &fields{line: line, name: name, kv: make([]field, 0, 12)}
+	f := &fields{line: line, name: name, pairs: make([]field, 0, 12)}
 	if name == "" || strings.Contains(name, "=") {
 		return nil, fmt.Errorf("line %d: no message name", line)
 	}
@@ -229,20 +229,20 @@
 		if f.has(key) {
 			return nil, fmt.Errorf("line %d: %s: field %s given twice", line, name, key)
 		}
-		f.kv = append(f.kv, field{key, value})
+		f.pairs = append(f.pairs, field{key, value})
 	}
 	return f, nil
 }
 
-func (f *fields) fail(key, why string) {
+func (f *fields) setError(key, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("line %d: %s: field %s: %s", f.line, f.name, key, why)
 	}
 }
 
 func (f *fields) has(key string) bool {
-	for i := range f.kv {
-		if f.kv[i].key == key {
+	for i := range f.pairs {
+		if f.pairs[i].key == key {
 			return true
 		}
 	}
@@ -251,20 +251,20 @@
 
 // optional runs read. Fields that are missing meanwhile are zero and no error.
 func (f *fields) optional(read func()) {
-	f.loose = true
+	f.allowMissing = true
 	read()
-	f.loose = false
+	f.allowMissing = false
 }
 
 // get returns the value of a field. ok is false if the field is missing.
 func (f *fields) get(key string) (value string, ok bool) {
-	for i := range f.kv {
-		if f.kv[i].key == key {
-			return f.kv[i].value, true
+	for i := range f.pairs {
+		if f.pairs[i].key == key {
+			return f.pairs[i].value, true
 		}
 	}
-	if !f.loose {
-		f.fail(key, "missing")
+	if !f.allowMissing {
+		f.setError(key, "missing")
 	}
 	return "", false
 }
@@ -272,7 +272,7 @@
 func (f *fields) text(key string) string {
 	s, ok := f.get(key)
 	if ok && s == "" {
-		f.fail(key, "empty")
+		f.setError(key, "empty")
 	}
 	return s
 }
@@ -284,7 +284,7 @@
 	}
 	v, err := strconv.ParseUint(s, 10, 64)
 	if err != nil || v > maxValue {
-		f.fail(key, fmt.Sprintf("%q is not a whole number up to %d", s, maxValue))
+		f.setError(key, fmt.Sprintf("%q is not a whole number up to %d", s, maxValue))
 		return 0
 	}
 	return v
@@ -312,7 +312,7 @@
 func (f *fields) parseNumber(key, s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(key, fmt.Sprintf("%q is not a number", s))
+		f.setError(key, fmt.Sprintf("%q is not a number", s))
 		return 0
 	}
 	return v
@@ -328,7 +328,7 @@
 			return i
 		}
 	}
-	f.fail(key, fmt.Sprintf("%q is not one of %s", s, strings.Join(names, ", ")))
+	f.setError(key, fmt.Sprintf("%q is not one of %s", s, strings.Join(names, ", ")))
 	return 0
 }
 
@@ -341,7 +341,7 @@
 	}
 	b, err := base64.StdEncoding.Strict().DecodeString(s)
 	if err != nil {
-		f.fail(key, "not base64")
+		f.setError(key, "not base64")
 	}
 	return b
 }
@@ -360,7 +360,7 @@
 	for _, pair := range strings.Split(s, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		if !ok {
-			f.fail("load", fmt.Sprintf("%q is not name:value", pair))
+			f.setError("load", fmt.Sprintf("%q is not name:value", pair))
 			return l
 		}
 		for i, n := range settings.LoadNames {
@@ -381,7 +381,7 @@
 	}
 	parsed, err := settings.Parse([]byte(s))
 	if err != nil {
-		f.fail(key, err.Error())
+		f.setError(key, err.Error())
 	}
 	return parsed.Config
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"glencart/balance"
 )
 
-func read(t testing.TB, text string) ([]Message, error) {
+func readAll(t testing.TB, text string) ([]Message, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader(text))
 	var messages []Message
@@ -27,9 +27,9 @@
 	}
 }
 
-func one(t testing.TB, line string) Message {
+func readOne(t testing.TB, line string) Message {
 	t.Helper()
-	ms, err := read(t, line+"\n")
+	ms, err := readAll(t, line+"\n")
 	if err != nil || len(ms) != 1 {
 		t.Fatalf("%s: %d messages, %v", line, len(ms), err)
 	}
@@ -58,7 +58,7 @@
 			Kind: balance.Outcome, Request: id, Spent: 18500 * time.Microsecond, Backend: 51530247, NoMore: true,
 			Status: balance.Dropped},
 	} {
-		m := one(t, line)
+		m := readOne(t, line)
 		if m.Kind != Happened || m.Node != "node_3" || !reflect.DeepEqual(m.Event, want) {
 			t.Errorf("%s\n got %+v\nwant %+v", line, m.Event, want)
 		}
@@ -68,7 +68,7 @@
 // A wrong status could make an attempt that ran count as never run, which allows a second execution.
 func TestStatusNames(t *testing.T) {
 	for i, name := range []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"} {
-		m := one(t, "probe_result node=n backend=1 spent=1 status="+name)
+		m := readOne(t, "probe_result node=n backend=1 spent=1 status="+name)
 		if m.Event.Status != balance.Status(i) {
 			t.Errorf("%s is parsed as %d", name, m.Event.Status)
 		}
@@ -81,7 +81,7 @@
 
 // Guards the parsing of endpoint lists and of the events that refer to them.
 func TestEndpointLists(t *testing.T) {
-	ms, err := read(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
+	ms, err := readAll(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
 		"entry backend=51530247 stripe=4 nominal=1 generationHw=2 rackZone=1 phase=draining\n"+
 		"entry launched=6100000000 backend=7 nominal=1.5 phase=ready\n"+
 		"backends_changed node=node_3 kind=remembered stamp=41 sheet=15\n"+
@@ -106,7 +106,7 @@
 
 // Guards the parsing of settings in a spawn line.
 func TestSpawnSettings(t *testing.T) {
-	m := one(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1, "new": [1],`+
+	m := readOne(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1, "new": [1],`+
 		` "classes": [{"aim": 5, "deadline": 6, "effect": "token", "keyScope": "zone", "window": 7, "points": 2.5}],`+
 		` "membershipMode": "ask", "loadReport": {"source": "inline"}, "limits": {"maxAttempts": 4, "peers": true},`+
 		` "obligations": {"coldShare": 0.25}, "weightKind": "rough", "worthBy": "work", "tick": 2000000}`)
@@ -121,7 +121,7 @@
 
 // A setting could be lost between the line and the Balancer. Those that the Balancer doesn't use are still checked.
 func TestAllSettingsAreParsedAndChecked(t *testing.T) {
-	m := one(t, `spawn node=n salt=1 conf={"nInstances": 2, "limits": {"cpuUsPerS": 364369, "cpuUsPerRequest": 10.5,`+
+	m := readOne(t, `spawn node=n salt=1 conf={"nInstances": 2, "limits": {"cpuUsPerS": 364369, "cpuUsPerRequest": 10.5,`+
 		` "maxOpen": 910922}, "loadReport": {"source": "on_probe", "columns": ["active", "err_rps", "novel"]},`+
 		` "prices": {"connection": 0.5, "membershipMode": 0.25, "moves": 1, "origin": 1, "fleet": 1},`+
 		` "domain": {"warmKeys": true, "passesDeadline": true}, "stage": 1, "tiers": ["a", "b"]}`)
@@ -147,7 +147,7 @@
 		`{"domain": {"passesDeadline": 1}}`:                              "passesDeadline",
 		`{"classes": [{"aim": 5, "deadline": 6, "effect": "harmless"}]}`: "effect",
 	} {
-		_, err := read(t, "clock atTime=1\nspawn node=n salt=1 conf="+conf+"\n")
+		_, err := readAll(t, "clock atTime=1\nspawn node=n salt=1 conf="+conf+"\n")
 		if err == nil || !strings.Contains(err.Error(), "line 2") || !strings.Contains(err.Error(), "conf") ||
 			!strings.Contains(err.Error(), wantText) {
 			t.Errorf("%s: %v", conf, err)
@@ -170,7 +170,7 @@
 		return `spawn node=node_1 salt=1 conf={"classes": [{"aim": 5, "name": "` + prefix + `1"}], "skus": ["` + prefix + `2"],` +
 			` "tenants": [{"name": "` + prefix + `3", "share": 1, "quotaPerS": 5}], "zones": ["` + prefix + `4"], "tiers": ["` + prefix + `5"]}`
 	}
-	if a, b := one(t, conf("old")), one(t, conf("new")); !reflect.DeepEqual(a.Config, b.Config) {
+	if a, b := readOne(t, conf("old")), readOne(t, conf("new")); !reflect.DeepEqual(a.Config, b.Config) {
 		t.Errorf("%+v\n%+v", a.Config, b.Config)
 	}
 }
@@ -209,19 +209,19 @@
 		"":                                                                           "line 1",
 		"node=n":                                                                     "line 1",
 	} {
-		_, err := read(t, line+"\n")
+		_, err := readAll(t, line+"\n")
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "line ") {
 			t.Errorf("%q: %v, want %q", line, err, want)
 		}
 	}
-	if _, err := read(t, "clock atTime=1"); err == nil {
+	if _, err := readAll(t, "clock atTime=1"); err == nil {
 		t.Error("accepted a truncated line")
 	}
 }
 
 // A newer simulator may send messages that this version doesn't support. They must not be errors.
 func TestUnknownMessageIsNoError(t *testing.T) {
-	if m := one(t, "weather node=node_3 sky=blue"); m.Kind != Unknown || m.Name != "weather" {
+	if m := readOne(t, "weather node=node_3 sky=blue"); m.Kind != Unknown || m.Name != "weather" {
 		t.Errorf("got %+v", m)
 	}
 }
@@ -258,7 +258,7 @@
 	f.Add("answer node=n requestId=r spent=1 backend=1 attempt=0 status=shed load=active:1\n")
 	f.Add("spawn node=n salt=1 conf={\"classes\": []}\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		ms, err := read(t, text)
+		ms, err := readAll(t, text)
 		if err != nil && !strings.Contains(err.Error(), "line ") {
 			t.Fatalf("error does not name a line: %v", err)
 		}
