--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -9,8 +9,8 @@
 	"glencart/balance"
 )
 
-// Arrive takes in a request. One whose id is still in use is turned away: backends could not tell the two apart.
-// On the loop.
+// Arrive accepts a request. It answers a request whose id is in use by an open one with Doubled, because backends could not
+// distinguish the two. On the loop.
 func (e *Engine) Arrive(r *Request) {
 	if e.requests[r.ID] != nil {
 		r.reply(Answer{Kind: Doubled})
@@ -28,9 +28,8 @@
 	})
 }
 
-// AnswerBy has every request that is open, and every one that comes, answered by then: the process ends soon after. A
-// stream is let be until that time has come; told again then, the engine ends those that still owe their final answer.
-// On the loop.
+// AnswerBy limits the deadline of open and later requests to end, because the process exits soon after. Streams continue
+// until end. A further call at end stops the streams that have no final answer yet. On the loop.
 func (e *Engine) AnswerBy(end time.Time) {
 	if e.answerBy.IsZero() || end.Before(e.answerBy) {
 		e.answerBy = end
@@ -51,30 +50,30 @@
 	}
 }
 
-// Place has the loop take in a request, at once in this goroutine if the loop is free. It reports false when the
-// engine has ended. Any goroutine may call it that holds no lock which a Transport's method wants.
+// Place calls Arrive on the loop, directly in this goroutine if the loop is idle. It reports false if the engine has
+// ended. It is safe for concurrent use. The caller must hold no lock that a method of the Transport acquires.
 func (e *Engine) Place(r *Request) bool {
-	if e.enter() {
+	if e.tryAcquireLoop() {
 		e.Arrive(r)
-		e.leave()
+		e.releaseLoop()
 		return true
 	}
 	return e.Post(func() { e.Arrive(r) })
 }
 
-// Gone takes in that a client has left before its answer. On the loop.
+// Gone reports that the client disconnected before its answer. On the loop.
 func (e *Engine) Gone(r *Request) {
 	if e.requests[r.ID] != r || r.answered {
 		return
 	}
 	r.answered = true
-	r.claimed.Store(true)
+	r.answerClaimed.Store(true)
 	e.Handle(balance.Event{Kind: balance.ClientGone, Request: r.ID})
 	e.endAttempts(r, balance.Revoked)
 }
 
-// OpenIDs names requests that have no answer yet, most of them at the most, in the order of their arrival. On the loop.
-func (e *Engine) OpenIDs(most int) []string {
+// OpenIDs returns the ids of the first maxIDs requests without an answer, in order of arrival. On the loop.
+func (e *Engine) OpenIDs(maxIDs int) []string {
 	var open []*Request
 	for _, r := range e.requests {
 		if !r.answered {
@@ -83,14 +82,13 @@
 	}
 	slices.SortFunc(open, func(x, y *Request) int { return cmp.Compare(x.seq, y.seq) })
 	var ids []string
-	for _, r := range open[:min(most, len(open))] {
+	for _, r := range open[:min(maxIDs, len(open))] {
 		ids = append(ids, r.ID)
 	}
 	return ids
 }
 
-// Open is how many requests are in the table: those without an answer, and those with something still out.
-// On the loop.
+// Open returns the number of requests in the table. On the loop.
 func (e *Engine) Open() int { return len(e.requests) }
 
 func (e *Engine) send(act *balance.Action) {
@@ -100,15 +98,15 @@
 	}
 	var a *Attempt
 	if len(r.attempts) == 0 {
-		a, r.attempts = &r.first, r.room[:0]
+		a, r.attempts = &r.firstAttempt, r.attemptsBuf[:0]
 	} else {
 		a = new(Attempt)
 	}
-	*a = Attempt{Request: r, To: b.to, Deadline: r.Deadline, engine: e, number: len(r.attempts), to: b, sent: e.Clock()}
+	*a = Attempt{Request: r, To: b.endpoint, Deadline: r.Deadline, engine: e, number: len(r.attempts), backend: b, sentAt: e.Clock()}
 	r.attempts = append(r.attempts, a)
-	b.out++
-	if b.phase != balance.Ready || r.claimed.Load() || r.stream != nil {
-		e.outcome(a, Result{Status: balance.Unused})
+	b.outstanding++
+	if b.phase != balance.Ready || r.answerClaimed.Load() || r.stream != nil {
+		e.handleResult(a, Result{Status: balance.Unused})
 		return
 	}
 	if act.Limit > 0 {
@@ -119,43 +117,43 @@
 	if act.Within > 0 {
 		a.WriteBy = e.Now().Add(act.Within)
 	}
-	a.begun = true
+	a.isSent = true
 	e.Transport.Send(a)
 }
 
-// outcome tells the Balancer how an attempt ended, once. What comes after it was given up changes nothing.
-func (e *Engine) outcome(a *Attempt, res Result) {
+// handleResult reports the result of an attempt to the Balancer, once. Results after the attempt was given up are ignored.
+func (e *Engine) handleResult(a *Attempt, res Result) {
 	r := a.Request
-	if a.over {
+	if a.hasEnded {
 		return
 	}
 	if !r.answered {
 		switch {
-		case res.Status == balance.Delivered && r.claimed.CompareAndSwap(false, true):
+		case res.Status == balance.Delivered && r.answerClaimed.CompareAndSwap(false, true):
 			r.answered = true
 			r.reply(Answer{Kind: Served, Body: res.Body})
-		case r.stream == a && r.claimed.CompareAndSwap(false, true): // a break in a begun stream ends it
+		case r.stream == a && r.answerClaimed.CompareAndSwap(false, true): // the stream has begun, so a failed attempt ends it
 			r.answered = true
 			r.reply(Answer{Kind: Failed, Begun: true, Body: res.Body})
 		}
 	}
-	e.tell(a, res)
+	e.reportOutcome(a, res)
 	if r.answered {
 		e.endAttempts(r, balance.Revoked)
 	}
 }
 
-// delivered is outcome for an answer that the transport has handed on, if it won the right to.
-func (e *Engine) delivered(a *Attempt, res Result, won bool) {
+// handleDelivered is handleResult for an answer that the transport itself passes on to the client. won reports whether it may do so.
+func (e *Engine) handleDelivered(a *Attempt, res Result, won bool) {
 	r := a.Request
-	open := !r.answered
+	wasOpen := !r.answered
 	if won {
 		r.answered = true
 	}
 	switch {
-	case !a.over:
-		e.tell(a, res)
-	case won && open: // it was given up, and has its client all the same
+	case !a.hasEnded:
+		e.reportOutcome(a, res)
+	case won && wasOpen: // the attempt was given up, but its answer reaches the client
 		e.Handle(balance.Event{Kind: balance.ClientGone, Request: r.ID})
 	}
 	if won {
@@ -163,75 +161,75 @@
 	}
 }
 
-func (e *Engine) tell(a *Attempt, res Result) {
+func (e *Engine) reportOutcome(a *Attempt, res Result) {
 	r := a.Request
 	if r.Hasty && res.Status == balance.Expired {
 		res.Status = balance.Revoked
 	}
-	a.over = true
-	r.begun = r.begun || !res.Status.NeverRan()
+	a.hasEnded = true
+	r.mayHaveRun = r.mayHaveRun || !res.Status.NeverRan()
 	if res.Body != nil {
-		r.last = res.Body
+		r.lastBody = res.Body
 	}
 	e.forget(r)
 	e.Handle(balance.Event{
-		Kind: balance.Outcome, Request: r.ID, Attempt: a.number, Backend: a.to.number, Spent: e.Clock() - a.sent,
+		Kind: balance.Outcome, Request: r.ID, Attempt: a.number, Backend: a.backend.number, Spent: e.Clock() - a.sentAt,
 		Status: res.Status, NoMore: r.answered, Load: res.Load,
 	})
 	if e.Saw != nil {
 		e.Saw(a.To.ID, res)
 	}
-	e.settle(a.to)
+	e.release(a.backend)
 }
 
-// started takes in that the client has the stream.
-func (e *Engine) started(a *Attempt) {
+// handleStreamStarted records that the client receives the stream of an attempt.
+func (e *Engine) handleStreamStarted(a *Attempt) {
 	r := a.Request
-	if a.over || r.answered || r.stream != nil {
+	if a.hasEnded || r.answered || r.stream != nil {
 		return
 	}
 	r.stream = a
-	e.Handle(balance.Event{Kind: balance.StreamStarted, Request: r.ID, Attempt: a.number, Backend: a.to.number,
-		Spent: e.Clock() - a.sent})
+	e.Handle(balance.Event{Kind: balance.StreamStarted, Request: r.ID, Attempt: a.number, Backend: a.backend.number,
+		Spent: e.Clock() - a.sentAt})
 	for _, other := range r.attempts {
 		if other != a {
 			e.giveUp(other, balance.Revoked)
 		}
 	}
-	if !e.answerBy.IsZero() && !e.Now().Before(e.answerBy) { // the last look at streams has been
+	if !e.answerBy.IsZero() && !e.Now().Before(e.answerBy) { // AnswerBy has already ended the streams
 		e.giveUp(a, balance.Expired)
 	}
 }
 
-// giveUp ends an attempt and its connection.
+// giveUp ends an attempt, and its use of a connection.
 func (e *Engine) giveUp(a *Attempt, st balance.Status) {
-	if a.over {
+	if a.hasEnded {
 		return
 	}
-	if a.begun {
+	if a.isSent {
 		if e.Transport.Bar(a) {
 			st = balance.Unused
 		}
 		e.Transport.GiveUp(a)
 	}
-	e.outcome(a, Result{Status: st})
+	e.handleResult(a, Result{Status: st})
 }
 
-// finish gives a request its final answer. Nothing that was sent for it can be of use any more.
+// finish sends the final answer to a request and ends its attempts, whose results are of no use any more.
 func (e *Engine) finish(r *Request, ans Answer) {
 	if r == nil {
 		return
 	}
 	r.answered = true
 	late := !e.Now().Before(r.Deadline)
-	mine := r.claimed.CompareAndSwap(false, true) // else an answer is on its way to the client already
+	won := r.answerClaimed.CompareAndSwap(false, true) // false: another answer is already on its way to the client
 	st := balance.Revoked
 	if late {
 		st = balance.Expired
 	}
 	e.endAttempts(r, st)
-	if mine {
-		ans.Late, ans.Begun, ans.Body = late, r.begun, r.last
+	if won {
+		ans.Late, ans.Begun, ans.Body = late, r.mayHaveRun, r.lastBody
 		r.reply(ans)
 	}
 }
@@ -243,42 +241,42 @@
 	e.forget(r)
 }
 
-// stopAll gives up what is still out when the engine ends.
-func (e *Engine) stopAll() {
+// giveUpAll gives up all outstanding attempts when the engine ends.
+func (e *Engine) giveUpAll() {
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
-			if !a.over && a.begun {
+			if !a.hasEnded && a.isSent {
 				e.Transport.GiveUp(a)
 			}
 		}
 	}
 }
 
-// forget drops a request from the table once it is answered. What is still out for it ends in the same step.
+// forget deletes an answered request from the table. Its outstanding attempts end in the same step.
 func (e *Engine) forget(r *Request) {
 	if r.answered && e.requests[r.ID] == r {
 		delete(e.requests, r.ID)
 	}
 }
 
-func (e *Engine) probe(number balance.BackendID) {
+func (e *Engine) sendProbe(number balance.BackendID) {
 	b := e.byNumber[number]
 	if b == nil {
 		return
 	}
 	sent := e.Clock()
-	told := func(res Result) {
+	report := func(res Result) {
 		e.Handle(balance.Event{Kind: balance.Probed, Backend: number, Spent: e.Clock() - sent,
 			Status: res.Status, Load: res.Load})
 		if e.Saw != nil {
 			e.Saw(b.id, res)
 		}
-		e.settle(b)
+		e.release(b)
 	}
-	b.out++
+	b.outstanding++
 	if b.phase != balance.Ready {
-		told(Result{Status: balance.Unused})
+		report(Result{Status: balance.Unused})
 		return
 	}
-	e.Transport.Probe(b.to, func(res Result) { e.Post(func() { told(res) }) })
+	e.Transport.Probe(b.endpoint, func(res Result) { e.Post(func() { report(res) }) })
 }
