--- a/cmd/glencart/main.go
+++ b/cmd/glencart/main.go
@@ -1,6 +1,6 @@
-// Command glencart is one real node: a request balancer on real sockets. It reads its configuration from the
-// file that BALANCER_CONFIG names. With a verb it runs glencart-site, which stands beside it: the node does not grow by
-// what other installations need.
+// Command glencart runs one node of the platform's balancer. It reads its configuration from the file in
+// BALANCER_CONFIG. With a subcommand it executes glencart-site from the same directory instead. That keeps the
+// code for other installations out of the node's binary.
 package main
 
 import (
@@ -22,18 +22,18 @@
 	"glencart/internal/node"
 )
 
-// logMost bounds what of the log waits for who reads it, in bytes: the lines of a list of a thousand backends are 140 kB.
-// logWithin is how long the end of a node waits for that.
+// logMost bounds the log output that waits for a slow reader, in bytes. The lines for a list of a thousand
+// backends take 140 kB. logWithin is how long the node waits for the reader at its end.
 const logMost, logWithin = 256 << 10, 20 * time.Millisecond
 
 func main() {
 	if len(os.Args) > 1 {
-		beside, err := os.Executable()
+		sitePath, err := os.Executable()
 		if err == nil {
-			beside = filepath.Join(filepath.Dir(beside), "glencart-site")
-			err = syscall.Exec(beside, append([]string{beside}, os.Args[1:]...), os.Environ())
+			sitePath = filepath.Join(filepath.Dir(sitePath), "glencart-site")
+			err = syscall.Exec(sitePath, append([]string{sitePath}, os.Args[1:]...), os.Environ())
 		}
-		fmt.Fprintf(os.Stderr, "glencart: %s: %v: build it beside this program: go build -o bin/ ./cmd/...\n", beside, err)
+		fmt.Fprintf(os.Stderr, "glencart: %s: %v: build it into the same directory: go build -o bin/ ./cmd/...\n", sitePath, err)
 		os.Exit(1)
 	}
 	if err := run(); err != nil {
@@ -43,8 +43,8 @@
 }
 
 func run() error {
-	signal.Ignore(syscall.SIGPIPE) // else a log that nobody reads any more ends the process at its next line
-	// Before anything else: unhandled, this signal ends the process.
+	signal.Ignore(syscall.SIGPIPE) // otherwise the next log line ends the process once the log has no reader
+	// This comes first, because without a handler SIGHUP ends the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	path := os.Getenv("BALANCER_CONFIG")
@@ -52,7 +52,8 @@
 	if err != nil {
 		return err
 	}
-	// What this process was told wins: two processes may read one file, and each has an admin endpoint of its own.
+	// The environment overrides the file. Two processes may read one file, and each has its own management
+	// endpoint.
 	cfg.Management = cmp.Or(os.Getenv("BALANCER_MANAGEMENT"), cfg.Management)
 	if cfg.AcceptFD = os.Getenv("BALANCER_ACCEPT_FD"); cfg.AcceptFD != "" {
 		cfg.Shared = os.Getenv("TMPDIR")
@@ -67,7 +68,7 @@
 	golog.SetOutput(&lograte.Limited{Log: log})
 	n, err := node.New(ctx, cfg, log)
 	if err != nil {
-		if ctx.Err() != nil { // told to end before anybody could come
+		if ctx.Err() != nil { // the process got SIGTERM before it accepted clients
 			return nil
 		}
 		return err
@@ -84,7 +85,8 @@
 	return n.Run(ctx)
 }
 
-// limit fits the runtime into the machine. The collector starts seldom, and works harder where memory is short.
+// limit sets the runtime's limits to those of the machine. The collector runs seldom, and more often near the
+// memory limit.
 func limit(l node.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Round(l.Cores))))
--- a/cmd/glencart/main_test.go
+++ b/cmd/glencart/main_test.go
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// A node without a configuration ends with one line and a non-zero code.
+// A node that can't read its configuration prints one line and exits with code 1.
 func TestBadStartIsOneLine(t *testing.T) {
 	bad := t.TempDir() + "/config.json"
 	if err := os.WriteFile(bad, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// SIGHUP has the node read its configuration anew: it goes on at another discovery, a file that can't be read
-// changes nothing, and SIGTERM still ends it in order, also when nobody reads its log any more.
+// On SIGHUP the node reloads its configuration and uses the new discovery address. A file that can't be read
+// changes nothing. SIGTERM still ends the node in order, even when its log has no reader any more.
 func TestSIGHUPReloads(t *testing.T) {
 	registry := func() (string, <-chan struct{}) {
 		called := make(chan struct{}, 64)
@@ -108,7 +108,7 @@
 		select {
 		case <-c:
 		case <-time.After(patience):
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 	awaitLine := func(part string) {
@@ -117,13 +117,13 @@
 			select {
 			case line, ok := <-lines:
 				if !ok {
-					t.Fatalf("the node has ended, and never logged %q", part)
+					t.Fatalf("the node ended without logging %q", part)
 				}
 				if strings.Contains(line, part) {
 					return
 				}
 			case <-end:
-				t.Fatalf("never logged: %q", part)
+				t.Fatalf("timed out waiting for the log line %q", part)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 	write(config(second))
 	cmd.Process.Signal(syscall.SIGHUP)
 	await("a call to the second discovery", calledSecond)
-	// Who reads the log has gone: the node serves on, and still ends in order.
+	// The log has no reader any more. The node keeps serving and still ends in order.
 	log.Close()
 	for range lines {
 	}
@@ -143,22 +143,23 @@
 	for len(calledFirst) > 0 {
 		<-calledFirst
 	}
-	await("a call to the first discovery again", calledFirst)
+	await("another call to the first discovery", calledFirst)
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended by SIGTERM: %v", err)
+		t.Errorf("after SIGTERM the node ended with: %v", err)
 	}
 }
 
-// A process that is told to end while it still waits for what it opens has nothing to answer: it ends at once, and in order.
+// A process that gets SIGTERM while it still opens its sockets has no requests to answer. It must end at once
+// and without an error.
 func TestToldToEndWhileItOpens(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer occupied.Close()
 	path := t.TempDir() + "/config.json"
-	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":"127.0.0.1:1","settings":{"classes":[{"name":"read"}]}}`, taken.Addr())
+	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":"127.0.0.1:1","settings":{"classes":[{"name":"read"}]}}`, occupied.Addr())
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -175,12 +176,12 @@
 	lines := bufio.NewScanner(logged)
 	for lines.Scan() && !strings.Contains(lines.Text(), "msg=bounds") {
 	}
-	told := time.Now()
+	terminatedAt := time.Now()
 	cmd.Process.Signal(syscall.SIGTERM)
 	for lines.Scan() {
 	}
 	err = cmd.Wait()
-	if took := time.Since(told); err != nil || took > time.Second {
-		t.Errorf("ended %v after SIGTERM with %v", took, err)
+	if took := time.Since(terminatedAt); err != nil || took > time.Second {
+		t.Errorf("the process ended %v after SIGTERM with error %v", took, err)
 	}
 }
--- a/cmd/glencart/outage_agent_test.go
+++ b/cmd/glencart/outage_agent_test.go
@@ -1,6 +1,7 @@
 package main
 
-// This file has the discovery agents of an outage play: one process that serves the agents of all nodes, so that it can be stopped.
+// This file contains the discovery agents of an outage run. One process serves the agents of all nodes, so that
+// they can be stopped together.
 
 import (
 	"bufio"
@@ -17,63 +18,64 @@
 	"time"
 )
 
-// agentEnv has the agentSetup of a process that is to be the agents.
+// agentEnv is the environment variable with the agentSetup of the agents' process.
 const agentEnv = "GLENCART_TEST_AGENT"
 
-// agentSetup is what the process of the agents is started with.
+// agentSetup is the start configuration of the agents' process.
 type agentSetup struct {
 	Nodes int
-	Lists []string // the whole list by revision, from 1 on
+	Lists []string // complete list of each revision, from 1 on
 }
 
-// agentKind is what ails the agents.
+// agentKind is the fault of the agents.
 type agentKind string
 
-// Kinds of trouble.
+// Kinds of faults.
 const (
 	agentWell     agentKind = ""
-	agentSilent   agentKind = "silent"   // calls are read and never answered, then or later
-	agentRefuses  agentKind = "refused"  // connections end, nobody listens
-	agentBusy     agentKind = "503"      // each call is answered with 503
-	agentCuts     agentKind = "cut"      // half of an answer, and the connection ends
-	agentInPieces agentKind = "pieces"   // answers come in pieces, over Delay
-	agentStopped  agentKind = "stopped"  // SIGSTOP; of the driver, the process never hears of it
-	agentDeaf     agentKind = "deafened" // connections and requests are held unread, and served afterwards
+	agentSilent   agentKind = "silent" // calls are read and never answered, not even later
+	agentRefuses  agentKind = "refused" // connections are closed, and no process listens
+	agentBusy     agentKind = "503" // each call is answered with 503
+	agentCuts     agentKind = "cut" // half of an answer is sent, then the connection is closed
+	agentInPieces agentKind = "pieces" // answers are sent in pieces over Delay
+	agentStopped  agentKind = "stopped" // SIGSTOP by the driver; the process itself never gets this kind
+	agentDeaf     agentKind = "deafened" // connections and requests stay unread during the fault and are served afterwards
 )
 
-// agentState is what the driver commands: a line of JSON on standard input each.
+// agentState is a command of the driver. Each is a line of JSON on standard input.
 type agentState struct {
 	Kind     agentKind
 	Delay    time.Duration // of each answer
-	Turn     time.Duration // calls are worked through in turn, each so long
+	Turn     time.Duration // calls are handled one after another, each for this long
 	Revision int
 }
 
-// agentLine is a line on standard output: the addresses, at the beginning; a command obeyed; or a call or an answer of a node.
+// agentLine is a line on standard output. It reports the addresses at the start, an applied command, a node's
+// call, or an answer to a node.
 type agentLine struct {
 	Addrs    []string  `json:",omitempty"`
 	Obeyed   bool      `json:",omitempty"`
 	Node     int       `json:",omitempty"`
-	Revision int       `json:",omitempty"` // of an answer that was written whole; 0: a call has come
+	Revision int       `json:",omitempty"` // of an answer that was written in whole; 0 for a call that arrived
 	At       time.Time `json:",omitzero"`
 }
 
-// agents are all agents of a play.
+// agents are the agents of all nodes.
 type agents struct {
 	setup   agentSetup
 	line    turnLine
 	out     chan agentLine
 	mu      sync.Mutex
 	state   agentState
-	epoch   int           // counts the commands that made calls lost
+	epoch   int // number of commands that made calls lost
 	changed chan struct{} // closed at the next command
 	conns   map[net.Conn]bool
-	tickets int // calls in the order in which they came: by their connections, and later ones of a connection by themselves
+	tickets int // last ticket; tickets order first calls by their connections and later calls by their arrival
 	addrs   []string
 	ls      []net.Listener
 }
 
-// runAgents is the process of the agents.
+// runAgents runs the process of the agents.
 func runAgents(text string) {
 	a := &agents{changed: make(chan struct{}), conns: map[net.Conn]bool{}, out: make(chan agentLine, 1<<16)}
 	go func() {
@@ -125,7 +127,7 @@
 	}
 }
 
-// obey takes in a command.
+// obey applies a command.
 func (a *agents) obey(next agentState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -188,7 +190,7 @@
 	}
 }
 
-// turnLine has calls wait for their turn, in the order of their tickets.
+// turnLine handles calls one after another in the order of their tickets.
 type turnLine struct {
 	mu      sync.Mutex
 	waiting turnHeap
@@ -200,7 +202,7 @@
 	turn   chan struct{}
 }
 
-// turnHeap has the lowest ticket first.
+// turnHeap is a heap with the lowest ticket first.
 type turnHeap []turnWaiter
 
 func (h turnHeap) Len() int           { return len(h) }
@@ -213,7 +215,7 @@
 	return last
 }
 
-// gatherTickets is how long a line that was empty waits for calls that came before.
+// gatherTickets is how long an idle line waits for calls that arrived earlier.
 const gatherTickets = 3 * time.Millisecond
 
 // work returns when a call has had its turn.
@@ -223,7 +225,7 @@
 	heap.Push(&l.waiting, turnWaiter{ticket, turn})
 	if !l.busy {
 		l.busy = true
-		time.AfterFunc(gatherTickets, l.next) // those that were held up come together
+		time.AfterFunc(gatherTickets, l.next) // calls that were held up arrive together
 	}
 	l.mu.Unlock()
 	<-turn
@@ -231,7 +233,7 @@
 	l.next()
 }
 
-// next lets the call with the lowest ticket work.
+// next starts the call with the lowest ticket.
 func (l *turnLine) next() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -240,7 +242,7 @@
 	}
 }
 
-// answer answers one call, and tells whether its connection goes on.
+// answer answers one call. It reports whether the connection stays open.
 func (a *agents) answer(node int, c net.Conn, call *http.Request, ticket int) bool {
 	q := call.URL.Query()
 	after, _ := strconv.Atoi(q.Get("after"))
@@ -297,11 +299,12 @@
 	return true
 }
 
-// listText words the whole list of these backends.
+// listText encodes the complete list of these backends.
 func listText(revision int, addrs map[string]string, ids ...string) string {
 	var lines []string
 	for _, id := range ids {
-		lines = append(lines, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":"ready","size":1,"up_since_ms":0}`, id, addrs[id]))
+		lines = append(lines, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":"ready","size":1,"up_since_ms":0}`,
+			id, addrs[id]))
 	}
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, strings.Join(lines, ","))
 }
--- a/cmd/glencart/outage_test.go
+++ b/cmd/glencart/outage_test.go
@@ -1,14 +1,16 @@
 package main
 
-// The incident: after an outage of discovery, nodes sent requests to backends that had been removed, 0.3 to 1.2 s after the grace.
-// The agents had been held up and came back with thousands of calls in line, or slower than before. A node called eight times a
-// second and gave each call up after 375 ms, one of them after 1 s; an answer that took longer was never taken, and the calls given
-// up were the work that kept the agent slow. What proved it: an agent that answers 1.1 s late, or works through calls in turn,
-// writes one whole answer after another, and the log of the node has every call as given up.
+// This test guards against a known incident. After an outage of discovery, nodes sent requests to removed
+// backends 0.3 to 1.2 s after the drain grace. The discovery agents had been held up. They came back with
+// thousands of queued calls, or slower than before. A node called eight times a second and gave each call up
+// after 375 ms, one of them after 1 s. It never accepted an answer that took longer, and the calls that it gave
+// up kept the agent slow. The cause was proven with an agent that answers 1.1 s late or handles calls one after
+// another. It writes one whole answer after another, while the node's log lists every call as given up.
 //
-// A play: real nodes, the agents of all of them in a process of their own, clients that ask all the time. The agents fail and come
-// back with a list that lacks two backends. Nothing new may reach these later than the grace after the agents can tell, or after
-// a node's agent has written its first whole answer with that list, where that is later.
+// A run consists of real nodes, one process with the agents of all nodes, and clients that send requests all
+// the time. The agents fail and come back with a list that lacks two backends. No new request may reach these
+// backends later than the grace after the agents can send the list, or after a node's agent has written its
+// first whole answer with that list if that is later.
 
 import (
 	"bufio"
@@ -34,18 +36,20 @@
 )
 
 var (
-	outageSweep = flag.String("outage.sweep", "", "play the cells whose name contains this instead of the few of every run, one at a time; all: every one")
-	outageSeed  = flag.Uint64("outage.seed", 1, "moves the instants at which agents fail and come back")
+	outageSweep = flag.String("outage.sweep", "",
+		"run the cells of the table whose name contains this text, one at a time, instead of the default cells; all: every cell")
+	outageSeed  = flag.Uint64("outage.seed", 1, "seed for the times at which agents fail and come back")
 )
 
 // outageCell is one kind of outage.
 type outageCell struct {
 	kind   agentKind // during the outage
 	outage time.Duration
-	back   agentState // after it
+	back   agentState // after the outage
 	nodes  int
 }
 
+// String describes the cell. The sweep flag selects cells by this text.
 func (c outageCell) String() string {
 	s := fmt.Sprintf("%s %v", c.kind, c.outage)
 	if c.back.Delay > 0 {
@@ -60,7 +64,8 @@
 	return fmt.Sprintf("%s, nodes %d", s, c.nodes)
 }
 
-// outageCells are those of every run. In three of them nodes never took the list before calls were kept.
+// outageCells returns the cells of every test run. Without the fix that keeps calls open, nodes in three of them
+// never applied the list.
 func outageCells() []outageCell {
 	const outage, long = 1500 * time.Millisecond, 6200 * time.Millisecond
 	return []outageCell{
@@ -72,7 +77,7 @@
 	}
 }
 
-// sweepCells are those of the table.
+// sweepCells returns the cells of the full table.
 func sweepCells() (cells []outageCell) {
 	const usual = 6 * time.Second
 	for _, kind := range []agentKind{agentStopped, agentDeaf, agentSilent, agentRefuses, agentBusy, agentCuts} {
@@ -80,8 +85,11 @@
 			cells = append(cells, outageCell{kind, outage, agentState{}, 1})
 		}
 	}
-	for _, delay := range []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, 1100 * time.Millisecond, 2 * time.Second, 3 * time.Second} {
-		cells = append(cells, outageCell{agentSilent, usual, agentState{Delay: delay}, 1}, outageCell{agentStopped, usual, agentState{Delay: delay}, 1},
+	for _, delay := range []time.Duration{
+		300 * time.Millisecond, 600 * time.Millisecond, 1100 * time.Millisecond, 2 * time.Second, 3 * time.Second,
+	} {
+		cells = append(cells, outageCell{agentSilent, usual, agentState{Delay: delay}, 1},
+			outageCell{agentStopped, usual, agentState{Delay: delay}, 1},
 			outageCell{agentSilent, usual, agentState{Kind: agentInPieces, Delay: delay}, 1})
 	}
 	for _, turn := range []time.Duration{30 * time.Millisecond, 60 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
@@ -99,14 +107,14 @@
 }
 
 const (
-	// outageClients ask at once at each node, each outagePause after its last answer; where there are more than outageBusy nodes
-	// later, so that the machine has time for them all.
+	// outageClients send requests to each node at the same time. Each waits outagePause after its last answer.
+	// With more than outageBusy nodes the pause is longer, so that the machine can run them all.
 	outageClients, outagePause, outageBusy = 2, 20 * time.Millisecond, 8
-	// outageAfter is for how long nodes are watched after the agents' return.
+	// outageAfter is how long nodes are watched after the agents' return.
 	outageAfter = 4 * time.Second
 )
 
-// outage is one play.
+// outage is one run.
 type outage struct {
 	t     testing.TB
 	cell  outageCell
@@ -120,8 +128,8 @@
 
 	mu       sync.Mutex
 	arrivals []outageArrival // at backends that are removed later
-	calls    []int           // of each node, at its agent
-	answers  [][]time.Time   // of each node: when its agent had written the later list whole
+	calls    []int // by node: calls at its agent
+	answers  [][]time.Time // by node: when its agent had written the later list in whole
 	canTell  time.Time
 	late     time.Duration
 	over     chan struct{}
@@ -132,13 +140,13 @@
 	at   time.Time
 }
 
-// outageNode is one process.
+// outageNode is one node process.
 type outageNode struct {
 	listen, admin string
 	process       *os.Process
-	taken         chan time.Time // when it had taken the later list
+	taken         chan time.Time // when the node logged the later list
 	takenAt       time.Time
-	sockets       int // open descriptors, at the most
+	sockets       int // maximum of open descriptors
 	cpu           time.Duration
 	figures       map[string]int
 }
@@ -178,14 +186,14 @@
 	return o.judge()
 }
 
-// fail has the agents fail, and come back with the later list.
+// fail makes the agents fail, and come back with the later list.
 func (o *outage) fail() {
 	back := o.cell.back
 	back.Revision = 2
-	lasts := o.cell.outage + time.Duration(o.rng.Int64N(int64(130*time.Millisecond)))
+	duration := o.cell.outage + time.Duration(o.rng.Int64N(int64(130*time.Millisecond)))
 	if o.cell.kind == agentStopped {
 		o.agent.Signal(syscall.SIGSTOP)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		o.commands.Encode(back)
 		o.mu.Lock()
 		o.canTell = time.Now()
@@ -196,7 +204,7 @@
 	}
 	o.commands.Encode(agentState{Kind: o.cell.kind, Revision: 1})
 	standin.Receive(o.t, "the outage", o.obeyed)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	o.commands.Encode(back)
 	at := standin.Receive(o.t, "the agents' return", o.obeyed)
 	o.mu.Lock()
@@ -204,13 +212,14 @@
 	o.mu.Unlock()
 }
 
-// judge returns what broke the rule on drains.
+// judge returns the violations of the drain rule.
 func (o *outage) judge() (faults []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, n := range o.nodes {
 		if n.takenAt.IsZero() {
-			faults = append(faults, fmt.Sprintf("node %d never took the list; its agent had %d calls and wrote %d whole answers with it", i, o.calls[i], len(o.answers[i])))
+			faults = append(faults, fmt.Sprintf("node %d never applied the list; its agent had %d calls and wrote %d whole answers with it",
+				i, o.calls[i], len(o.answers[i])))
 		}
 	}
 	for _, a := range o.arrivals {
@@ -218,16 +227,17 @@
 		if of := o.answers[a.node]; len(of) > 0 && of[0].After(bound) {
 			bound = of[0]
 		} else if len(of) == 0 {
-			continue // the agent has told nothing
+			continue // the agent has not sent the list
 		}
 		if late := a.at.Sub(bound); late > drainGrace+ruleSlack+o.late {
-			faults = append(faults, fmt.Sprintf("node %d sent to a removed backend %v after its agent could tell and had written its first whole answer", a.node, late))
+			faults = append(faults, fmt.Sprintf(
+				"node %d sent a request to a removed backend %v after its agent could send and had written the list in whole", a.node, late))
 		}
 	}
 	return faults
 }
 
-// backends starts four, of which two are removed, and words the lists.
+// backends starts four backends, of which two are removed later, and encodes the lists.
 func (o *outage) backends() {
 	addrs := map[string]string{}
 	for _, id := range []string{"s-0", "s-1", "s-2", "s-3"} {
@@ -244,10 +254,13 @@
 		o.t.Cleanup(s.Close)
 		addrs[id] = s.Listener.Addr().String()
 	}
-	o.setup = agentSetup{Nodes: o.cell.nodes, Lists: []string{listText(1, addrs, "s-0", "s-1", "s-2", "s-3"), listText(2, addrs, "s-2", "s-3")}}
+	o.setup = agentSetup{Nodes: o.cell.nodes, Lists: []string{
+		listText(1, addrs, "s-0", "s-1", "s-2", "s-3"),
+		listText(2, addrs, "s-2", "s-3"),
+	}}
 }
 
-// process starts this program anew as something else.
+// process returns a command that runs this test binary in another role.
 func (o *outage) process(env ...string) (cmd *exec.Cmd) {
 	cmd = exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), "GORACE=atexit_sleep_ms=0"), env...)
@@ -299,7 +312,7 @@
 	}
 }
 
-// startNode starts one node, and waits until it is ready.
+// startNode starts one node and waits until it is ready.
 func (o *outage) startNode(i int) {
 	n := o.nodes[i]
 	discovery := n.admin
@@ -336,13 +349,13 @@
 			}
 		}
 		if time.Now().After(end) {
-			o.t.Errorf("node %d is never ready", i)
+			o.t.Errorf("node %d does not become ready", i)
 			return
 		}
 	}
 }
 
-// client asks one node all the time.
+// client sends requests to one node all the time.
 func (o *outage) client(node int) {
 	c := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{}}
 	defer c.CloseIdleConnections()
@@ -363,7 +376,7 @@
 	}
 }
 
-// watch measures how late this process is, and how many descriptors the nodes have open.
+// watch measures the delay of this process's timers and the open descriptors of the nodes.
 func (o *outage) watch() {
 	const every = 10 * time.Millisecond
 	for n := 0; ; n++ {
@@ -384,7 +397,7 @@
 	}
 }
 
-// measure reads what the node has counted, and its processor time.
+// measure reads the node's counters and its CPU time.
 func (n *outageNode) measure() {
 	n.figures = map[string]int{}
 	if resp, err := http.Get("http://" + n.admin + "/control/counters"); err == nil {
@@ -398,7 +411,8 @@
 	n.cpu = processorTime(n.process.Pid)
 }
 
-// processorTime is what a process has used, from the 14th and 15th fields of its status in hundredths of a second.
+// processorTime returns the CPU time of a process. It adds the 14th and 15th fields of /proc/PID/stat, in
+// hundredths of a second.
 func processorTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
@@ -411,7 +425,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// row words what was measured: the delay from the agents' return until the list was taken, and means for each node.
+// row formats the measurements: the delay from the agents' return until the list was applied, and means per
+// node.
 func (o *outage) row(faults int) string {
 	var delays []time.Duration
 	never, sockets := 0, 0
@@ -438,19 +453,22 @@
 	}
 	nodes := len(o.nodes)
 	agentCPU := processorTime(o.agent.Pid)
-	return fmt.Sprintf("| %s | %s | %s | %d | %d | %d | %d | %d | %.2f | %.2f | %d |", o.cell, median, worst, sum["discovery.calls_begun"]/nodes,
+	return fmt.Sprintf("| %s | %s | %s | %d | %d | %d | %d | %d | %.2f | %.2f | %d |",
+		o.cell, median, worst, sum["discovery.calls_begun"]/nodes,
 		sum["discovery.calls_given_up"]/nodes, sum["discovery.answers_late"]/nodes, sum["discovery.answers_not_taken"]/nodes, sockets,
 		cpu.Seconds()/float64(nodes), agentCPU.Seconds(), faults)
 }
 
-// TestRemovedBackendsAfterAnOutage plays outages of discovery that end slowly.
+// TestRemovedBackendsAfterAnOutage runs discovery outages after which the agents answer slowly. Removed
+// backends must get no new request after the drain grace.
 func TestRemovedBackendsAfterAnOutage(t *testing.T) {
 	cells := outageCells()
 	if *outageSweep != "" {
 		cells = slices.DeleteFunc(sweepCells(), func(c outageCell) bool {
 			return *outageSweep != "all" && !strings.Contains(c.String(), *outageSweep)
 		})
-		fmt.Println("| outage | taken after, median, s | worst | calls begun | given up | answered late | not taken | descriptors | CPU of a node, s | of the agents | faults |")
+		fmt.Println(
+			"| outage | taken after, median, s | worst | calls begun | given up | answered late | not taken | descriptors | CPU of a node, s | of the agents | faults |")
 		fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	}
 	for _, cell := range cells {
--- a/cmd/glencart/soak_clients_test.go
+++ b/cmd/glencart/soak_clients_test.go
@@ -1,6 +1,7 @@
 package main
 
-// This file has the clients of a soak, and holds what they and the backends saw against the rules.
+// This file contains the clients of a soak run, and the check of what they and the backends observed against
+// the rules.
 
 import (
 	"bufio"
@@ -13,7 +14,7 @@
 	"time"
 )
 
-// client asks on one connection after another until the node has ended.
+// client sends requests on one connection after another until the node has ended.
 func (s *soak) client(rng *rand.Rand) {
 	for n := 0; ; n++ {
 		select {
@@ -38,7 +39,7 @@
 	}
 }
 
-// ask sends one request and tells whether its connection may carry another.
+// ask sends one request and reports whether its connection can carry another.
 func (s *soak) ask(c net.Conn, rng *rand.Rand, first bool) bool {
 	q := &request{id: fmt.Sprintf("%d-%x", s.seed, rng.Uint64()), first: first}
 	q.effect = [...]string{"read", "order", "order", "token"}[rng.IntN(4)]
@@ -54,8 +55,9 @@
 	if body != "" && rng.IntN(5) == 0 {
 		head, body = strings.Replace(head, "Content-Length: 4", "Transfer-Encoding: chunked", 1), "4\r\nabcd\r\n0\r\n\r\n"
 	}
-	text := head + fmt.Sprintf("Host: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %.3f\r\n\r\n", q.id, q.effect, q.budget.Seconds()) + body
-	for pieces := rng.IntN(4) / 3 * 2; pieces > 0; pieces-- { // one in four writes slowly
+	text := head + fmt.Sprintf("Host: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %.3f\r\n\r\n",
+		q.id, q.effect, q.budget.Seconds()) + body
+	for pieces := rng.IntN(4) / 3 * 2; pieces > 0; pieces-- { // one in four clients writes slowly
 		cut := rng.IntN(len(text))
 		if _, err := io.WriteString(c, text[:cut]); err != nil {
 			return false
@@ -65,7 +67,7 @@
 	}
 	q.written = time.Now()
 	if _, err := io.WriteString(c, text); err != nil {
-		return false // it had ended before the last byte
+		return false // the connection ended before the last byte
 	}
 	leaves := rng.IntN(12) == 0
 	if leaves {
@@ -81,7 +83,7 @@
 	return more
 }
 
-// await reads the answer to a request.
+// await reads the answer to a request. It reports whether the connection can carry another request.
 func (s *soak) await(c net.Conn, q *request, left bool) bool {
 	if left {
 		return false
@@ -98,7 +100,7 @@
 	return err == nil && !resp.Close
 }
 
-// heldUpWithin tells for how long the node was held up in a time.
+// heldUpWithin returns how long the node was stopped within a period.
 func (s *soak) heldUpWithin(from, to time.Time) (d time.Duration) {
 	for _, h := range s.heldUp {
 		if h.from.Before(to) && h.to.After(from) {
@@ -108,7 +110,7 @@
 	return d
 }
 
-// judge holds what happened against the rules.
+// judge checks all requests against the rules.
 func (s *soak) judge() {
 	for _, q := range s.requests {
 		runs := s.arrivals[q.id]
@@ -118,19 +120,20 @@
 				mayRun++
 			}
 			if i > 0 && q.effect == "order" && !runs[i-1].neverRan {
-				s.fault("duplicate: %s is unsafe, and came again after it may have run", q.id)
+				s.fault("duplicate: %s is unsafe and was sent again after it may have run", q.id)
 			}
 			if d := a.at.Sub(runs[0].at); i > 0 && q.effect == "token" && !runs[0].neverRan && d > soakWindow+ruleSlack+s.late {
-				s.fault("duplicate: %s came again after %v, repeats are dropped for %v", q.id, d, soakWindow)
+				s.fault("duplicate: %s was sent again after %v, repeats are dropped for %v", q.id, d, soakWindow)
 			}
 			if !q.left.IsZero() {
 				if d := a.at.Sub(q.left); d > leaveSlack+s.late+s.heldUpWithin(q.left, a.at) {
-					s.fault("lost: %s was begun %v after its client had left", q.id, d)
+					s.fault("lost: %s began %v after its client had left", q.id, d)
 				}
 			}
-			// The client reads its clock before it writes, and the backend after it has read: each may be late, and the node between them.
+			// The client reads its clock before it writes, and the backend reads its clock after it has read.
+			// Each of them may be late, and so may the node between them.
 			if left := q.budget - a.at.Sub(q.written); a.told > left+toldSlack+3*s.late {
-				s.fault("%s: its backend was told of %v, its client had %v left", q.id, a.told, left)
+				s.fault("%s: its backend got a time budget of %v, its client had %v left", q.id, a.told, left)
 			}
 		}
 		switch {
@@ -138,31 +141,32 @@
 		case q.err != nil && (q.first || len(runs) > 0):
 			s.fault("lost: %s (%s, first on its connection: %v, at backends: %d) %v after SIGTERM has no answer: %v",
 				q.id, q.effect, q.first, len(runs), q.written.Sub(s.told), q.err)
-		case q.err != nil: // it crossed the end of a connection that rested
+		case q.err != nil: // the request crossed the close of an idle connection
 		case q.ended.Sub(q.written) > q.budget+lateSlack+s.late:
 			s.fault("lost: %s was answered after %v of %v", q.id, q.ended.Sub(q.written), q.budget)
 		case q.status == http.StatusOK && q.body != q.id:
 			s.fault("lost: %s was served with %q", q.id, q.body)
 		case q.status == http.StatusOK && mayRun == 0:
-			s.fault("lost: %s was served by nobody", q.id)
+			s.fault("lost: %s was served, but no backend may have run it", q.id)
 		case q.status == http.StatusServiceUnavailable && q.effect == "order" && mayRun > 0:
-			s.fault("duplicate: %s was refused, and may have run", q.id)
+			s.fault("duplicate: %s was rejected, but may have run", q.id)
 		}
 	}
 }
 
-// judgeDrains is called before a backend that drains comes back.
+// judgeDrain checks that a draining backend got no new request after the grace. It is called before that
+// backend returns to service.
 func (s *soak) judgeDrain(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told := s.toldAt[i]
-	if can := s.canTell[i]; s.draining[i] && !can.IsZero() && (told.IsZero() || can.Before(told)) {
-		told = can // an agent's word counts whether or not it was asked
+	listedAt := s.toldAt[i]
+	if sendableAt := s.canTell[i]; s.draining[i] && !sendableAt.IsZero() && (listedAt.IsZero() || sendableAt.Before(listedAt)) {
+		listedAt = sendableAt // the list counts from when the agent could send it, whether or not a node asked
 	}
 	for id, runs := range s.arrivals {
 		for _, a := range runs {
-			if a.backend == i && !told.IsZero() && a.begun.Sub(told) > drainGrace+ruleSlack+s.late {
-				s.faults = append(s.faults, fmt.Sprintf("drain: %s came %v after s-%d was told to drain", id, a.begun.Sub(told), i))
+			if a.backend == i && !listedAt.IsZero() && a.begun.Sub(listedAt) > drainGrace+ruleSlack+s.late {
+				s.faults = append(s.faults, fmt.Sprintf("drain: %s arrived %v after the list in which s-%d drains", id, a.begun.Sub(listedAt), i))
 			}
 		}
 	}
--- a/cmd/glencart/soak_discovery_test.go
+++ b/cmd/glencart/soak_discovery_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file has the discovery of a soak, and how it stalls.
+// This file contains the discovery of a soak run and its stalls.
 
 import (
 	"fmt"
@@ -12,34 +12,34 @@
 	"time"
 )
 
-// stallKind is how discovery stalls.
+// stallKind is the way in which discovery stalls.
 type stallKind int
 
 // Kinds of stalls.
 const (
 	stallNone stallKind = iota
-	stallLost           // calls that are open or come meanwhile are never answered
-	stallHeld           // they are answered afterwards
-	stallSlow           // each answer takes longer
+	stallLost // calls that are open or arrive meanwhile are never answered
+	stallHeld // calls are answered after the stall
+	stallSlow // each answer takes longer
 )
 
-// stall is a time in which discovery does not answer at once.
+// stall is a period in which discovery does not answer at once.
 type stall struct {
 	kind  stallKind
 	until time.Time
 	delay time.Duration // of each answer
-	lost  int           // how many times calls were lost
+	lost  int // number of stalls so far in which calls were lost
 }
 
-// stallDiscovery has discovery stall for a time, beside what else happens.
+// stallDiscovery makes discovery stall for a time. Other faults may happen meanwhile.
 func (s *soak) stallDiscovery() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Now().Before(s.stalled.until) {
 		return
 	}
-	lasts := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(2500*time.Millisecond)))
-	next := stall{kind: stallKind(1 + s.rng.IntN(3)), until: time.Now().Add(lasts), lost: s.stalled.lost}
+	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(2500*time.Millisecond)))
+	next := stall{kind: stallKind(1 + s.rng.IntN(3)), until: time.Now().Add(duration), lost: s.stalled.lost}
 	switch next.kind {
 	case stallLost:
 		next.lost++
@@ -48,14 +48,14 @@
 	}
 	s.stalled = next
 	s.stalls++
-	for i, is := range s.draining { // what it has not written yet, it may not be able to tell
-		if is && s.toldAt[i].IsZero() {
+	for i, draining := range s.draining { // a list that is not written yet may be held back by this stall
+		if draining && s.toldAt[i].IsZero() {
 			s.canTell[i] = time.Time{}
 		}
 	}
 }
 
-// stalledNow returns the stall that lasts, or one of no kind.
+// stalledNow returns the current stall, or one of kind stallNone.
 func (s *soak) stalledNow() stall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +65,7 @@
 	return stall{lost: s.stalled.lost}
 }
 
-// pause waits, or until the play is over. Discovery does not see meanwhile whether a call was given up.
+// pause waits for d or until the run is over. Meanwhile discovery doesn't notice that a call was given up.
 func (s *soak) pause(d time.Duration) {
 	if d <= 0 {
 		return
@@ -76,7 +76,7 @@
 	}
 }
 
-// list words the whole list. With mu held.
+// list encodes the complete list. The caller holds mu.
 func (s *soak) list() string {
 	var lines []string
 	for i, addr := range s.addrs {
@@ -84,7 +84,8 @@
 		if s.draining[i] {
 			phase = "draining"
 		}
-		lines = append(lines, fmt.Sprintf(`{"id":"s-%d","host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":%q,"size":1,"up_since_ms":0}`, i, addr, phase))
+		lines = append(lines, fmt.Sprintf(`{"id":"s-%d","host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":%q,"size":1,"up_since_ms":0}`,
+			i, addr, phase))
 	}
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision, strings.Join(lines, ","))
 }
@@ -116,11 +117,11 @@
 			break
 		}
 		s.pause(s.stalledNow().delay)
-		if now := s.stalledNow(); now.kind == stallHeld { // what is held up writes nothing
+		if now := s.stalledNow(); now.kind == stallHeld { // a discovery that is held up writes nothing
 			s.pause(time.Until(now.until))
 		}
 		if now := s.stalledNow(); before.kind == stallLost || now.kind == stallLost || now.lost != before.lost {
-			select { // until the node gives it up, or the end
+			select { // until the node gives the call up, or the run is over
 			case <-hr.Context().Done():
 			case <-s.over:
 			}
@@ -148,15 +149,15 @@
 	}
 }
 
-// drain has a backend begin to drain, or come back as it was.
-func (s *soak) drain(i int, is bool) {
+// drain makes a backend drain, or return to service.
+func (s *soak) drain(i int, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining[i], s.toldAt[i] = is, time.Time{}
+	s.draining[i], s.toldAt[i] = draining, time.Time{}
 	if s.canTell[i] = time.Now(); s.stalled.until.After(s.canTell[i]) {
 		s.canTell[i] = s.stalled.until
 		if s.stalled.delay > 0 {
-			s.canTell[i] = time.Time{} // when its first answer is written
+			s.canTell[i] = time.Time{} // known only when its first answer is written
 		}
 	}
 	s.revision++
--- a/cmd/glencart/soak_world_test.go
+++ b/cmd/glencart/soak_setup_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file has what stands round the node of a soak: backends, the registry, the configuration.
+// This file contains the environment of a soak node: backends and the configuration.
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// backend answers, or fails to, by chance.
+// backend starts a backend that answers, fails or hangs at random.
 func (s *soak) backend(i int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +74,7 @@
 			return
 		case chance < 24:
 			answer = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
-		case chance < 28: // no length: it ends with the connection
+		case chance < 28: // no length: the answer ends with the connection
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+id)
 			return
 		case a.neverRan:
@@ -85,13 +85,14 @@
 		if _, err := io.WriteString(c, answer); err != nil {
 			return
 		}
-		if chance == 99 { // it closes a connection that rests
+		if chance == 99 { // it closes an idle connection
 			return
 		}
 	}
 }
 
-// configure writes the configuration with a discovery; broken: a file that can't be read.
+// configure writes the configuration with this discovery address. If broken is set, it writes a file that can't
+// be read.
 func (s *soak) configure(discovery string, broken bool) {
 	text, err := json.Marshal(nodeConfig(s.listen, discovery, s.seed+1, s.deadline))
 	if err != nil {
@@ -108,7 +109,7 @@
 	}
 }
 
-// nodeConfig is the configuration of a node whose lists are pushed.
+// nodeConfig returns the configuration of a node that receives endpoint lists by push (long polling).
 func nodeConfig(listen, discovery string, seed uint64, deadline time.Duration) map[string]any {
 	ns := func(d time.Duration) int64 { return int64(d) }
 	class := func(name, effect string) map[string]any {
@@ -121,8 +122,10 @@
 		"known":  map[string]any{"revision": 0, "complete": true, "members": []any{}},
 		"settings": map[string]any{"nInstances": 1, "zones": []string{"a"}, "skus": []string{"m"},
 			"classes":     []any{class("read", "pure"), class("order", "side_effect"), class("token", "token")},
-			"limits":      map[string]any{"cancelling": true, "probing": true, "maxAttempts": 4, "connectTimeout": ns(100 * time.Millisecond), "idleClose": ns(5 * time.Second)},
-			"obligations": map[string]any{"drainGrace": ns(drainGrace), "coldShare": 0.12, "warmWithin": ns(22 * time.Second), "fallMultiple": 3, "overloadFor": ns(1500 * time.Millisecond)},
+			"limits":      map[string]any{"cancelling": true, "probing": true, "maxAttempts": 4,
+				"connectTimeout": ns(100 * time.Millisecond), "idleClose": ns(5 * time.Second)},
+			"obligations": map[string]any{"drainGrace": ns(drainGrace), "coldShare": 0.12, "warmWithin": ns(22 * time.Second),
+				"fallMultiple": 3, "overloadFor": ns(1500 * time.Millisecond)},
 			"loadReport":  map[string]any{"source": "on_probe", "columns": []string{"active"}}},
 	}
 }
--- a/cmd/glencart/soak_test.go
+++ b/cmd/glencart/soak_test.go
@@ -17,55 +17,56 @@
 	"glencart/internal/standin"
 )
 
-// This file plays short lives of real nodes on sockets, drawn from seeds, and holds what clients and backends see against the rules.
+// This file runs real nodes for a short time under random faults that are drawn from seeds. It checks what
+// clients and backends observe against the rules for answers, repeats and drains.
 
 var (
-	soakSeeds = flag.Int("soak.seeds", 8, "how many seeds TestSoak plays")
-	soakFirst = flag.Uint64("soak.first", 1, "the first of them")
+	soakSeeds = flag.Int("soak.seeds", 8, "number of seeds for TestSoak")
+	soakFirst = flag.Uint64("soak.first", 1, "first seed")
 )
 
 const (
 	soakBackends = 4
 	soakClients  = 12
-	soakWindow   = 400 * time.Millisecond // of keyed requests
+	soakWindow   = 400 * time.Millisecond // in which backends drop repeats of a keyed request
 	drainGrace   = 500 * time.Millisecond
-	ruleSlack    = 50 * time.Millisecond  // what the protocol adds to each time limit
-	leaveSlack   = 100 * time.Millisecond // an attempt may begin so long after its client has left
-	toldSlack    = 150 * time.Millisecond // a backend may be told of so much more time than there is
-	lateSlack    = 500 * time.Millisecond // an answer so late is late and not lost
+	ruleSlack    = 50 * time.Millisecond // what the protocol adds to each time limit
+	leaveSlack   = 100 * time.Millisecond // maximum time from a client's leaving to the start of an attempt
+	toldSlack    = 150 * time.Millisecond // maximum excess of the time budget sent to a backend
+	lateSlack    = 500 * time.Millisecond // an answer within this time after its budget is late and not lost
 	heldUpMost   = 150 * time.Millisecond
-	killAfter    = 700 * time.Millisecond // SIGKILL comes the longest deadline and this after SIGTERM
-	leastServed  = 30                     // else a play tells nothing; a node that has learned that answers come late refuses most
-	stillComing  = 400 * time.Millisecond // new connections come for so long after it
+	killAfter    = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest deadline plus this time
+	leastServed  = 30 // with fewer a run checks too little; a node that has learned that answers are late rejects most requests
+	stillComing  = 400 * time.Millisecond // clients open new connections for this long after SIGTERM
 )
 
 // arrival is an attempt whose last byte a backend has read.
 type arrival struct {
 	backend     int
 	begun, at   time.Time
-	told        time.Duration // X-Expires-In
+	told        time.Duration // value of X-Expires-In
 	neverRan    bool
 	key, method string
 }
 
-// span is a time during which the node was held up.
+// span is a period in which the node was stopped.
 type span struct{ from, to time.Time }
 
-// soak is one life of one node.
+// soak is one run of one node.
 type soak struct {
 	t        *testing.T
 	seed     uint64
-	rng      *rand.Rand // of the driver
+	rng      *rand.Rand // used by the driver
 	deadline time.Duration
 	discover [2]string // two addresses of one registry
 	listen   string
-	config   string // the path
+	config   string // path of the configuration file
 
 	mu       sync.Mutex
 	revision int
 	draining [soakBackends]bool
-	toldAt   [soakBackends]time.Time // when the registry wrote that it drains; zero: it has not
-	canTell  [soakBackends]time.Time // when it could tell; zero: not before it wrote it
+	toldAt   [soakBackends]time.Time // when the registry wrote the list in which it drains; zero if it has not
+	canTell  [soakBackends]time.Time // when the registry could send that list; zero if not before it did
 	stalled  stall
 	stalls   int
 	changed  chan struct{} // closed at the next change of the list
@@ -74,19 +75,19 @@
 	heldUp   []span
 	requests []*request
 	faults   []string
-	late     time.Duration // how late this process's own timers were at the most
-	told     time.Time     // when SIGTERM was sent first
+	late     time.Duration // maximum delay of this process's own timers
+	told     time.Time // when the first SIGTERM was sent
 	over     chan struct{}
 }
 
-// request is what one client asked, and what became of it.
+// request is one request of a client and its outcome.
 type request struct {
 	id, effect string
 	budget     time.Duration
-	written    time.Time // the instant before its last byte was
-	left       time.Time // when its client closed; zero: it waited
-	first      bool      // on its connection
-	status     int       // 0: no answer
+	written    time.Time // right before its last byte was written
+	left       time.Time // when its client closed the connection; zero if it waited
+	first      bool // first request of its connection
+	status     int // 0 if there was no answer
 	body       string
 	ended      time.Time
 	err        error
@@ -98,7 +99,7 @@
 	s.faults = append(s.faults, fmt.Sprintf(format, args...))
 }
 
-// play has one node live, and returns what broke the rules.
+// play runs one node and returns the violations of the rules.
 func (s *soak) play() []string {
 	s.rng = rand.New(rand.NewPCG(s.seed, 1))
 	s.deadline = [...]time.Duration{400 * time.Millisecond, time.Second, 3 * time.Second}[s.rng.IntN(3)]
@@ -127,7 +128,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			s.t.Fatal("never ready")
+			s.t.Fatal("the node does not become ready")
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
@@ -148,7 +149,7 @@
 	return s.faults
 }
 
-// watchTimers measures how late this process is.
+// watchTimers measures the maximum delay of this process's timers.
 func (s *soak) watchTimers() {
 	const every = 5 * time.Millisecond
 	for at := time.Now(); ; at = time.Now() {
@@ -163,7 +164,7 @@
 	}
 }
 
-// holdUp stops the node for a moment.
+// holdUp stops the node with SIGSTOP for a short time.
 func (s *soak) holdUp(p *os.Process) {
 	from := time.Now()
 	p.Signal(syscall.SIGSTOP)
@@ -174,7 +175,7 @@
 	s.mu.Unlock()
 }
 
-// reload writes new configurations, one after another, with SIGHUP for each.
+// reload writes one or more new configurations and sends SIGHUP after each.
 func (s *soak) reload(p *os.Process) {
 	for n := 1 + s.rng.IntN(3); n > 0; n-- {
 		s.configure(s.discover[s.rng.IntN(2)], s.rng.IntN(4) == 0)
@@ -183,7 +184,7 @@
 	}
 }
 
-// crowd has clients connect that say nothing, or stop within a request.
+// crowd opens connections that send nothing or stop within a request.
 func (s *soak) crowd() {
 	for range 150 {
 		c, err := net.Dial("tcp", s.listen)
@@ -195,7 +196,7 @@
 	}
 }
 
-// trouble is what comes before the end.
+// trouble injects faults before SIGTERM.
 func (s *soak) trouble(p *os.Process) {
 	drained := -1
 	for n := 6 + s.rng.IntN(5); n > 0; n-- {
@@ -223,7 +224,8 @@
 	}
 }
 
-// end tells the node to end, perhaps in several ways at once, and kills it as soon as that may be.
+// end sends SIGTERM, once or several times and with further faults, and SIGKILL as soon as the platform may
+// send it.
 func (s *soak) end(p *os.Process, ended <-chan error) {
 	s.mu.Lock()
 	s.told = time.Now()
@@ -257,15 +259,16 @@
 			return
 		case <-kill:
 			p.Kill()
-			s.fault("the node was still there %v after SIGTERM", time.Since(s.told))
+			s.fault("the node was still running %v after SIGTERM", time.Since(s.told))
 			<-ended
 			return
 		}
 	}
 }
 
-// TestSoak plays short lives of a node: with drains, reloads, hold-ups, crowds and a discovery that stalls, told to end once or more, and clients that use
-// each connection for as long as it is open.
+// TestSoak runs a node for a short time with drains, reloads, stops of the process, crowds of connections and a
+// stalling discovery, and ends it with one or more SIGTERM. Clients reuse each connection for as long as it is
+// open. It guards against lost requests, duplicate runs, and requests to draining backends.
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakFirst + uint64(i)
@@ -288,7 +291,7 @@
 			t.Logf("deadline %v: %d requests, %d answered, %d served, %d without an answer; held up %d times, discovery %d; late by %v",
 				s.deadline, len(s.requests), answered, served, crossed, len(s.heldUp), s.stalls, s.late)
 			if served < leastServed {
-				t.Errorf("%d requests, %d served: nothing was tried", len(s.requests), served)
+				t.Errorf("%d requests, %d served: too few for a valid run", len(s.requests), served)
 			}
 			for i, f := range faults {
 				if i < 10 {
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -26,75 +26,77 @@
 )
 
 const (
-	// bodyMost bounds the body of a message, headMost its head.
+	// bodyMost and headMost bound the body and the head of a message, in bytes.
 	bodyMost, headMost = 64 << 10, 16 << 10
-	// answerMost bounds an answer as it comes: small chunks take several times their body.
+	// answerMost bounds the bytes read for one answer. A body in small chunks takes several times its own size
+	// on the wire.
 	answerMost = headMost + 4*bodyMost
-	// holdFor is how long an answer of no stated length is held back so that its length can be told and its end be seen.
+	// holdFor is how long an answer of unknown length is held back. If it ends in this time, the client gets
+	// its length, and a broken end is seen before any of it is sent.
 	holdFor = 100 * time.Millisecond
-	// informMost is how many 1xx answers may come ahead of the one that counts.
+	// informMost is how many 1xx answers may precede the final one.
 	informMost = 8
-	// probeWithin is how long a probe may take: an answer that comes later tells of the past.
+	// probeWithin is the timeout of a probe. A later answer would describe an outdated state.
 	probeWithin = 150 * time.Millisecond
-	// reportHeader carries a load report, neverRanHeader tells that a request never ran.
+	// reportHeader carries a load report. neverRanHeader marks a request that the backend did not run.
 	reportHeader, neverRanHeader = "Endpoint-Load-Metrics", "X-Never-Ran"
 )
 
 var errTooLongAnswer = errors.New("answer too long")
 
-// exchanges sends attempts and probes to backends. Each runs in a goroutine of its own on one connection.
+// exchanges sends attempts and probes to backends. Each runs in its own goroutine on one connection.
 //
-// The connections are not net/http's own. Its Transport sends a request again when a reused connection breaks,
-// and its ClientConn, which does not, reports a request as written (httptrace.WroteRequest) while it still
-// stands in a buffer: neither tells whether the last byte has left, which decides if an attempt may have run.
-// Here a request goes out whole in one Write. net/http still words it and reads the answer.
+// It doesn't use the connections of net/http. http.Transport sends a request again when a reused connection
+// breaks. ClientConn doesn't, but it reports a request as written (httptrace.WroteRequest) while the request is
+// still in a buffer. Neither reports whether the last byte has left, which decides whether an attempt may have
+// run. Here each request goes out in one Write. net/http is used to parse the answer.
 type exchanges struct {
 	pool     *pool
-	inline   bool // answers carry load reports
+	inline   bool // answers carry load reports in a header
 	complain *lograte.Limited
-	jobs     chan func() // taken by goroutines that wait for more: each new one grows its stack anew
+	jobs     chan func() // jobs for idle workers; a new goroutine would have to grow its stack again
 }
 
 func newExchanges(p *pool, inline bool, log *slog.Logger) *exchanges {
 	return &exchanges{pool: p, inline: inline, complain: &lograte.Limited{Log: log}, jobs: make(chan func())}
 }
 
-// message is what a client asked for, as it goes on to backends.
+// message is a client's request in the form in which it goes to backends.
 type message struct {
 	method string
-	uri    string // of the request line, where it is a path: net/url may word that otherwise
+	uri    string // request target as received, if it is a path; net/url may encode it differently
 	url    *url.URL
 	host   string
 	header http.Header
-	body   []byte   // at most bodyMost of it
-	more   [][]byte // and what follows, where it is longer and held
-	up     *upload  // and what is still to come, where it is not
+	body   []byte // first part of the body, at most bodyMost bytes
+	more   [][]byte // further pieces of a longer body that is held
+	up     *upload // rest of a longer body that is not held
 	probe  bool
-	tuning *tuning       // that it was read under
-	count  *classFigures // nil: nobody counts
+	tuning *tuning // settings under which the request was read
+	count  *classFigures // nil if the message isn't counted
 
-	left0  time.Duration // the request's time, from its last byte on
-	held   int64         // bytes that the budget counts
+	left0  time.Duration // time budget of the request from its last byte on
+	held   int64 // bytes reserved in budget
 	budget *budget
 
-	client *clients.Conn // whose it is; nil: nobody's, or it can't be looked at
-	gone   atomic.Bool   // it has left
-	went   func()        // takes that in, once
-	lost   chan struct{} // closed by that
+	client *clients.Conn // connection of the client; nil if there is none or it can't be checked
+	gone   atomic.Bool // the client has left
+	went   func() // records that the client has left; runs once
+	lost   chan struct{} // closed by went
 
 	mu      sync.Mutex
-	left    bool         // the client's goroutine is gone
-	streams chan *stream // takes an answer that is still coming; it has room for one
+	left    bool // the client's goroutine has ended
+	streams chan *stream // receives an answer that is still arriving; capacity 1
 }
 
-// reply is the answer of a backend that served.
+// reply is the answer of a backend that served the request.
 type reply struct {
 	body        []byte
 	contentType string
-	neverRan    bool // in place of an answer: an upload broke before its last byte
+	neverRan    bool // no answer: an upload broke before its last byte
 }
 
-// replyOf is the answer in a result; an empty one where there is none.
+// replyOf returns the reply in a result, or an empty one if there is none.
 func replyOf(body any) *reply {
 	if r, ok := body.(*reply); ok {
 		return r
@@ -102,31 +104,33 @@
 	return &reply{}
 }
 
-// call is an exchange under way.
+// call is an exchange in progress.
 type call struct {
 	cancel context.CancelFunc
 	own    *engine.Attempt // nil for a probe
-	up     *upload         // what is still to come of the body, if it is this call's
+	up     *upload // rest of the body, if this call sends it
 	state  atomic.Int32
 }
 
-// States of a call: its first byte has not been written, or it may have been, or it never will be.
+// States of a call: no byte is written yet, a byte may be written, or no byte will ever be written.
 const (
 	callQueued int32 = iota
 	callWriting
 	callBarred
 )
 
-// bar keeps a call that has not begun to write from ever doing so: a send counts for a drain from its first
-// byte, and a dial may outlast the grace. It tells whether it came in time.
+// bar prevents a call that has not begun to write from writing at all. For a drain a request counts as sent
+// from its first byte on, and a dial may take longer than the drain grace. bar reports whether it came before
+// the first byte.
 func (c *call) bar() bool { return c.state.CompareAndSwap(callQueued, callBarred) }
 
-// Send, Bar, GiveUp, Probe and Drop make exchanges the engine's transport.
+// Send starts an attempt. Send, Bar, GiveUp, Probe and Drop implement the engine's transport.
 func (x *exchanges) Send(a *engine.Attempt) {
 	a.State = x.begin(a, a.To, a.Request.Message.(*message), a.Deadline, a.Done)
 }
 
-// Bar is call.bar. What is barred reads nothing of the client's body: the next attempt, which follows at once, has it.
+// Bar is call.bar. A barred attempt reads nothing of the client's body, so the next attempt, which follows at
+// once, gets the body.
 func (x *exchanges) Bar(a *engine.Attempt) bool {
 	c := a.State.(*call)
 	barred := c.bar()
@@ -136,23 +140,23 @@
 	return barred
 }
 
-// GiveUp closes the attempt's connection.
+// GiveUp ends an attempt and closes its connection.
 func (x *exchanges) GiveUp(a *engine.Attempt) { a.State.(*call).cancel() }
 
-// Drop ends the idle connections to an endpoint.
+// Drop closes the idle connections to an endpoint.
 func (x *exchanges) Drop(to engine.Endpoint) { x.pool.drop(to) }
 
-// attempt sends a message to an endpoint and calls done, from another goroutine, with how it ended. What is not
-// over by the deadline is ended then, and its connection with it.
+// attempt sends a message to an endpoint. It calls done from another goroutine with the result. An attempt that
+// is not over by the deadline ends then, and its connection is closed.
 func (x *exchanges) attempt(to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
 	return x.begin(nil, to, m, deadline, done)
 }
 
-// begin is attempt for one that the engine may hand over as a stream.
+// begin is like attempt. The engine can have the answer of attempt own delivered as a stream.
 func (x *exchanges) begin(own *engine.Attempt, to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	if m.up != nil {
-		// Its time begins with the last byte of the body.
+		// The time budget starts with the last byte of the body.
 		cancel()
 		ctx, cancel = context.WithCancel(context.Background())
 	}
@@ -167,10 +171,10 @@
 	return c
 }
 
-// workerKeep is how long a goroutine waits for another job.
+// workerKeep is how long an idle worker waits for another job.
 const workerKeep = time.Second
 
-// work runs a job in a goroutine of its own, at once: one that waits, or a new one.
+// work runs a job at once, in an idle worker or in a new goroutine.
 func (x *exchanges) work(job func()) {
 	select {
 	case x.jobs <- job:
@@ -192,12 +196,12 @@
 	}()
 }
 
-// exchange carries out one attempt on one connection, once. It reports true where it handed the answer on as a stream, and
-// told the engine.
+// exchange carries out one attempt once, on one connection. It reports true if it handed the answer on as a
+// stream and informed the engine.
 func (x *exchanges) exchange(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (engine.Result, bool) {
 	ended := func(st balance.Status) (engine.Result, bool) { return engine.Result{Status: st}, false }
 	if m.up != nil && m.up.owner.Load() != c {
-		return ended(balance.Unused) // a part of the body has gone elsewhere, or another has it
+		return ended(balance.Unused) // another attempt has the body, or has sent a part of it
 	}
 	cn, text, stop, err := x.ready(ctx, c, to, m, deadline)
 	if err != nil {
@@ -205,7 +209,7 @@
 	}
 	switch {
 	case errors.Is(err, errNoRoom):
-		return ended(balance.Unused) // says nothing of the backend
+		return ended(balance.Unused) // the cause is not the backend
 	case err != nil:
 		return engine.Result{Status: balance.DialFailed, Refused: errors.Is(err, syscall.ECONNREFUSED)}, false
 	}
@@ -219,18 +223,18 @@
 		m.up.giveBack(c)
 		x.pool.discard(cn)
 		if n < all || m.up != nil {
-			return ended(balance.DialFailed) // the last byte never left
+			return ended(balance.DialFailed) // the last byte was not sent
 		}
 		return ended(x.broken(ctx, err))
 	}
 	if m.up != nil {
-		// From here on this attempt is the last one.
+		// This attempt is the last one, because it reads the rest of the body.
 		c.own.Started()
 		if err := m.up.pass(cn, m.up.length-m.size(), c.own.WriteBy); err != nil {
 			x.pool.discard(cn)
 			r := engine.Result{Status: balance.DialFailed, Body: &reply{neverRan: true}}
 			if errors.Is(err, errClient) {
-				r.Status = balance.Unused // says nothing of the backend
+				r.Status = balance.Unused // the cause is not the backend
 			}
 			return r, false
 		}
@@ -254,7 +258,7 @@
 		r.Load = x.report(text)
 	}
 	whole := reply{body: body, contentType: resp.Header.Get("Content-Type")}
-	if resp.Body != http.NoBody { // more is to come
+	if resp.Body != http.NoBody { // the body has not ended yet
 		if r.Status == balance.Delivered {
 			return x.handOn(ctx, c.own, stop, m, &stream{reply: whole, length: resp.ContentLength, rest: resp.Body, cn: cn,
 				keep: !resp.Close, pool: x.pool}, r.Load)
@@ -263,7 +267,7 @@
 	} else if resp.Close || cn.read.Buffered() > 0 || !stop() {
 		x.pool.discard(cn)
 	} else {
-		x.pool.put(cn) // the next one sets its own deadline
+		x.pool.put(cn) // the next request sets its own deadline
 	}
 	if r.Status == balance.Delivered {
 		r.Body = &whole
@@ -271,9 +275,12 @@
 	return r, false
 }
 
-// ready returns a connection and the words to write on it. Nothing is left to do before the write, so the look at the connection
-// is the last thing: what was readable before the request is no answer to it, and one that has ended would swallow it.
-func (x *exchanges) ready(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (*conn, []byte, func() bool, error) {
+// ready returns a connection and the bytes to write on it. The check of the connection is the last step before
+// the write. Bytes that were readable before the request are no answer to it, and a connection that has ended
+// would lose the request.
+func (x *exchanges) ready(
+	ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time,
+) (*conn, []byte, func() bool, error) {
 	for {
 		cn, err := x.pool.get(ctx, to, m.probe)
 		if err != nil {
@@ -282,11 +289,11 @@
 		text := m.wire(to.Addr, time.Until(deadline))
 		cn.SetDeadline(deadline)
 		if c.own != nil && !c.own.WriteBy.IsZero() && c.own.WriteBy.Before(deadline) {
-			cn.SetWriteDeadline(c.own.WriteBy) // it is sent with its last byte
+			cn.SetWriteDeadline(c.own.WriteBy) // the request counts as sent with its last byte
 		}
-		// Given up means closed, at once: nothing that comes later can reach anyone.
+		// A call that is given up closes its connection at once. Nothing that arrives later has a receiver.
 		stop := context.AfterFunc(ctx, func() { sock.Abort(cn.Conn) })
-		if cn.usable() || ctx.Err() != nil { // the latter closes it
+		if cn.usable() || ctx.Err() != nil { // if ctx has ended, the connection is closed already
 			return cn, text, stop, nil
 		}
 		stop()
@@ -297,7 +304,8 @@
 	}
 }
 
-// broken tells how an attempt ended that was written whole and got no whole answer. It may have run.
+// broken returns the status of an attempt that was written whole and got no whole answer. The backend may have
+// run it.
 func (x *exchanges) broken(ctx context.Context, err error) balance.Status {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -308,7 +316,7 @@
 	return balance.Dropped
 }
 
-// outcome reads a whole answer's status.
+// outcome returns the status of a whole answer.
 func outcome(resp *http.Response) balance.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -321,7 +329,7 @@
 	return balance.AppError
 }
 
-// target is what the request line asks for: path and query as they came.
+// target returns the request target, with path and query as received.
 func (m *message) target() string {
 	if strings.HasPrefix(m.uri, "/") {
 		return m.uri
@@ -329,8 +337,8 @@
 	return m.url.RequestURI()
 }
 
-// wire words the message for a backend, in one piece. http.Request.Write does the same for a tenth of the node's
-// CPU. Names and values have been read and checked by net/http: no line of theirs can end another.
+// wire encodes the message for a backend in one piece. http.Request.Write does the same but takes a tenth of
+// the node's CPU. net/http has parsed and checked names and values, so none of them can end a line.
 func (m *message) wire(addr string, left time.Duration) []byte {
 	host := cmp.Or(m.host, addr)
 	b := make([]byte, 0, len(m.body)+1<<10)
@@ -360,9 +368,10 @@
 	return append(b, m.body...)
 }
 
-// answer reads one answer: whole, or, where long ones are wanted, its first bytes: of one that says that it is longer than
-// bodyMost, and of one that says nothing and is longer, or has not ended holdFor after its head. Of a whole one Body is
-// http.NoBody. One that ends with its connection is whole by that (RFC 9112, section 6.3).
+// answer reads one answer. It returns the whole answer and sets Body to http.NoBody. If long is set, it returns
+// only the first bytes of an answer whose stated length is over bodyMost, and of an answer without a stated
+// length that is over bodyMost or has not ended holdFor after its head. An answer without a length is whole
+// when its connection ends (RFC 9112, section 6.3).
 func (c *conn) answer(method string, long bool) (*http.Response, []byte, error) {
 	c.limit.N = answerMost
 	req := &http.Request{Method: method}
@@ -375,7 +384,7 @@
 			continue
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, nil, errors.New("an answer that switches protocols") // nobody asked for it
+			return nil, nil, errors.New("unexpected answer: 101 Switching Protocols") // requests never ask for an upgrade
 		}
 		if resp.ContentLength > bodyMost && !long {
 			return nil, nil, errTooLongAnswer
@@ -404,7 +413,8 @@
 		switch {
 		case err != nil && !errors.Is(err, io.EOF):
 			return nil, nil, err
-		case err == nil && !long, resp.ContentLength < 0 && c.limit.N <= 0: // the bound looks like the connection's end
+		case err == nil && !long, resp.ContentLength < 0 && c.limit.N <= 0:
+			// Reaching the read limit looks like the end of the connection.
 			return nil, nil, errTooLongAnswer
 		case err == nil:
 			c.limit.N = math.MaxInt64
@@ -416,7 +426,7 @@
 	return nil, nil, errors.New("too many 1xx answers")
 }
 
-// Probe asks an endpoint for its load report.
+// Probe requests the load report of an endpoint.
 func (x *exchanges) Probe(to engine.Endpoint, done func(engine.Result)) {
 	x.attempt(to, &message{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.Addr, header: http.Header{}, probe: true},
 		time.Now().Add(probeWithin), func(r engine.Result) {
@@ -424,13 +434,13 @@
 				r.Load = x.report(string(replyOf(r.Body).body))
 			}
 			if r.Status == balance.AppError {
-				r.Status = balance.Shed // a probe that is turned away
+				r.Status = balance.Shed // the backend rejected the probe
 			}
 			done(r)
 		})
 }
 
-// report reads a load report and complains, at a bounded rate, of one that can't be read.
+// report parses a load report. It logs a malformed one at a bounded rate.
 func (x *exchanges) report(text string) balance.Load {
 	l, err := settings.ParseReport(text)
 	if err != nil {
--- a/internal/node/bulk.go
+++ b/internal/node/bodies.go
@@ -15,31 +15,33 @@
 	"glencart/internal/engine"
 )
 
-// Bodies and answers of over bodyMost bytes: held in pieces where there is room for them, else passed on as they come.
+// This file handles bodies and answers of over bodyMost bytes. They are held in pieces while there is room, and
+// passed on as they arrive otherwise.
 
 const (
-	// uploadMost bounds the body of a request: how long one client may go on.
+	// uploadMost bounds the body of a request in bytes, and so how long one client may keep sending.
 	uploadMost = 40 << 20
-	// copyPiece is the buffer of a stream.
+	// copyPiece is the buffer size of a stream.
 	copyPiece = 32 << 10
-	// silentMost is how long a client may go without a byte of its body, backendSilent a backend without one of its answer or
-	// without taking one of a request, readerSilent a client without taking one of its answer.
+	// silentMost is how long a client may send no byte of its body. backendSilent is how long a backend may
+	// send no byte of its answer or read no byte of a request. readerSilent is how long a client may read no
+	// byte of its answer.
 	silentMost, backendSilent, readerSilent = stopsWithin, 10 * time.Second, 20 * time.Second
-	// uploadLeast is the pace, in bytes a second, that a body has to keep after silentMost: who sends a byte now and then
-	// wants the place. 64 kB a second are to be served.
+	// uploadLeast is the minimum rate of a body in bytes per second, after an initial silentMost. Without it a
+	// client that sends a byte now and then would hold its place. Clients at 64 kB per second must be served.
 	uploadLeast = 16 << 10
 )
 
 var (
 	errTooLong = errors.New("body too long")
 	errCut     = errors.New("body cut short")
-	errClient  = errors.New("the client's side broke")
+	errClient  = errors.New("client connection failed")
 )
 
-// budget bounds the bytes of all bodies that are held beyond bodyMost.
+// budget bounds the bytes of all bodies that are held beyond their first bodyMost bytes.
 type budget struct{ left atomic.Int64 }
 
-// take reserves bytes, if there are so many.
+// take reserves n bytes. It reports whether so many are left.
 func (b *budget) take(n int64) bool {
 	if b.left.Add(-n) >= 0 {
 		return true
@@ -48,7 +50,8 @@
 	return false
 }
 
-// patient reads a client's body. Its time limit is on silence: a slow client is none that has gone.
+// patient reads a client's body. Its timeout is on silence and on a low rate, because a slow client has not
+// left.
 type patient struct {
 	body  io.Reader
 	rc    *http.ResponseController
@@ -66,19 +69,19 @@
 	n, err := p.body.Read(b)
 	p.got += int64(n)
 	if errors.Is(err, io.EOF) {
-		p.rc.SetReadDeadline(time.Time{}) // one that passes later would look as if the client had gone
+		p.rc.SetReadDeadline(time.Time{}) // a deadline that passes later would look as if the client had left
 	}
 	return n, err
 }
 
-// body reads the body of a request: whole where it is short or there is room to hold it, else its beginning, with the rest
-// to come.
+// body reads the body of a request. It reads the whole body if it is short or there is room to hold it.
+// Otherwise it reads the first part and leaves the rest in m.up.
 func (f *front) body(w http.ResponseWriter, hr *http.Request, m *message) error {
 	if hr.ContentLength == 0 {
 		return nil
 	}
-	most := f.bodyMost.Load()
-	if hr.ContentLength > most {
+	maxBytes := f.bodyMost.Load()
+	if hr.ContentLength > maxBytes {
 		return errTooLong
 	}
 	rc := http.NewResponseController(w)
@@ -95,7 +98,7 @@
 		whole = true
 	}
 	total := size
-	fits := !whole && f.held.take(max(hr.ContentLength-total, 0)) // else there is no use in holding a part
+	fits := !whole && f.held.take(max(hr.ContentLength-total, 0)) // without room for the whole body, holding a part is of no use
 	if fits {
 		m.held, m.budget = max(hr.ContentLength-total, 0), &f.held
 	}
@@ -113,21 +116,21 @@
 		}
 		total += piece
 		whole = whole || total == hr.ContentLength
-		if total > most {
+		if total > maxBytes {
 			return errTooLong
 		}
 	}
 	if !whole {
-		m.up = &upload{from: from, length: hr.ContentLength, rc: rc, within: most - total}
+		m.up = &upload{from: from, length: hr.ContentLength, rc: rc, within: maxBytes - total}
 	}
 	return nil
 }
 
-// fill reads so many bytes, or to the end of the body, and tells whether it met that.
+// fill reads size bytes or up to the end of the body. It reports whether it reached the end.
 func (m *message) fill(from io.Reader, size int64) (end bool, err error) {
 	var piece []byte
 	if m.body == nil && size == bodyMost {
-		piece = make([]byte, 0, 4<<10) // most bodies of a length that is not told are short
+		piece = make([]byte, 0, 4<<10) // most bodies of unknown length are short
 	} else {
 		piece = make([]byte, 0, size)
 	}
@@ -152,7 +155,7 @@
 	return false, err
 }
 
-// release gives back what the message held.
+// release returns the message's bytes to the budget.
 func (m *message) release() {
 	if m.budget != nil {
 		m.budget.left.Add(m.held)
@@ -160,7 +163,7 @@
 	}
 }
 
-// size is the length of what is held of the body.
+// size returns the length of the held part of the body.
 func (m *message) size() int64 {
 	n := int64(len(m.body))
 	for _, piece := range m.more {
@@ -169,26 +172,26 @@
 	return n
 }
 
-// upload is the rest of a body that is passed on as it comes. One attempt may have it, once.
+// upload is the rest of a body that is passed on as it arrives. Only one attempt may send it, once.
 type upload struct {
 	from   *patient
 	rc     *http.ResponseController
-	length int64 // of the whole body; -1: not told
-	within int64 // bytes that may come yet
+	length int64 // of the whole body; -1 if unknown
+	within int64 // how many more bytes may arrive
 
-	owner atomic.Pointer[call] // the attempt that may read from it; set on the engine's loop, given back by the attempt or its Bar
-	begun atomic.Bool          // some of it has been read
-	gone  atomic.Bool          // its client has gone, or has been silent for too long
+	owner atomic.Pointer[call] // attempt that may read the body; set on the engine's loop, cleared by the attempt or its Bar
+	begun atomic.Bool // a part has been read
+	gone  atomic.Bool // the client has left, or was silent for too long
 
-	mu      sync.Mutex // held while it is read
+	mu      sync.Mutex // held during a read
 	stopped atomic.Bool
 	ended   bool
 }
 
-// errStopped says that the client has its answer already.
-var errStopped = errors.New("the request is over")
+// errStopped reports that the client already has its answer.
+var errStopped = errors.New("request already answered")
 
-// read reads the next piece for the attempt that has it.
+// read reads the next piece for the attempt that owns the upload.
 func (u *upload) read(b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -204,38 +207,40 @@
 	return n, err
 }
 
-// take lets an attempt have an upload that no other has and of which nothing has been read.
+// take makes an attempt the owner if the upload has no owner and nothing of it has been read.
 func (u *upload) take(c *call) {
 	if u != nil && !u.begun.Load() {
 		u.owner.CompareAndSwap(nil, c)
 	}
 }
 
-// giveBack lets another attempt have an upload, if this one has it and has read nothing of it. A nil upload is none.
+// giveBack lets another attempt own the upload, if c owns it and nothing of it has been read. A nil upload is
+// allowed.
 func (u *upload) giveBack(c *call) {
 	if u != nil && !u.begun.Load() {
 		u.owner.CompareAndSwap(c, nil)
 	}
 }
 
-// stop ends the reading, and reads on what is left so that a client that writes first finds its answer.
+// stop ends the reading for the attempt. It discards the rest of the body, so that a client that writes
+// everything before it reads still gets its answer.
 func (u *upload) stop() {
 	u.stopped.Store(true)
 	if !u.mu.TryLock() {
-		u.rc.SetReadDeadline(time.Now()) // somebody waits for a piece
+		u.rc.SetReadDeadline(time.Now()) // interrupts a read in progress
 		u.mu.Lock()
 	}
 	defer u.mu.Unlock()
-	if !u.ended && u.within > 0 && !u.gone.Load() { // flushing would word an empty 200 for who has gone
+	if !u.ended && u.within > 0 && !u.gone.Load() { // if the client has left, a flush would send an empty 200
 		u.rc.Flush()
 		io.CopyN(io.Discard, u.from, u.within)
 	}
 	u.rc.SetReadDeadline(time.Time{})
 }
 
-// pass writes what is left of an upload to a backend, as it comes. left counts its bytes where the length was told. errClient
-// stands before what the client did. An error means that the last byte has not been written: none is from by on, if that is not
-// zero.
+// pass writes the rest of an upload to a backend as it arrives. left counts its bytes if the length is known.
+// pass wraps an error on the client's side in errClient. An error means that the last byte has not been
+// written. If by is not zero, pass doesn't write the last byte after by.
 func (u *upload) pass(cn *conn, left int64, by time.Time) error {
 	chunked := u.length < 0
 	var to io.WriteCloser = plainWriter{cn}
@@ -258,7 +263,7 @@
 				return err
 			}
 			if left -= int64(n); !chunked && left == 0 {
-				return nil // whatever comes of the client's side now
+				return nil // the backend has the whole body; an error of the client no longer matters
 			}
 		}
 		switch {
@@ -283,17 +288,17 @@
 
 func (plainWriter) Close() error { return nil }
 
-// stream is an answer whose rest is still to come from its backend.
+// stream is an answer of which the backend is still sending the rest.
 type stream struct {
 	reply
-	length int64 // of the whole; -1: not told
+	length int64 // of the whole answer; -1 if unknown
 	rest   io.ReadCloser
 	cn     *conn
-	keep   bool // the connection may be used again after it
+	keep   bool // the connection can be reused afterwards
 	pool   *pool
 }
 
-// end gives the connection back, or ends it.
+// end returns the connection to the pool, or closes it.
 func (s *stream) end(whole bool) {
 	if whole && s.keep && s.cn.read.Buffered() == 0 {
 		s.pool.put(s.cn)
@@ -302,7 +307,7 @@
 	s.pool.discard(s.cn)
 }
 
-// hand passes a stream to the goroutine that has the client. It tells whether that is still there.
+// hand passes a stream to the client's goroutine. It reports whether that goroutine still runs.
 func (m *message) hand(s *stream) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -313,7 +318,7 @@
 	return true
 }
 
-// leave tells that nobody will take a stream any more.
+// leave records that no stream will be received any more.
 func (m *message) leave() {
 	m.mu.Lock()
 	m.left = true
@@ -325,9 +330,11 @@
 	}
 }
 
-// handOn makes a stream of an answer whose beginning has come, and hands it to the client's goroutine if the request may
-// have it. It tells how the attempt ended where it does not.
-func (x *exchanges) handOn(ctx context.Context, own *engine.Attempt, stop func() bool, m *message, s *stream, load balance.Load) (engine.Result, bool) {
+// handOn hands an answer that has begun to the client's goroutine as a stream, if the request may have it. It
+// returns the result of the attempt if it doesn't.
+func (x *exchanges) handOn(
+	ctx context.Context, own *engine.Attempt, stop func() bool, m *message, s *stream, load balance.Load,
+) (engine.Result, bool) {
 	if !stop() {
 		x.pool.discard(s.cn)
 		return engine.Result{Status: x.broken(ctx, context.Canceled)}, false
@@ -339,7 +346,8 @@
 	return engine.Result{}, true
 }
 
-// pass writes a stream to its client as it comes. Where it breaks, the client's connection ends without the last chunk.
+// pass writes a stream to its client as it arrives. If the stream breaks, the client's connection is closed
+// without the last chunk.
 func (f *front) pass(w http.ResponseWriter, s *stream, count *classFigures) {
 	whole := false
 	defer func() {
@@ -389,10 +397,11 @@
 	}
 }
 
-// send writes a message with its body to a backend, whole where all of it is held. It returns how many bytes of what is held
-// are out, and how many there are. Writing them may last: what comes before the last piece is no answer.
+// send writes a message and its held body to a backend. It returns how many of the held bytes are written, and
+// how many there are. Writing them may take long, so bytes that the backend sends before the last piece are no
+// answer.
 func (m *message) send(cn *conn, text []byte) (n, all int64, err error) {
-	if len(m.more) == 0 || m.up != nil && m.up.length < 0 { // the first chunk has all that is held
+	if len(m.more) == 0 || m.up != nil && m.up.length < 0 { // the first chunk contains the whole held part
 		k, err := cn.Write(text)
 		return int64(k), int64(len(text)), err
 	}
--- a/internal/node/bounds.go
+++ b/internal/node/bounds.go
@@ -7,46 +7,55 @@
 	"glencart/internal/members/registry/pace"
 )
 
-// All bounds that follow from the machine and the fleet are derived here. docs/OPERATIONS.md has them in a table.
+// This file derives all bounds that depend on the machine and the number of nodes. docs/OPERATIONS.md lists
+// them in a table.
 
 const (
-	// leastSockets is the smallest limit on descriptors that a node starts with, otherSockets what it keeps for all but clients
-	// and backends. At the worst that is 33: standard streams 3, the runtime's poller 2 and its look at the processors' limit 2,
-	// sockets for clients, operators and datagrams 3, the locks of a process beside another 2, files that are read or written 3,
-	// calls to discovery pace.NearLeast and one given up that is not closed yet 7, silent operators adminLast and the one that
-	// is let in 11. Clients and connections to backends, dials included, are counted before they are let in or dialed. Where there
-	// are more descriptors than the least, calls to discovery may have one in discoveryPart of them, pace.NearMost at the most.
+	// leastSockets is the smallest limit on descriptors with which a node starts. otherSockets is how many
+	// descriptors the node reserves for everything other than clients and backends. The worst case is 33:
+	// - standard streams: 3
+	// - the runtime's poller: 2, and its check of the CPU limit: 2
+	// - sockets for clients, operators and datagrams: 3
+	// - lock files shared with another process: 2
+	// - files that are read or written: 3
+	// - calls to discovery: 7 (pace.NearLeast, and one given up that is not closed yet)
+	// - connections of operators: 11 (adminLast silent ones, and one that is being accepted)
+	// Clients and connections to backends, dials included, are counted before they are accepted or dialed. If
+	// there are more than leastSockets descriptors, calls to discovery may use one in discoveryPart of them, at
+	// most pace.NearMost.
 	leastSockets, otherSockets, discoveryPart = 64, 34, 16
-	// backendPart of what is left is for backends, in hundredths. A request in flight holds a connection on each side; those
-	// of clients that are about to ask, or that stay, come on top.
+	// backendPart is the share of the remaining descriptors for backends, in percent. A request in flight holds
+	// a connection on each side. Clients need more because some connections have no request in flight.
 	backendPart = 45
-	// usualSockets stands for a limit that is not told, usualMemory, in MB, for one on memory.
+	// usualSockets replaces a limit on descriptors that is not given, usualMemory one on memory, in MB.
 	usualSockets, usualMemory = 1024, 64
-	// heapParts of ten of the memory are the collector's aim; the rest is for stacks, the runtime and the system's buffers.
+	// heapParts is the share of the memory for the garbage collector's limit, in tenths. The rest is for
+	// stacks, the runtime and socket buffers.
 	heapParts = 7
-	// holdPart is the part of the memory that bodies over bodyMost may take up together.
+	// holdPart sets the memory for all bodies over bodyMost together: one part in holdPart of the memory.
 	holdPart = 4
-	// listLeast: no list of nodes or backends is cut below this.
+	// listLeast is the minimum of a bound that depends on the number of nodes or backends.
 	listLeast = 1024
-	// hearEach messages of each peer may wait for the loop, each hearBytes: a loop that is behind or a peer that floods must not
-	// fill the memory, of which they get hearPart at the most, and a datagram may be lost anyway.
+	// hearEach is how many messages of each peer may be queued for the loop. A message takes hearBytes. A slow
+	// loop or a flooding peer must not fill the memory, so messages get at most one part in hearPart of it.
+	// Dropping one is allowed because a datagram may be lost anyway.
 	hearEach, hearBytes, hearPart = 2, 200, 64
-	// tellLeast is how many datagrams may wait to be sent at the least: one for each peer always has room.
+	// tellLeast is the minimum size of the send queue, in datagrams. There is always room for one to each peer.
 	tellLeast = 64
-	// probesOut are connections to backends that are kept for probes.
+	// probesOut is how many connections to backends are reserved for probes.
 	probesOut = 4
 )
 
-// bounds are what a process of a node may hold at once.
+// bounds are the limits on what a process of a node may hold at once.
 type bounds struct {
-	clients, backends int   // connections
-	requests          int   // open ones
-	discovery         int   // calls to it
-	heap, held        int64 // bytes: of the collector's aim, and of bodies over bodyMost
-	hear, tell        int   // messages of peers that wait for the loop, and datagrams that wait to be sent
+	clients, backends int // connections
+	requests          int // open requests
+	discovery         int // calls to discovery
+	heap, held        int64 // bytes: memory limit of the garbage collector, and of bodies over bodyMost
+	hear, tell        int // messages of peers queued for the loop, and datagrams queued for sending
 }
 
-// boundsOf derives the bounds of a process that has these limits, and so many peers.
+// boundsOf derives the bounds of a process from its limits and the number of its peers.
 func boundsOf(l Limits, peers int) bounds {
 	sockets := cmp.Or(l.Sockets, usualSockets)
 	calls := min(max(sockets/discoveryPart, pace.NearLeast), pace.NearMost)
@@ -60,7 +69,9 @@
 	return b
 }
 
+// LogValue implements slog.LogValuer.
 func (b bounds) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int("clients", b.clients), slog.Int("backends", b.backends), slog.Int("requests", b.requests), slog.Int("discovery", b.discovery),
+	return slog.GroupValue(slog.Int("clients", b.clients), slog.Int("backends", b.backends),
+		slog.Int("requests", b.requests), slog.Int("discovery", b.discovery),
 		slog.Int64("heap", b.heap), slog.Int64("bodies", b.held), slog.Int("hear", b.hear), slog.Int("tell", b.tell))
 }
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -27,72 +27,72 @@
 )
 
 const (
-	// stopsWithin is how long a client that stops within a request may stay: it is owed an error or a close within 3 s, of which
-	// half a second is for a queue before Accept and for late timers.
+	// stopsWithin is how long a client that stops within a request may stay connected. The client must get an
+	// error or a close within 3 s. Half a second of that is for a queue before Accept and for late timers.
 	stopsWithin = 2500 * time.Millisecond
-	// headWithin is how long a client may take from its connection, or the first byte of a further request,
-	// to the last byte of the head; idleWithin how long it may keep a connection without a request.
+	// headWithin is how long a client may take from its connection, or from the first byte of a further
+	// request, to the last byte of the head. idleWithin is how long a connection may stay without a request.
 	headWithin, idleWithin = stopsWithin, 4 * time.Second
-	// drainMost bounds what is read of a body that is turned away.
+	// drainMost bounds how many bytes are read of the body of a rejected request.
 	drainMost = 4 * bodyMost
 	// answerWithin is how long a client may take to read its answer.
 	answerWithin = 20 * time.Second
-	// early is how much sooner than the client's deadline a request ends: its way here and the answer's way
-	// back take part of the time, and neither can be seen from here.
+	// early is how much sooner than the client's deadline a request ends. The request's way to the node and the
+	// answer's way back take part of the time, and the node can't measure either.
 	early = 8 * time.Millisecond
-	// defaultDeadline stands for a class's deadline that is not told.
+	// defaultDeadline is the deadline of a class that has none.
 	defaultDeadline = time.Minute
-	// goneEvery is how often it is looked at whether a client that waits has left. The library sees that only as long as nothing
-	// has come after the request; each attempt's write is looked at by itself.
+	// goneEvery is the interval at which the node checks whether a waiting client has left. net/http sees that
+	// only while no byte follows the request. Each attempt is checked once more before its write.
 	goneEvery = 100 * time.Millisecond
-	// fullRetry is when a client may come back that was refused because the node is full.
+	// fullRetry is the retry-after of a request that is rejected because the node is full.
 	fullRetry = 250 * time.Millisecond
 )
 
-// front is the client side: it reads requests, has the loop decide and writes the answers.
+// front is the client side. It reads requests, passes them to the loop for a decision and writes the answers.
 type front struct {
 	loop     *engine.Engine
 	tuning   atomic.Pointer[tuning]
-	held     budget       // of bodies over bodyMost
-	bodyMost atomic.Int64 // the longest body, bytes
+	held     budget // for bodies over bodyMost
+	bodyMost atomic.Int64 // longest body in bytes
 	log      *slog.Logger
-	most     atomic.Int64 // requests at once
+	most     atomic.Int64 // limit on requests in flight
 	inFlight atomic.Int64
-	ready    atomic.Bool  // the node's life lets it be ready
-	leaving  atomic.Bool  // the node is about to end
-	closing  atomic.Bool  // and answers close their connections
-	timed    atomic.Bool  // writing answers is timed
-	writes   atomic.Int64 // the mean time of wording and writing an answer, ns
+	ready    atomic.Bool // the lifecycle permits readiness
+	leaving  atomic.Bool // the node is shutting down
+	closing  atomic.Bool // answers close their connections
+	timed    atomic.Bool // the time for writing answers is measured
+	writes   atomic.Int64 // mean time for encoding and writing an answer, in ns
 	book     living.Book
 	table    *clients.Table
 }
 
-// newFront returns the client side for a node that may hold so many connections of clients.
-func newFront(l *engine.Engine, names settings.Settings, most, backends int, fig *figures, log *slog.Logger) *front {
-	f := &front{loop: l, log: log, table: clients.NewTable(most, clients.Platform)}
-	f.tuning.Store(newTuning(names, fig))
+// newFront returns the client side of a node with these limits on connections of clients and to backends.
+func newFront(l *engine.Engine, names settings.Settings, maxClients, maxBackends int, counts *figures, log *slog.Logger) *front {
+	f := &front{loop: l, log: log, table: clients.NewTable(maxClients, clients.Platform)}
+	f.tuning.Store(newTuning(names, counts))
 	f.bodyMost.Store(uploadMost)
-	f.resize(most, backends)
+	f.resize(maxClients, maxBackends)
 	return f
 }
 
-// resize changes how many connections of clients there may be, and how many to backends they may need.
-func (f *front) resize(most, backends int) {
-	f.most.Store(int64(min(most, backends-probesOut)))
-	f.table.Resize(most)
+// resize changes the limits on connections of clients and to backends.
+func (f *front) resize(maxClients, maxBackends int) {
+	f.most.Store(int64(min(maxClients, maxBackends-probesOut)))
+	f.table.Resize(maxClients)
 }
 
 // server returns the HTTP server of the client side.
 func (f *front) server() *http.Server {
 	return &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: headWithin, // a body has as long as it goes on coming
+		ReadHeaderTimeout: headWithin, // a body has its own timeout, see patient
 		IdleTimeout:       idleWithin,
 		MaxHeaderBytes:    headMost,
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 		ConnState:         f.table.Track,
 		ConnContext:       clients.WithConn,
-		// What the library would answer by itself no backend has made.
+		// Without this net/http would answer "OPTIONS *" itself, with an answer that no backend sent.
 		DisableGeneralOptionsHandler: true,
 	}
 }
@@ -116,14 +116,15 @@
 		}
 		f.count(taken, answered)
 	}()
-	// The last request's would hold on.
+	// Otherwise the write deadline of the previous request on this connection would apply.
 	http.NewResponseController(w).SetWriteDeadline(received.Add(headWithin + answerWithin))
-	// Closing after an answer crosses no request, as closing an idle connection may.
+	// Closing an idle connection may cross a request that is under way. Closing after an answer can't.
 	closes(w, hr.Context(), f.closing.Load() || f.table.Crowded())
 	if frame := clients.FromContext(hr.Context()); frame != nil {
 		switch {
 		case frame.Unsure.Load(), hr.ProtoMajor == 1 && hr.ProtoMinor == 0 && frame.Chunked.Load():
-			// Two lengths, or chunks that this version of HTTP does not have: it may hide another request.
+			// The request has two lengths, or chunks, which HTTP/1.0 doesn't have. Its body may hide another
+			// request.
 			w.Header().Set("Connection", "close")
 			http.Error(w, "Content-Length, Transfer-Encoding: the length of the body is not certain: send one of them, once", http.StatusBadRequest)
 			return
@@ -162,12 +163,13 @@
 	if m.up != nil {
 		defer m.up.stop()
 	}
-	if !f.table.Begin(hr.Context()) { // it gives way, or the node ends
+	if !f.table.Begin(hr.Context()) { // the connection is being closed to make room, or the node is shutting down
 		answered = true
 		f.refuseUnsent(w, hr.Context(), count)
 		return
 	}
-	// Only whole requests count: else a few clients that send theirs slowly would have the rest refused.
+	// Only whole requests count. Otherwise a few clients that send slowly would cause the rejection of all
+	// others.
 	if f.inFlight.Add(1) > f.most.Load() {
 		f.inFlight.Add(-1)
 		answered = true
@@ -179,17 +181,17 @@
 	answered = true
 }
 
-// answerPanic answers a request whose handler has panicked, unless its answer has begun: that ends without its last byte. net/http
-// would end the connection without a word.
+// answerPanic answers a request whose handler has panicked. If the answer has begun, it ends without its last
+// byte. net/http would close the connection without an answer.
 func (f *front) answerPanic(w http.ResponseWriter, hr *http.Request, cause any) {
-	f.log.Error("a request ended in a panic: it is answered as failed", "id", hr.Header.Get("X-Trace-Id"), "panic", cause,
+	f.log.Error("handler panicked: the request is answered as failed", "id", hr.Header.Get("X-Trace-Id"), "panic", cause,
 		"stack", string(debug.Stack()))
 	w.Header().Set("Connection", "close")
 	fail(w, http.StatusInternalServerError)
 	http.NewResponseController(w).Flush()
 }
 
-// count takes in how a request ended, if it was taken.
+// count counts how a received request ended.
 func (f *front) count(taken, answered bool) {
 	if !taken {
 		return
@@ -197,28 +199,28 @@
 	if answered {
 		f.book.Answered.Add(1)
 	} else {
-		f.book.Left.Add(1) // its connection is broken
+		f.book.Left.Add(1) // the client's connection is broken
 	}
 }
 
-// refuseUnsent refuses a request that the loop has not seen, and closes its connection.
+// refuseUnsent rejects a request that the loop has not seen, and closes its connection.
 func (f *front) refuseUnsent(w http.ResponseWriter, ctx context.Context, count *classFigures) {
 	closes(w, ctx, true)
 	refuse(w, fullRetry)
 	count.refused.Add(1)
 }
 
-// turnAway answers what can't be read and closes the connection.
+// turnAway answers a request that can't be read, and closes the connection.
 func (f *front) turnAway(w http.ResponseWriter, hr *http.Request, err error, status int) {
 	w.Header().Set("Connection", "close")
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(silentMost)) // for what is left of the body
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(silentMost)) // for the rest of the body
 	text := err.Error() + "\n"
 	w.Header().Set("Content-Type", "text/plain")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
 	io.WriteString(w, text)
 	if hr.ContentLength > 0 && hr.Header.Get("Expect") == "" {
-		// Closing with something unread makes a reset, which can overtake the answer.
+		// Closing a connection with unread bytes sends a reset, which can overtake the answer.
 		http.NewResponseController(w).Flush()
 		io.CopyN(io.Discard, hr.Body, drainMost)
 	}
@@ -234,7 +236,8 @@
 	io.WriteString(w, text)
 }
 
-// closes has an answer close its connection, if that is wanted and nothing that has been read stands behind it: net/http would drop that.
+// closes sets or clears "Connection: close" on an answer. The connection stays open if further bytes have been
+// read behind the request, because net/http would drop them.
 func closes(w http.ResponseWriter, ctx context.Context, want bool) {
 	switch c := clients.FromContext(ctx); {
 	case c != nil && c.Behind():
@@ -244,20 +247,21 @@
 	}
 }
 
-// serve has the loop decide on a request and passes on the one final answer.
+// serve passes a request to the loop and writes its one final answer.
 func (f *front) serve(w http.ResponseWriter, ctx context.Context, r *engine.Request) {
 	m := r.Message.(*message)
 	m.went = sync.OnceFunc(func() {
 		m.gone.Store(true)
-		f.loop.PostFirst(func() { f.loop.Gone(r) }) // where the loop has not taken it in yet, it never will
+		f.loop.PostFirst(func() { f.loop.Gone(r) }) // if the loop has not received the request yet, it never will
 		close(m.lost)
 	})
 	f.loop.Post(func() {
 		if m.gone.Load() {
-			return // its client left while this waited for the loop
+			return // the client left while this was queued for the loop
 		}
 		if !m.tuning.holds(f.tuning.Load(), r.Class) {
-			// Nothing has run: read again, it is of the class that its name means now.
+			// Nothing has run. When the client sends it again, the request gets the class that the name has
+			// now.
 			r.Reply <- engine.Answer{Kind: engine.Refused}
 			return
 		}
@@ -287,9 +291,9 @@
 			if m.up != nil {
 				m.up.gone.Store(true)
 			}
-			// Returning would have the library word an empty 200.
+			// If the handler returned, net/http would send an empty 200.
 			panic(http.ErrAbortHandler)
-		case <-f.loop.Done(): // the node is ending
+		case <-f.loop.Done(): // the node has ended
 			fail(w, http.StatusBadGateway)
 			m.count.failed.Add(1)
 			return
@@ -297,8 +301,8 @@
 	}
 }
 
-// clientGone tells whether the client has left. It is asked in the instant before each attempt's write: the loop, and the library
-// that reads on, may not have seen so yet, or, behind a byte that came after the request, never would.
+// clientGone reports whether the client has left. It is called right before the write of each attempt. The loop
+// and net/http may not have seen it yet. net/http never sees it if a byte came after the request.
 func (m *message) clientGone() bool {
 	if !m.gone.Load() && m.client.Gone() {
 		m.went()
@@ -306,7 +310,7 @@
 	return m.gone.Load()
 }
 
-// write words an answer, and times that while the node ends.
+// write writes an answer. While the node shuts down it also measures the time for that.
 func (f *front) write(w http.ResponseWriter, a engine.Answer) {
 	if !f.timed.Load() {
 		write(w, a)
@@ -326,7 +330,7 @@
 		if r.contentType != "" {
 			w.Header().Set("Content-Type", r.contentType)
 		} else {
-			w.Header()["Content-Type"] = nil // none was given: guess none
+			w.Header()["Content-Type"] = nil // without a type of the backend, net/http must not guess one
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
 		w.WriteHeader(http.StatusOK)
@@ -344,7 +348,7 @@
 	}
 }
 
-// refuse tells the client that trying again is harmless, and when it may do so.
+// refuse answers that the request did not run. The client may retry it after retryIn.
 func refuse(w http.ResponseWriter, retryIn time.Duration) {
 	if retryIn > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', 3, 64))
@@ -353,17 +357,18 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// fail promises nothing.
+// fail answers that the request failed and may have run.
 func fail(w http.ResponseWriter, status int) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-// hopByHop are the headers that belong to one connection, beside those that Connection names.
+// hopByHop are the headers that belong to one connection, in addition to those that the Connection header
+// lists.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
-// read checks a request and reads its body. An error comes with the status to answer.
+// read checks a request and reads its body. It returns an error with the status for the answer.
 func (f *front) read(w http.ResponseWriter, hr *http.Request, received time.Time) (*engine.Request, int, error) {
 	bad := func(format string, args ...any) (*engine.Request, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
@@ -418,7 +423,8 @@
 		io.WriteString(sum, subject)
 		r.Key, r.HasKey = sum.Sum64()>>11, true
 	}
-	m := &message{tuning: t, count: t.counts[r.Class], method: method, uri: hr.RequestURI, url: hr.URL, host: hr.Host, header: h, left0: left - early,
+	m := &message{tuning: t, count: t.counts[r.Class],
+		method: method, uri: hr.RequestURI, url: hr.URL, host: hr.Host, header: h, left0: left - early,
 		streams: make(chan *stream, 1), client: clients.FromContext(hr.Context()), lost: make(chan struct{})}
 	switch err := f.body(w, hr, m); {
 	case errors.Is(err, errTooLong):
@@ -428,7 +434,7 @@
 		m.release()
 		return nil, http.StatusRequestTimeout, fmt.Errorf("%w, or it came too slowly: send all that its head tells, without a pause", err)
 	}
-	// A request's time begins with its last byte.
+	// The time of a request starts with its last byte.
 	if hr.ContentLength != 0 {
 		received = time.Now()
 	}
@@ -436,7 +442,7 @@
 		received = received.Add(-m.client.Stood(received))
 	}
 	r.Deadline = received.Add(left - early)
-	// A deadline that passes while the request is served would look as if the client had gone.
+	// A read deadline that passes while the request is served would look as if the client had left.
 	rc := http.NewResponseController(w)
 	rc.SetReadDeadline(time.Time{})
 	rc.SetWriteDeadline(r.Deadline.Add(answerWithin))
@@ -448,9 +454,9 @@
 	for _, name := range hopByHop {
 		delete(h, name)
 	}
-	delete(h, "X-Expires-In") // the node's own goes on
+	delete(h, "X-Expires-In") // the node sends its own to the backend
 	delete(h, "Host")
-	// Whatever Connection named, a backend needs these to tell a request from its repeat.
+	// A backend needs these to recognize a repeat of a request, even if the Connection header lists them.
 	h.Set("X-Trace-Id", r.ID)
 	if key != "" {
 		h.Set("Idempotency-Key", key)
--- a/internal/node/wording.go
+++ b/internal/node/compare.go
@@ -9,8 +9,8 @@
 	"glencart/internal/settings"
 )
 
-// What follows words and reads the protocol's messages for tests that compare fronts; the node itself calls what
-// stands behind it.
+// This file exports the parsing of protocol messages for tests that compare front ends. The node itself calls
+// the unexported functions.
 
 // Early is how much sooner than the client's deadline a request ends (see early).
 const Early = early
@@ -25,13 +25,13 @@
 	return r, err
 }
 
-// Outcome reads a whole answer's status.
+// Outcome returns the status of a whole answer.
 func Outcome(resp *http.Response) balance.Status { return outcome(resp) }
 
-// Report reads a load report.
+// Report parses a load report.
 func Report(text string) (balance.Load, error) { return settings.ParseReport(text) }
 
-// discard is a response that nobody reads.
+// discard is a response writer that discards everything.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -17,27 +17,27 @@
 	"glencart/internal/settings"
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration of a node.
 type Config struct {
 	Name       string
 	Listen     string
 	Discovery  string
-	Management string // where operators call; empty: nowhere
-	AcceptFD   string // the inherited descriptor of the clients' listening socket; empty: the node opens one
-	Shared     string // the folder that it shares with a process that it follows; only with AcceptFD
+	Management string // address of the management listener; empty if there is none
+	AcceptFD   string // inherited descriptor of the clients' listening socket; empty if the node opens one
+	Shared     string // folder shared with a predecessor or successor; used only with AcceptFD
 	Seed       uint64
 	Limits     Limits
 	PeerListen string
 	Peers      []string
 	PeersAll   string
 	Known      engine.List
-	knownErr   error // why there is none, where it could not be read
+	knownErr   error // why Known could not be read
 	Settings   settings.Settings
-	origin     time.Duration // of the engine's clock; 0: the wall clock at the start
-	keys       any           // the file, for the keys that one to replace it has to have; without known
+	origin     time.Duration // start of the engine's clock; 0 means the wall clock at the start
+	keys       any // decoded file without known; a reloaded file must have all of these keys
 }
 
-// Limits are those of the machine that a node runs on. Zero: not told.
+// Limits are the resource limits of the machine. Zero means not given.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
@@ -47,7 +47,7 @@
 // LoadConfig reads the configuration from a file.
 func LoadConfig(path string) (Config, error) {
 	if path == "" {
-		return Config{}, errors.New("configuration: no file named")
+		return Config{}, errors.New("configuration: no file name: set BALANCER_CONFIG")
 	}
 	var text []byte
 	if err := tryForAMoment(context.Background(), func(context.Context) (err error) {
@@ -63,7 +63,7 @@
 	return cfg, nil
 }
 
-// ParseConfig decodes and checks a configuration. Unknown keys are skipped.
+// ParseConfig decodes and checks a configuration. Unknown keys are ignored.
 func ParseConfig(text []byte) (Config, error) {
 	var raw struct {
 		Name       string          `json:"name"`
@@ -90,16 +90,17 @@
 		}
 	}
 	if len(raw.Settings) == 0 || bytes.Equal(raw.Settings, []byte("null")) {
-		return Config{}, errors.New("settings: missing: give the object of the simulator's first message")
+		return Config{}, errors.New("settings: missing: add the settings object of the simulator's first message")
 	}
 	if cfg.Settings, err = settings.Parse(raw.Settings); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(cfg.Settings.Classes) == 0 {
-		return Config{}, errors.New("settings: classes: none: give one or more")
+		return Config{}, errors.New("settings: classes: empty: list at least one class")
 	}
 	if len(raw.Known) > 0 && !bytes.Equal(raw.Known, []byte("null")) {
-		// A remembered list only bridges the time until discovery answers: without it a node still starts.
+		// The cached endpoint list only bridges the time until discovery answers. The node starts without it
+		// too.
 		if cfg.Known, err = registry.Parse(raw.Known, cfg.Settings); err != nil {
 			cfg.Known, cfg.knownErr = engine.List{}, err
 		}
@@ -125,33 +126,33 @@
 			continue
 		}
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %q is not an address with a port: write it as in 10.2.0.1:8500", a.name, a.addr)
+			return fmt.Errorf("%s: %q is not an address with a port: use the form 10.2.0.1:8500", a.name, a.addr)
 		}
 	}
 	for _, p := range c.Peers {
 		if _, err := netip.ParseAddrPort(p); err != nil {
-			return fmt.Errorf("peers: %q is not an address with a port", p)
+			return fmt.Errorf("peers: %q is not an address with a port: use the form 10.2.0.1:7946", p)
 		}
 	}
 	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
-		return errors.New("limits: a negative limit")
+		return errors.New("limits: negative limit: use 0 or a positive number")
 	}
 	if s := c.Limits.Sockets; s > 0 && s < leastSockets {
-		return fmt.Errorf("limits: sockets: %d leave no room for clients beside the backends: give %d or more", s, leastSockets)
+		return fmt.Errorf("limits: sockets: %d descriptors are too few for clients and backends: set %d or more", s, leastSockets)
 	}
 	return nil
 }
 
-// beside returns the limits of each of two processes that run on one machine.
+// beside returns the limits of each of two processes that share one machine.
 func (l Limits) beside() Limits {
 	l.Sockets, l.MemoryMB = cmp.Or(l.Sockets, usualSockets)/2, l.MemoryMB/2
 	return l
 }
 
-// Heap is the limit that the collector is told, in bytes; 0: none.
+// Heap returns the memory limit for the garbage collector in bytes, or 0 if there is none.
 func (l Limits) Heap() int64 { return boundsOf(l, 0).heap }
 
-// share divides the descriptors: so many connections of clients, and so many to backends.
+// share divides the descriptors between client connections and backend connections.
 func (l Limits) share() (clients, backends int) {
 	b := boundsOf(l, 0)
 	return b.clients, b.backends
--- a/internal/node/figures.go
+++ b/internal/node/counters.go
@@ -10,28 +10,28 @@
 	"glencart/internal/members/registry"
 )
 
-// figures are what the node counts for its operators, from the start of the process.
+// figures are the counters for operators, from the start of the process.
 type figures struct {
 	mu      sync.Mutex
-	classes []*classFigures // in the order in which settings named them; one that vanished keeps its counts
+	classes []*classFigures // in the order in which settings listed them; a removed class keeps its counts
 	byName  map[string]*classFigures
 
 	reloadsOK, reloadsFailed atomic.Int64
-	known, excluded          atomic.Int64 // backends, as the loop last told
+	known, excluded          atomic.Int64 // numbers of backends, as of the last update by the loop
 
-	discovery *registry.Stats // nil: none is followed
+	discovery *registry.Stats // nil if no discovery is used
 }
 
-// classFigures are the counts of one class.
+// classFigures are the counters of one class.
 type classFigures struct {
 	name                              string
 	served, refused, failed, attempts atomic.Int64
 }
 
-// figuresEvery is how often what the loop owns is copied out; figures may be 0.5 s old.
+// figuresEvery is the interval at which values owned by the loop are copied. Counters may be 0.5 s old.
 const figuresEvery = 200 * time.Millisecond
 
-// class returns the counts of a class, which begin at 0 when it is first named.
+// class returns the counters of a class. They start at 0 when the class is first listed.
 func (f *figures) class(name string) *classFigures {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,7 +47,7 @@
 	return c
 }
 
-// names counts the classes that there would be with these.
+// names returns how many classes there would be after adding more.
 func (f *figures) names(more []string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +60,7 @@
 	return n
 }
 
-// answered counts a request by the final answer that its client was given.
+// answered counts a request by its final answer.
 func (c *classFigures) answered(kind engine.AnswerKind) {
 	switch kind {
 	case engine.Served:
@@ -72,7 +72,7 @@
 	}
 }
 
-// text words the figures, a line each.
+// text returns the counters, one per line.
 func (f *figures) text(inFlight int64) []byte {
 	b := make([]byte, 0, 1<<10)
 	line := func(name string, n int64) {
--- /dev/null
+++ b/internal/node/idlebreaks.go
@@ -0,0 +1,86 @@
+package node
+
+import (
+	"math"
+	"sync"
+	"time"
+)
+
+// wear learns at which idle age kept connections break under the next request. A device on the path, or a
+// backend with a shorter idle timeout than configured, may drop them silently. A request that meets such a
+// connection may have run. If it must not run twice, it has failed. If no connections break, wear changes
+// nothing.
+type wear struct {
+	mu    sync.Mutex
+	fresh rate // of connections dialed for the request or used just before
+	aged  [wearAges]rate
+}
+
+const (
+	// Below wearFrom a kept connection counts as a fresh one. Above it there are wearAges classes of idle ages.
+	// Each covers twice the age of the one before.
+	wearFrom, wearAges = 50 * time.Millisecond, 7
+	// wearMost is how much higher than for fresh connections the break rate may be while requests still use a
+	// connection. A new dial costs a few round trips and some work on the backend. Up to wearChance breaks are
+	// treated as chance. After wearSeen exchanges within the limit an age counts as good.
+	wearMost, wearChance, wearSeen = 0.05, 2, 12
+	// wearSpan is the time constant with which observations decay.
+	wearSpan = 8 * time.Second
+)
+
+// rate is the share of recent exchanges that broke.
+type rate struct {
+	broke, seen float64
+	at          time.Time
+}
+
+func (r *rate) fade(now time.Time) {
+	keep := math.Exp(-now.Sub(r.at).Seconds() / wearSpan.Seconds())
+	r.broke, r.seen, r.at = r.broke*keep, r.seen*keep, now
+}
+
+func (r *rate) value() float64 { return r.broke / max(r.seen, 1) }
+
+// class returns the class of an idle age, or -1 for a fresh connection.
+func (w *wear) class(age time.Duration) int {
+	i := -1
+	for from := wearFrom; age >= from && i < wearAges-1; from *= 2 {
+		i++
+	}
+	return i
+}
+
+// note records whether an exchange broke on a connection with this idle age.
+func (w *wear) note(age time.Duration, broke bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	r := &w.fresh
+	if i := w.class(age); i >= 0 {
+		r = &w.aged[i]
+	}
+	r.fade(time.Now())
+	r.seen++
+	if broke {
+		r.broke++
+	}
+}
+
+// worn reports whether connections of this idle age break so often that a request should use a fresh one. If
+// little is known of an age, the result for the next lower class with enough data applies.
+func (w *wear) worn(age time.Duration) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := time.Now()
+	w.fresh.fade(now)
+	for i := w.class(age); i >= 0; i-- {
+		r := &w.aged[i]
+		r.fade(now)
+		switch {
+		case r.broke-wearChance > r.seen*(w.fresh.value()+wearMost):
+			return true
+		case r.seen >= wearSeen:
+			return false // breaks no more often than a fresh connection
+		}
+	}
+	return false
+}
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// adminMost bounds the connections of operators whose call is not whole: beyond it the oldest silent one gives way, and
-	// beyond adminLast the oldest. They stand in what otherSockets keeps aside.
+	// adminMost bounds the connections of operators whose request has not fully arrived. Beyond it the oldest
+	// silent one is closed, and beyond adminLast the oldest of all. They are part of otherSockets.
 	adminMost, adminLast = 6, 10
-	// adminFresh is how long a caller has for the first byte before it counts as silent.
+	// adminFresh is how long a caller may take for its first byte before it counts as silent.
 	adminFresh = 20 * time.Millisecond
-	// adminWithin is how long a call may take to come, and its answer to be read. A call is answered after adminWaits even
-	// where the loop has not got to it: operators are owed an answer within 1 s.
+	// adminWithin is how long a request may take to arrive, and its answer to be read. A request is answered
+	// after adminWaits even if the loop has not handled it, because operators must get an answer within 1 s.
 	adminWithin, adminWaits = 5 * time.Second, 700 * time.Millisecond
-	// idMost bounds a backend's id in a call.
+	// idMost bounds the length of a backend id in a request.
 	idMost = 256
 )
 
-// adminEndpoint is where operators call: a listener of its own, one call to a connection.
+// adminEndpoint is the management endpoint. It has its own listener and serves one request per connection.
 type adminEndpoint struct {
 	node *Node
 	srv  *http.Server
 
 	mu    sync.Mutex
-	conns map[net.Conn]time.Time // those whose call is not whole
-	calls atomic.Int32           // whole ones that are being answered
+	conns map[net.Conn]time.Time // connections whose request has not fully arrived
+	calls atomic.Int32 // requests that are being answered
 	open  int
 }
 
@@ -83,7 +83,7 @@
 	return c
 }
 
-// track has the oldest connection without a whole call give way where they are too many.
+// track closes the oldest silent connection if there are too many without a whole request.
 func (d *adminEndpoint) track(c net.Conn, s http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,13 +92,13 @@
 		d.conns[c] = time.Now()
 		d.open++
 		for d.open > adminMost {
-			out := d.silent(c)
-			if out == nil {
+			victim := d.silent(c)
+			if victim == nil {
 				return
 			}
-			delete(d.conns, out)
+			delete(d.conns, victim)
 			d.open--
-			out.Close()
+			victim.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
 		if _, waits := d.conns[c]; waits {
@@ -108,12 +108,13 @@
 	}
 }
 
-// silent returns the oldest connection but for one on which nothing stands unread, and beyond adminLast the oldest of all. A
-// call that came together with many silent callers has not been looked at when the last of them is let in.
-func (d *adminEndpoint) silent(but net.Conn) net.Conn {
+// silent returns the oldest connection, other than except, that has no unread bytes. Beyond adminLast it returns the
+// oldest of all. A request that arrived together with many silent connections may be unread when the last of
+// them is accepted.
+func (d *adminEndpoint) silent(except net.Conn) net.Conn {
 	var quiet, oldest net.Conn
 	for c, at := range d.conns {
-		if c == but {
+		if c == except {
 			continue
 		}
 		if oldest == nil || at.Before(d.conns[oldest]) {
@@ -129,7 +130,7 @@
 	return quiet
 }
 
-// whole marks a connection whose call has come: it is answered, and closed by that.
+// whole marks a connection whose request has arrived. It is closed after its answer.
 func (d *adminEndpoint) whole(c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,27 +140,27 @@
 	}
 }
 
-// byHand takes a backend out, or puts it back. The answer is yes once the Balancer has it.
-func (d *adminEndpoint) byHand(w http.ResponseWriter, r *http.Request, out bool) {
+// byHand takes a backend offline or back online. It answers with success once the Balancer has the change.
+func (d *adminEndpoint) byHand(w http.ResponseWriter, r *http.Request, offline bool) {
 	id := r.PathValue("id")
 	if len(id) > idMost {
 		reply1(w, http.StatusBadRequest, "backend: the id is too long\n")
 		return
 	}
 	n := d.node
-	var before []members.Call // a call back at this process may follow one out at the other
+	var before []members.Call // an online call at this process may follow an offline call at the other
 	if n.place != nil {
 		before = n.place.Calls()
 	}
 	done := make(chan bool, 1)
 	if !n.loop.PostFirst(func() {
 		n.heed(n.hand.Hear(before, n.loop.Clock()))
-		call, known := n.byHand(id, out)
+		call, known := n.byHand(id, offline)
 		if n.place == nil || call.At == 0 {
 			done <- known
 			return
 		}
-		go func() { // files may be slow, and fail
+		go func() { // file operations may be slow or fail
 			ctx, cancel := context.WithTimeout(r.Context(), adminWaits)
 			defer cancel()
 			if n.place.Persist(ctx, []members.Call{call}) == nil {
@@ -170,8 +171,8 @@
 		reply1(w, http.StatusServiceUnavailable, "the node is ending\n")
 		return
 	}
-	late := time.NewTimer(adminWaits)
-	defer late.Stop()
+	timeout := time.NewTimer(adminWaits)
+	defer timeout.Stop()
 	select {
 	case known := <-done:
 		if !known {
@@ -179,7 +180,7 @@
 			return
 		}
 		reply1(w, http.StatusOK, "ok\n")
-	case <-late.C:
+	case <-timeout.C:
 		reply1(w, http.StatusGatewayTimeout, "the node is busy, or can't write the call down: it still counts as soon as it gets to it\n")
 	}
 }
@@ -192,7 +193,8 @@
 	w.Write([]byte(text))
 }
 
-// takeList merges a list with what operators took out and gives it to the engine. On the loop, or before it runs.
+// takeList merges a list with the operators' offline calls and passes it to the engine. It runs on the loop, or
+// before the loop runs.
 func (n *Node) takeList(kind balance.EventKind, list engine.List) {
 	now := n.loop.Clock()
 	list.Members = n.hand.Take(list.Members, list.Complete, now)
@@ -203,35 +205,35 @@
 	n.countBackends()
 }
 
-// saw takes in how an attempt or a probe ended. On the loop.
+// saw records how an attempt or a probe ended. It runs on the loop.
 func (n *Node) saw(id string, res engine.Result) {
 	switch {
 	case res.Refused:
 		n.hand.Refused(id, n.loop.Clock())
-	case n.hand.InDoubt() == 0: // mostly
+	case n.hand.InDoubt() == 0: // the usual case
 	case res.Status == balance.Delivered, res.Status == balance.AppError, res.Status == balance.Shed:
 		if lines := n.hand.Answered(id, n.loop.Clock()); len(lines) > 0 {
-			n.log.Info("backend refused and answers: taken for a new process", "id", id)
-			n.loop.Post(func() { n.heed(lines) }) // after what is in hand
+			n.log.Info("backend answers after a refused connection: treated as a new process", "id", id)
+			n.loop.Post(func() { n.heed(lines) }) // after the current event
 		}
 	}
 }
 
-// byHand takes in a call of operators and tells whether anybody has this id. On the loop.
-func (n *Node) byHand(id string, out bool) (members.Call, bool) {
-	lines, call, known := n.hand.Say(id, out, n.loop.Clock())
+// byHand applies an operator's call and reports whether the backend id is known. It runs on the loop.
+func (n *Node) byHand(id string, offline bool) (members.Call, bool) {
+	lines, call, known := n.hand.Say(id, offline, n.loop.Clock())
 	if len(lines) > 0 {
-		word := "put back"
-		if out {
-			word = "taken out"
+		action := "brought back online"
+		if offline {
+			action = "taken offline"
 		}
-		n.log.Info("backend "+word+" by hand", "id", id)
+		n.log.Info("backend "+action+" by an operator", "id", id)
 	}
 	n.heed(lines)
 	return call, known
 }
 
-// heed tells the engine of lines that the operators' word has changed. On the loop.
+// heed passes lines that an operator's call has changed to the engine. It runs on the loop.
 func (n *Node) heed(lines []members.Line) {
 	if len(lines) > 0 {
 		n.loop.TakeList(balance.MembersChanged, engine.List{Members: lines})
@@ -239,19 +241,21 @@
 	n.countBackends()
 }
 
-// countBackends copies out what the loop owns. On the loop.
+// countBackends copies the numbers of backends that the loop owns. It runs on the loop.
 func (n *Node) countBackends() {
-	listed, out := n.hand.Counts()
+	listed, offline := n.hand.Counts()
 	n.figures.known.Store(int64(listed))
-	n.figures.excluded.Store(int64(out + n.loop.Balancer.Avoided()))
+	n.figures.excluded.Store(int64(offline + n.loop.Balancer.Avoided()))
 }
 
-// countOften copies out what the loop owns until ctx ends: which backends it avoids changes with each answer.
+// countOften calls countBackends at intervals until ctx ends, because each answer may change which backends the
+// loop avoids.
 func (n *Node) countOften(ctx context.Context) {
 	every(ctx, figuresEvery, func() { n.loop.PostFirst(n.countBackends) })
 }
 
-// canServe tells whether this process can serve: it has had a list that names a backend, and is not about to end.
+// canServe reports whether this process can serve. It needs a list with a backend that can receive requests,
+// and must not be shutting down.
 func (n *Node) canServe() bool {
 	if n.loop.Ready() {
 		n.listed.Store(true)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node is one real node: the Balancer of package balance between clients, backends, discovery and peers
-// on real sockets.
+// Package node runs one node of the platform's balancer. It connects the Balancer of package balance to
+// clients, backends, discovery and other nodes over real sockets. The decisions are made in package balance,
+// not here.
 package node
 
 import (
@@ -25,31 +26,31 @@
 	"glencart/members"
 )
 
-// Node is one node. New opens its sockets, Run serves.
+// Node is one node. New opens its sockets and Run serves.
 type Node struct {
 	cfg      Config
 	log      *slog.Logger
 	bounds   bounds
-	hears    atomic.Int32 // messages of peers that wait for the loop
+	hears    atomic.Int32 // messages of peers that are queued for the loop
 	listener *clients.Listener
 	peers    *peers
 	pool     *pool
 	loop     *engine.Engine
 	front    *front
-	taken    *tuning // the last settings taken in, of the goroutine that calls Reload
+	taken    *tuning // the settings of the last accepted reload; used only by the goroutine that calls Reload
 	disco    *registry.Source
-	admin    net.Listener    // for operators; nil: none
-	place    *handover.Place // where this process stands beside another; nil: there is none
-	hand     members.Hand    // of the loop
+	admin    net.Listener // for operators; nil if there is no management address
+	place    *handover.Place // the folder shared with a predecessor or successor; nil if there is none
+	hand     members.Hand // used only on the loop
 	figures  *figures
-	listed   atomic.Bool // a list has named a backend that may be sent to
-	heard    atomic.Bool // discovery has told a list
-	running  atomic.Bool // clients are let in
+	listed   atomic.Bool // a list has named a backend that can receive requests
+	heard    atomic.Bool // discovery has sent a list
+	running  atomic.Bool // clients are accepted
 	living   *living.Living
 	lag      living.Lag
 }
 
-// New returns a node that is ready to run. If ctx ends while it still opens what the node needs, New fails.
+// New returns a node that is ready to run. New fails if ctx ends while it still opens what the node needs.
 func New(ctx context.Context, cfg Config, log *slog.Logger) (*Node, error) {
 	if err := cfg.Settings.Check(); err != nil {
 		return nil, fmt.Errorf("configuration: settings: %w", err)
@@ -63,12 +64,12 @@
 	n.living = living.New(life.New(life.Platform, longestDeadline(cfg.Settings)), obeys{n})
 	limits := cfg.Settings.Config.Limits
 	n.bounds = boundsOf(cfg.Limits, len(cfg.Peers))
-	most, backends := n.bounds.clients, n.bounds.backends
+	maxClients, backends := n.bounds.clients, n.bounds.backends
 	log.Info("bounds", "most", n.bounds)
 	n.pool = newPool(backends, limits.ConnectTimeout, limits.IdleClose)
 	n.loop = engine.New(engine.Config{Balancer: bal, Log: log, Origin: cfg.origin,
 		Transport: newExchanges(n.pool, cfg.Settings.Config.Reports == balance.InlineReports, log)})
-	n.front = newFront(n.loop, cfg.Settings, most, backends, n.figures, log)
+	n.front = newFront(n.loop, cfg.Settings, maxClients, backends, n.figures, log)
 	n.front.held.left.Store(n.bounds.held)
 	n.taken = n.front.tuning.Load()
 	n.disco = registry.New(cfg.Discovery, cfg.Settings, log,
@@ -94,15 +95,15 @@
 		n.loop.Tell = n.peers.tell
 	}
 	n.recall(cfg)
-	if err := n.open(ctx, most); err != nil {
+	if err := n.open(ctx, maxClients); err != nil {
 		n.close()
 		return nil, err
 	}
 	return n, nil
 }
 
-// open opens the operators' endpoint, the folder shared with another process, and the clients' listener.
-func (n *Node) open(ctx context.Context, clientsMost int) (err error) {
+// open opens the management listener, the folder shared with another process, and the clients' listener.
+func (n *Node) open(ctx context.Context, maxClients int) (err error) {
 	if n.cfg.Management != "" {
 		listen := func(context.Context) (net.Listener, error) { return net.Listen("tcp", n.cfg.Management) }
 		if n.admin, err = openListener(ctx, listen); err != nil {
@@ -118,10 +119,11 @@
 		}
 		n.hand.Hear(n.place.Read(), n.loop.Clock())
 	}
-	if ctx.Err() != nil { // nobody is to be let in any more
+	if ctx.Err() != nil { // the process got SIGTERM already
 		return ctx.Err()
 	}
-	// Last: who connects from here on has been taken, and waits.
+	// The clients' listener opens last. From here on the kernel completes connections, so a client that
+	// connects is waiting for an answer.
 	l, err := openListener(ctx, func(ctx context.Context) (net.Listener, error) {
 		if n.cfg.AcceptFD != "" {
 			return handover.Listener(ctx, n.cfg.AcceptFD)
@@ -131,7 +133,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	n.listener = clients.Limit(l, clientsMost)
+	n.listener = clients.Limit(l, maxClients)
 	n.listener.HeadWithin = headWithin
 	n.living.Tell(life.Event{Kind: life.Opened})
 	if n.place != nil && n.place.Follows() {
@@ -140,20 +142,20 @@
 	return nil
 }
 
-// recall takes in the list that the node remembers.
+// recall applies the cached endpoint list of the configuration.
 func (n *Node) recall(cfg Config) {
-	known := cfg.Known
+	cached := cfg.Known
 	if cfg.knownErr != nil {
-		n.log.Warn("known: the remembered list can't be read: waiting for discovery", "error", cfg.knownErr)
+		n.log.Warn("known: the cached endpoint list can't be read: waiting for discovery", "error", cfg.knownErr)
 	}
-	if known.Complete && len(known.Members) > 0 {
-		n.disco.Holds(known.Revision)
+	if cached.Complete && len(cached.Members) > 0 {
+		n.disco.Holds(cached.Revision)
 	}
-	known.Complete = true
-	n.takeList(balance.MembersRemembered, known)
+	cached.Complete = true
+	n.takeList(balance.MembersRemembered, cached)
 }
 
-// close ends the sockets of a node that does not come to run.
+// close closes the sockets of a node that was never run.
 func (n *Node) close() {
 	if n.peers != nil {
 		n.peers.conn.Close()
@@ -169,10 +171,10 @@
 	}
 }
 
-// Addr is the address that the node listens on for clients.
+// Addr returns the address on which the node listens for clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// hear passes a peer's message on to the loop.
+// hear queues a peer's message for the loop. It drops the message if too many are queued already.
 func (n *Node) hear(peer int, payload []byte) {
 	if int(n.hears.Add(1)) > n.bounds.hear || !n.loop.Post(func() {
 		n.hears.Add(-1)
@@ -182,7 +184,7 @@
 	}
 }
 
-// Run serves until ctx ends, then answers all that it has taken and returns.
+// Run serves until ctx ends, then answers all received requests and returns.
 func (n *Node) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
@@ -197,12 +199,12 @@
 			n.peers.run(work, n.hear)
 		})
 	}
-	srv, complain := n.front.server(), &lograte.Limited{Log: n.log}
+	srv, limitedLog := n.front.server(), &lograte.Limited{Log: n.log}
 	if n.admin != nil {
-		d := newAdminEndpoint(n)
-		wg.Go(func() { d.srv.Serve(clients.Accepting(n.admin, complain)) })
+		admin := newAdminEndpoint(n)
+		wg.Go(func() { admin.srv.Serve(clients.Accepting(n.admin, limitedLog)) })
 		wg.Go(func() { n.countOften(work) })
-		defer d.srv.Close()
+		defer admin.srv.Close()
 	}
 	if n.place != nil {
 		defer n.place.Close()
@@ -215,7 +217,7 @@
 	}
 	n.running.Store(true)
 	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(clients.Accepting(n.listener, complain)) }()
+	go func() { ended <- srv.Serve(clients.Accepting(n.listener, limitedLog)) }()
 	wg.Go(func() { n.remember(work) })
 	n.log.Info("serving", "name", n.cfg.Name, "listen", sock.ListenAddr(n.listener, n.cfg.Listen))
 	select {
@@ -226,7 +228,7 @@
 	return n.leave(srv, ended)
 }
 
-// longestDeadline is the longest time for which a request may be in flight.
+// longestDeadline returns the longest time for which a request may be in flight.
 func longestDeadline(s settings.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range s.Config.Classes {
@@ -238,7 +240,7 @@
 	return longest
 }
 
-// pause waits, or until ctx ends.
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -248,7 +250,7 @@
 	}
 }
 
-// every calls f each d until ctx ends.
+// every calls f at intervals of d until ctx ends.
 func every(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
--- a/internal/node/opening.go
+++ b/internal/node/opening.go
@@ -8,18 +8,19 @@
 	"glencart/internal/sock"
 )
 
-// openWithin is how long what a node needs is tried to be opened, where the system fails to: an address may still be a process's that
-// is just ending. It leaves room in the 6 s within which a process that follows another is to be ready.
+// openWithin is how long the node tries to open what it needs while the system call fails. An address may still
+// belong to a process that is just ending. The time leaves room within the 6 s in which a successor must be
+// ready.
 const openWithin = 3 * time.Second
 
-// tryForAMoment calls open until it succeeds, fails with what another moment does not change, or ctx ends.
+// tryForAMoment calls open until it succeeds, fails with a permanent error, or ctx ends.
 func tryForAMoment(ctx context.Context, open func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, openWithin)
 	defer cancel()
 	return sock.Retry(ctx, func() error { return open(ctx) })
 }
 
-// openListener opens a listener that a node needs.
+// openListener opens a listener with the retries of tryForAMoment.
 func openListener(ctx context.Context, open func(context.Context) (net.Listener, error)) (l net.Listener, err error) {
 	err = tryForAMoment(ctx, func(ctx context.Context) (err error) {
 		l, err = open(ctx)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,22 +13,22 @@
 	"glencart/internal/lograte"
 )
 
-// soReusePort is SO_REUSEPORT of socket(7), which syscall does not name everywhere.
+// soReusePort is SO_REUSEPORT of socket(7). Package syscall doesn't define it on every platform.
 const soReusePort = 0xf
 
-// readAgain is how long no datagram is read after the system has failed to read one.
+// readAgain is the pause after a failed read of a datagram.
 const readAgain = 10 * time.Millisecond
 
-// datagramMost is the longest datagram between nodes.
+// datagramMost is the maximum size of a datagram between nodes, in bytes.
 const datagramMost = 256
 
 // peers exchanges datagrams with the other nodes.
 type peers struct {
 	conn  *net.UDPConn
-	addrs []netip.AddrPort // by number
+	addrs []netip.AddrPort // by peer number
 	all   netip.AddrPort
 	out   chan datagram
-	odd   lograte.Limited // complaints of datagrams that are not heard
+	odd   lograte.Limited // rate-limited log of ignored datagrams
 }
 
 type datagram struct {
@@ -36,13 +36,13 @@
 	payload []byte
 }
 
-// listenPeers opens the node's socket for datagrams, of which so many may wait to be sent.
-func listenPeers(ctx context.Context, cfg *Config, most int, log *slog.Logger) (*peers, error) {
+// listenPeers opens the node's socket for datagrams. At most maxQueued datagrams wait to be sent.
+func listenPeers(ctx context.Context, cfg *Config, maxQueued int, log *slog.Logger) (*peers, error) {
 	addr, err := net.ResolveUDPAddr("udp", cfg.PeerListen)
 	if err != nil {
 		return nil, err
 	}
-	p := &peers{out: make(chan datagram, most), odd: lograte.Limited{Log: log}}
+	p := &peers{out: make(chan datagram, maxQueued), odd: lograte.Limited{Log: log}}
 	for _, s := range cfg.Peers {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
@@ -57,7 +57,8 @@
 	}
 	var lc net.ListenConfig
 	if cfg.AcceptFD != "" {
-		// Two processes of one node may run at once. Datagrams go to either; one that the other gets is as good as lost.
+		// Two processes of one node may run at once. Datagrams go to either of them. One that goes to the other
+		// counts as lost.
 		lc.Control = func(_, _ string, c syscall.RawConn) error {
 			var failed error
 			if err := c.Control(func(fd uintptr) {
@@ -79,7 +80,8 @@
 	return p, nil
 }
 
-// tell sends a datagram to one peer or to all of them. It never blocks: a datagram may be lost anyway.
+// tell sends a datagram to one peer or to all of them. It never blocks. If the queue is full, it drops the
+// datagram, since datagrams may be lost anyway.
 func (p *peers) tell(peer int, payload []byte) {
 	to := p.all
 	if peer != balance.AllPeers {
@@ -97,9 +99,9 @@
 	}
 }
 
-// run passes on what other nodes say until ctx ends. What is too long, or from nobody known, is
-// ignored with a line.
-func (p *peers) run(ctx context.Context, heard func(peer int, payload []byte)) {
+// run passes messages of other nodes to handle until ctx ends. It ignores and logs datagrams that are too long
+// or come from an unknown address.
+func (p *peers) run(ctx context.Context, handle func(peer int, payload []byte)) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	go func() {
@@ -123,16 +125,17 @@
 			return
 		}
 		if err != nil {
-			// What a peer's machine sent back for a datagram of ours, or a lack of this machine, which may last.
-			p.odd.Warn("datagrams can't be read for a moment", "error", err)
+			// The error is an ICMP answer of a peer's machine to an earlier datagram, or a lack of resources on
+			// this machine, which may last.
+			p.odd.Warn("peer datagrams: read failed; reading again after a pause", "error", err)
 			pause(ctx, readAgain)
 			continue
 		}
 		i, ok := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok || n > datagramMost {
-			p.odd.Warn("datagram ignored: too long, or from nobody in peers", "from", from, "bytes", n)
+			p.odd.Warn("datagram ignored: too long, or its sender is not in peers", "from", from, "bytes", n)
 			continue
 		}
-		heard(i, append([]byte(nil), buf[:n]...))
+		handle(i, append([]byte(nil), buf[:n]...))
 	}
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -17,47 +17,49 @@
 type conn struct {
 	net.Conn
 	to     engine.Endpoint
-	limit  io.LimitedReader // bounds what one answer may hold
+	limit  io.LimitedReader // bounds the bytes of one answer
 	read   *bufio.Reader
 	idleAt time.Time
-	age    time.Duration // how long it had been idle when it was taken
-	kept   bool          // it has carried an answer before
+	age    time.Duration // idle time when it was last taken
+	kept   bool // it has carried an answer before
 }
 
 var (
-	// errNoRoom says that the node can open no more connections now, which tells nothing of the backend.
-	errNoRoom = errors.New("no connection to a backend can be opened here now")
-	// errSpoke says that a new connection ended, or had something to read, before anything was written.
-	errSpoke = errors.New("a new connection was not quiet")
-	// errEarly says the same of one before the last byte of a request.
-	errEarly = errors.New("something came before the last byte of the request")
+	// errNoRoom reports that the node can't open another connection now. The cause is not the backend.
+	errNoRoom = errors.New("no room for another backend connection")
+	// errSpoke reports that a new connection ended, or had bytes to read, before anything was written.
+	errSpoke = errors.New("new backend connection closed or readable before the request")
+	// errEarly reports the same before the last byte of a request was written.
+	errEarly = errors.New("backend answered or closed before the last byte of the request")
 )
 
-// pool keeps the connections to backends: the idle ones, and a count of all.
+// pool holds the idle connections to backends, and counts all connections.
 type pool struct {
 	dialer net.Dialer
-	most   int           // connections, idle or not
-	keep   time.Duration // how long one may stand idle
+	most   int // limit on connections, idle or in use
+	keep   time.Duration // how long a connection may be idle
 	wear   wear
 
 	mu   sync.Mutex
-	idle map[engine.Endpoint][]*conn // the one used last is at the end
+	idle map[engine.Endpoint][]*conn // the most recently used connection is last
 	open int
 }
 
-func newPool(most int, connectTimeout, idleClose time.Duration) *pool {
+func newPool(maxConns int, connectTimeout, idleClose time.Duration) *pool {
 	connectTimeout, keep := poolTimes(connectTimeout, idleClose)
 	return &pool{
-		// A silent machine answers no SYN, and keep-alive packets notice nothing.
+		// The dial timeout is for a machine that answers no SYN. Keep-alive is off because its packets would
+		// detect nothing.
 		dialer: net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
-		most:   most,
+		most:   maxConns,
 		keep:   keep,
 		idle:   map[engine.Endpoint][]*conn{},
 	}
 }
 
-// poolTimes returns how long a dial may take and how long a connection may stand idle. A backend closes an idle one at idleClose
-// at the latest, and a request that crosses that is a reset that may have run: stay well below.
+// poolTimes returns the dial timeout and how long a connection may be idle. A backend closes an idle connection
+// after idleClose at the latest. A request that crosses the close gets a reset and may have run. So keep stays
+// well below idleClose.
 func poolTimes(connectTimeout, idleClose time.Duration) (dial, keep time.Duration) {
 	if connectTimeout <= 0 {
 		connectTimeout = time.Second
@@ -68,20 +70,21 @@
 	return connectTimeout, max(0, min(idleClose*7/10, idleClose-idleMargin))
 }
 
-// idleMargin is how long before a backend may close an idle connection that is not used any more: a node may be held up for 0.15 s
-// between its look at the clock and its write, and the write has a way to go.
+// idleMargin is how long before idleClose a connection is no longer used. The node may be held up for 0.15 s
+// between reading the clock and its write, and the written bytes need time to arrive.
 const idleMargin = 200 * time.Millisecond
 
-// retune takes in times that changed in service. Connections that are idle for too long by them are not used again.
+// retune applies changed settings. Connections that are idle for too long by the new times are not used again.
 func (p *pool) retune(connectTimeout, idleClose time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout, p.keep = poolTimes(connectTimeout, idleClose)
 }
 
-// get returns an idle connection, or dials one. A probe takes the one that has been idle longest, however worn: it
-// may break, and shows at no cost how those fare. A request takes the one used last, unless that is worn. Whether it is
-// usable is for the caller to see, in the instant before it writes.
+// get returns an idle connection, or dials one. A probe gets the connection that has been idle longest, even if
+// connections of that idle age often break. If it breaks, no request is lost and the pool learns from it. A
+// request gets the most recently used connection, unless connections of that idle age often break. The caller
+// must check that the connection is usable right before it writes.
 func (p *pool) get(ctx context.Context, to engine.Endpoint, probe bool) (*conn, error) {
 	if c := p.take(to, probe); c != nil {
 		return c, nil
@@ -100,8 +103,8 @@
 	return c, nil
 }
 
-// dial connects to an address. What may fail for a moment is repeated within the time that a connection may take to come up; what
-// then still fails for want of something on this machine is errNoRoom.
+// dial connects to an address. It repeats temporary failures within the dial timeout. If the last failure is
+// for lack of resources on this machine, the error is errNoRoom.
 func (p *pool) dial(ctx context.Context, addr string) (nc net.Conn, err error) {
 	p.mu.Lock()
 	dialer := p.dialer
@@ -152,7 +155,8 @@
 	}
 }
 
-// reserve counts a connection to be dialed. At the limit the one that has been idle longest makes room.
+// reserve counts a connection that is about to be dialed. At the limit it closes the one that has been idle
+// longest.
 func (p *pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,7 +167,7 @@
 	return p.giveWay()
 }
 
-// giveWay closes the connection that has been idle longest, if there is one. Its place is still counted.
+// giveWay closes the connection that has been idle longest, if there is one. It stays in the count.
 func (p *pool) giveWay() bool {
 	var oldest *conn
 	for _, list := range p.idle {
@@ -179,12 +183,12 @@
 	return true
 }
 
-// resize changes how many connections there may be. Idle ones make room; one in use is let be.
-func (p *pool) resize(most int) {
+// resize changes the limit on connections. It closes idle ones to meet the limit, but none in use.
+func (p *pool) resize(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
-	for p.open > most && p.giveWay() {
+	p.most = maxConns
+	for p.open > maxConns && p.giveWay() {
 		p.open--
 	}
 }
@@ -195,12 +199,12 @@
 	p.mu.Unlock()
 }
 
-// put takes back a connection whose last answer came whole.
+// put returns a connection to the pool after a whole answer.
 func (p *pool) put(c *conn) {
 	c.idleAt, c.kept = time.Now(), true
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open > p.most { // there were more places when it was dialed
+	if p.open > p.most { // the limit was higher when it was dialed
 		c.Close()
 		p.open--
 		return
@@ -208,13 +212,13 @@
 	p.idle[c.to] = append(p.idle[c.to], c)
 }
 
-// discard ends a connection.
+// discard closes a connection that can't be reused.
 func (p *pool) discard(c *conn) {
 	sock.Abort(c.Conn)
 	p.release()
 }
 
-// drop ends the idle connections to an endpoint.
+// drop closes the idle connections to an endpoint.
 func (p *pool) drop(to engine.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,13 +229,13 @@
 	delete(p.idle, to)
 }
 
-// run ends connections that have been idle for long, until ctx ends, and then all idle ones.
+// run closes connections that have been idle for too long until ctx ends, and then all idle ones.
 func (p *pool) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
 		keep := p.keep
 		p.mu.Unlock()
-		pause(ctx, min(max(keep/8, time.Millisecond), time.Second)) // no busy loop, and a shorter keep is seen soon
+		pause(ctx, min(max(keep/8, time.Millisecond), time.Second)) // at least 1 ms to avoid a busy loop, at most 1 s to notice a shorter keep
 		p.sweep(keep)
 	}
 	p.sweep(0)
@@ -252,8 +256,8 @@
 	}
 }
 
-// usable tells whether an idle connection is still up, with nothing unread on it. A backend that was
-// restarted under its old address leaves connections behind that would swallow a request.
+// usable reports whether an idle connection is still up and has no unread bytes. A backend that restarted under
+// the same address leaves connections behind on which a request would be lost.
 func (c *conn) usable() bool {
 	if c.read.Buffered() > 0 {
 		return false
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -13,34 +13,34 @@
 	"glencart/life"
 )
 
-// tuning is the part of the settings that can change in service, as one piece: a request is read under one of them.
+// tuning is one version of the settings that can change in service. Each request is read under one version.
 type tuning struct {
 	settings.Settings
-	counts   []*classFigures // by class
-	vanished []time.Time     // when a class went, by number; zero: it is in use
+	counts   []*classFigures // by class number
+	vanished []time.Time // when a class was removed, by class number; zero if it is in use
 }
 
-// numberFree is when the number of a class that vanished may be another's: a request that was read under the old name has been
-// taken in by then.
+// numberFree is how long after its removal the number of a class can go to another class. By then the loop has
+// received all requests that were read under the old name.
 const numberFree = time.Minute
 
-// classNamesMost bounds how many names of classes files may bring while a process runs.
+// classNamesMost bounds how many class names configuration files may add while a process runs.
 const classNamesMost = 1024
 
-func newTuning(s settings.Settings, fig *figures) *tuning {
+func newTuning(s settings.Settings, counts *figures) *tuning {
 	t := &tuning{Settings: s, vanished: make([]time.Time, len(s.Classes))}
 	for _, name := range s.Classes {
-		t.counts = append(t.counts, fig.class(name))
+		t.counts = append(t.counts, counts.class(name))
 	}
 	return t
 }
 
-// adopt returns what follows on t.
-func (t *tuning) adopt(next settings.Settings, fig *figures, now time.Time) *tuning {
+// adopt returns the version that replaces t.
+func (t *tuning) adopt(next settings.Settings, counts *figures, now time.Time) *tuning {
 	s := t.Settings.Adopt(next, func(number int) bool {
 		return !t.vanished[number].IsZero() && now.Sub(t.vanished[number]) > numberFree
 	})
-	u := newTuning(s, fig)
+	u := newTuning(s, counts)
 	for i := range s.Classes {
 		switch {
 		case !s.Config.Classes[i].Gone:
@@ -53,18 +53,20 @@
 	return u
 }
 
-// Reload takes in a configuration that was read anew, or turns it down whole. Discovery moves to its address, and the settings
-// change, but for those that hold from start to end; those, and the other keys, are logged when they differ. One goroutine calls it.
+// Reload applies a new configuration, or rejects it as a whole. Discovery switches to the new address, and the
+// settings change. Settings that are fixed from start to end and the other keys are logged if they differ. Only
+// one goroutine may call Reload.
 func (n *Node) Reload(cfg Config) error {
 	if at := settings.Missing(n.cfg.keys, cfg.keys); n.cfg.keys != nil && cfg.keys != nil && at != "" {
-		return n.NotReloaded(fmt.Errorf("configuration: %s: missing, the file in use has it", strings.TrimPrefix(at, ".")))
+		return n.NotReloaded(fmt.Errorf("configuration: %s: missing: the configuration in use has this key: add it", strings.TrimPrefix(at, ".")))
 	}
-	old := n.taken // the loop may not have come to the last file yet
+	old := n.taken // the loop may not have applied the last file yet
 	if err := errors.Join(cfg.check(), cfg.Settings.CheckInService(old.Settings)); err != nil {
 		return n.NotReloaded(fmt.Errorf("configuration: settings: %w", err))
 	}
 	if names := n.figures.names(cfg.Settings.Classes); names > classNamesMost {
-		return n.NotReloaded(fmt.Errorf("configuration: settings: classes: %d names since the start, %d at most: each keeps its figures: restart the node",
+		return n.NotReloaded(fmt.Errorf(
+			"configuration: settings: classes: %d names since the start, limit %d: each name keeps its counters: restart the node",
 			names, classNamesMost))
 	}
 	var fixed []string
@@ -92,9 +94,9 @@
 	n.cfg.keys = cfg.keys
 	next := old.adopt(cfg.Settings, n.figures, time.Now())
 	if !reflect.DeepEqual(old.Config, next.Config) || !slices.Equal(old.Classes, next.Classes) {
-		n.log.Info("settings change", "classes", next.inUse())
+		n.log.Info("settings changed", "classes", next.inUse())
 		n.taken = next
-		// The Balancer knows a class before any request can be of it.
+		// The Balancer gets a new class before any request can use it.
 		n.loop.Post(func() {
 			n.loop.Handle(balance.Event{Kind: balance.SettingsChanged, Settings: &next.Config})
 			n.front.tuning.Store(next)
@@ -105,19 +107,20 @@
 		})
 	}
 	n.figures.reloadsOK.Add(1)
-	n.log.Info("configuration read anew", "discovery", cfg.Discovery)
+	n.log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	n.disco.Move(cfg.Discovery)
 	return nil
 }
 
-// holds tells whether a request that was read under t may be taken in under now: its number still means its class, and may be
-// repeated no more freely than its client was told. A body can take longer to come than a file to change.
+// holds reports whether a request that was read under t may be accepted under now. The class number must still
+// mean the same class, and the class must not allow more repeats than when the client sent the request. A body
+// can take longer to arrive than a file to change.
 func (t *tuning) holds(now *tuning, class int) bool {
 	return t == now || class < len(now.Classes) && t.Classes[class] == now.Classes[class] &&
 		t.Config.Classes[class].Effect >= now.Config.Classes[class].Effect
 }
 
-// inUse names the classes that requests may be of.
+// inUse returns the names of the classes that requests may use.
 func (t *tuning) inUse() []string {
 	var names []string
 	for i, name := range t.Classes {
@@ -128,9 +131,9 @@
 	return names
 }
 
-// NotReloaded tells and counts that a configuration was turned down: the old one holds, whole.
+// NotReloaded logs and counts a rejected configuration. The old one stays in effect as a whole.
 func (n *Node) NotReloaded(err error) error {
 	n.figures.reloadsFailed.Add(1)
-	n.log.Error("configuration not reloaded, the old one holds", "error", err)
+	n.log.Error("configuration not reloaded: the old one stays in effect", "error", err)
 	return err
 }
--- a/internal/node/succeed.go
+++ b/internal/node/successor.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// listWithin is how long a process that shares its clients' socket waits for discovery before it lets clients in by the
-	// list that it remembers. Its yes is due within 6 s.
+	// listWithin is how long a process that shares its clients' socket waits for discovery. After that it
+	// accepts clients on the cached endpoint list. It must report readiness within 6 s.
 	listWithin = 3 * time.Second
-	// learnedWithin is how long it waits for what the process before it has learned, which that one writes when it sees
-	// that it is followed.
+	// learnedWithin is how long a successor waits for the learned state of its predecessor. The predecessor
+	// writes it when it detects the successor.
 	learnedWithin = 300 * time.Millisecond
 )
 
-// awaitList waits until discovery has told a list with a backend to send to, and takes in what the process before has learned.
+// awaitList waits until discovery has sent a list with a backend that can receive requests. Then it restores
+// the learned state of the predecessor.
 func (n *Node) awaitList(ctx context.Context) {
 	since, began := n.loop.Clock(), time.Now()
 	defer func() {
@@ -39,10 +40,11 @@
 	}
 }
 
-// learnedAgo is how long before this process looked the other one may have written: it saw the lock before.
+// learnedAgo is how long before this process's first look the predecessor may have written its state. The
+// predecessor can see the lock earlier.
 const learnedAgo = 200 * time.Millisecond
 
-// relearn has the Balancer go on with what the process before has learned.
+// relearn restores the predecessor's learned state into the Balancer.
 func (n *Node) relearn(l handover.Learned) {
 	done := make(chan struct{})
 	if !n.loop.PostFirst(func() {
@@ -60,36 +62,38 @@
 		return
 	}
 	<-done
-	n.log.Info("goes on with what the process before has learned", "age", n.loop.Clock()-l.At)
+	n.log.Info("restored the learned state of the previous process", "age", n.loop.Clock()-l.At)
 }
 
-// leaveLearned writes down what this process has learned. It is for one that is followed.
+// leaveLearned writes the learned state of this process to the shared folder. Only a process with a successor
+// calls it.
 func (n *Node) leaveLearned() {
 	n.loop.PostFirst(func() {
 		l := handover.Learned{At: n.loop.Clock(), Classes: n.front.tuning.Load().Classes, Balance: n.loop.Balancer.Learned()}
 		go func() {
 			if err := n.place.WriteLearned(l); err != nil {
-				n.log.Warn("what was learned is not written down: the next process begins anew", "error", err)
+				n.log.Warn("learned state not written: the next process starts without it", "error", err)
 			}
 		}()
 	})
 }
 
-// beside has this process keep to its half of what the machine gives while another one of the node runs, and to its half of
-// what the node may send cold backends. Idle connections make room; nothing that is in use does.
-func (n *Node) beside(is bool) {
+// beside limits this process to half of the machine's resources while another process of the node runs, and to
+// half of the load that the node may send to cold backends. Idle connections are closed to make room,
+// connections in use are not.
+func (n *Node) beside(shared bool) {
 	limits, nodes := n.cfg.Limits, max(n.cfg.Settings.Config.Instances, 1)
-	if is {
+	if shared {
 		limits, nodes = limits.beside(), 2*nodes
 	}
-	if is && n.place.Followed() {
+	if shared && n.place.Followed() {
 		n.leaveLearned()
 	}
-	n.log.Info("share of the machine", "another process of this node runs", is)
-	most, backends := limits.share()
-	n.listener.Resize(most)
-	n.front.resize(most, backends)
-	n.pool.resize(backends)
+	n.log.Info("share of the machine", "another process of this node runs", shared)
+	maxClients, maxBackends := limits.share()
+	n.listener.Resize(maxClients)
+	n.front.resize(maxClients, maxBackends)
+	n.pool.resize(maxBackends)
 	if heap := limits.Heap(); heap > 0 {
 		debug.SetMemoryLimit(heap)
 	}
