--- a/cmd/glencart/main.go
+++ b/cmd/glencart/main.go
@@ -22,9 +22,9 @@
 	"glencart/internal/node"
 )
 
-// logMost bounds the log output that waits for a slow reader, in bytes. The lines for a list of a thousand
-// backends take 140 kB. logWithin is how long the node waits for the reader at its end.
-const logMost, logWithin = 256 << 10, 20 * time.Millisecond
+// maxLogBytes bounds the log output that waits for a slow reader, in bytes. The lines for a list of a thousand
+// backends take 140 kB. logCloseTimeout is how long the node waits for the reader at its end.
+const maxLogBytes, logCloseTimeout = 256 << 10, 20 * time.Millisecond
 
 func main() {
 	if len(os.Args) > 1 {
@@ -58,11 +58,11 @@
 	if cfg.AcceptFD = os.Getenv("BALANCER_ACCEPT_FD"); cfg.AcceptFD != "" {
 		cfg.Shared = os.Getenv("TMPDIR")
 	}
-	limit(cfg.Limits)
+	setRuntimeLimits(cfg.Limits)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	out := lograte.NewWriter(os.Stderr, logMost)
-	defer out.Close(logWithin)
+	out := lograte.NewWriter(os.Stderr, maxLogBytes)
+	defer out.Close(logCloseTimeout)
 	log := slog.New(slog.NewTextHandler(out, nil))
 	golog.SetFlags(0)
 	golog.SetOutput(&lograte.Limited{Log: log})
@@ -76,7 +76,7 @@
 	go func() {
 		for range reload {
 			if cfg, err := node.LoadConfig(path); err != nil {
-				n.NotReloaded(err)
+				n.LogReloadFailure(err)
 			} else {
 				n.Reload(cfg)
 			}
@@ -85,9 +85,9 @@
 	return n.Run(ctx)
 }
 
-// limit sets the runtime's limits to those of the machine. The collector runs seldom, and more often near the
-// memory limit.
-func limit(l node.Limits) {
+// setRuntimeLimits sets the runtime's limits to those of the machine. The collector runs seldom, and more often
+// near the memory limit.
+func setRuntimeLimits(l node.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Round(l.Cores))))
 	}
--- a/cmd/glencart/main_test.go
+++ b/cmd/glencart/main_test.go
@@ -29,7 +29,7 @@
 }
 
 // A node that can't read its configuration prints one line and exits with code 1.
-func TestBadStartIsOneLine(t *testing.T) {
+func TestStartFailurePrintsOneLine(t *testing.T) {
 	bad := t.TempDir() + "/config.json"
 	if err := os.WriteFile(bad, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 
 // A process that gets SIGTERM while it still opens its sockets has no requests to answer. It must end at once
 // and without an error.
-func TestToldToEndWhileItOpens(t *testing.T) {
+func TestSIGTERMDuringStartEndsProcess(t *testing.T) {
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/glencart/outage_agent_test.go
+++ b/cmd/glencart/outage_agent_test.go
@@ -32,14 +32,14 @@
 
 // Kinds of faults.
 const (
-	agentWell     agentKind = ""
-	agentSilent   agentKind = "silent" // calls are read and never answered, not even later
-	agentRefuses  agentKind = "refused" // connections are closed, and no process listens
-	agentBusy     agentKind = "503" // each call is answered with 503
-	agentCuts     agentKind = "cut" // half of an answer is sent, then the connection is closed
-	agentInPieces agentKind = "pieces" // answers are sent in pieces over Delay
-	agentStopped  agentKind = "stopped" // SIGSTOP by the driver; the process itself never gets this kind
-	agentDeaf     agentKind = "deafened" // connections and requests stay unread during the fault and are served afterwards
+	agentHealthy  agentKind = ""
+	agentSilent   agentKind = "silent"   // calls are read and never answered, not even later
+	agentRefuses  agentKind = "refused"  // connections are closed, and no process listens
+	agentBusy     agentKind = "503"      // each call is answered with 503
+	agentCuts     agentKind = "cut"      // half of an answer is sent, then the connection is closed
+	agentInPieces agentKind = "pieces"   // answers are sent in pieces over Delay
+	agentStopped  agentKind = "stopped"  // SIGSTOP by the driver; the process itself never gets this kind
+	agentUnread   agentKind = "deafened" // connections and requests stay unread during the fault and are served afterwards
 )
 
 // agentState is a command of the driver. Each is a line of JSON on standard input.
@@ -50,9 +50,9 @@
 	Revision int
 }
 
-// agentLine is a line on standard output. It reports the addresses at the start, an applied command, a node's
+// agentReport is a line on standard output. It reports the addresses at the start, an applied command, a node's
 // call, or an answer to a node.
-type agentLine struct {
+type agentReport struct {
 	Addrs    []string  `json:",omitempty"`
 	Obeyed   bool      `json:",omitempty"`
 	Node     int       `json:",omitempty"`
@@ -62,22 +62,22 @@
 
 // agents are the agents of all nodes.
 type agents struct {
-	setup   agentSetup
-	line    turnLine
-	out     chan agentLine
-	mu      sync.Mutex
-	state   agentState
-	epoch   int // number of commands that made calls lost
-	changed chan struct{} // closed at the next command
-	conns   map[net.Conn]bool
-	tickets int // last ticket; tickets order first calls by their connections and later calls by their arrival
-	addrs   []string
-	ls      []net.Listener
+	setup     agentSetup
+	queue     turnQueue
+	out       chan agentReport
+	mu        sync.Mutex
+	state     agentState
+	epoch     int           // number of commands that made calls lost
+	changed   chan struct{} // closed at the next command
+	conns     map[net.Conn]bool
+	tickets   int // last ticket; tickets order first calls by their connections and later calls by their arrival
+	addrs     []string
+	listeners []net.Listener
 }
 
 // runAgents runs the process of the agents.
 func runAgents(text string) {
-	a := &agents{changed: make(chan struct{}), conns: map[net.Conn]bool{}, out: make(chan agentLine, 1<<16)}
+	a := &agents{changed: make(chan struct{}), conns: map[net.Conn]bool{}, out: make(chan agentReport, 1<<16)}
 	go func() {
 		for out := json.NewEncoder(os.Stdout); ; {
 			out.Encode(<-a.out)
@@ -92,24 +92,24 @@
 		if err != nil {
 			panic(err)
 		}
-		a.addrs, a.ls = append(a.addrs, l.Addr().String()), append(a.ls, l)
+		a.addrs, a.listeners = append(a.addrs, l.Addr().String()), append(a.listeners, l)
 	}
 	a.accept()
-	a.tell(agentLine{Addrs: a.addrs})
+	a.report(agentReport{Addrs: a.addrs})
 	for in := json.NewDecoder(os.Stdin); ; {
 		var next agentState
 		if in.Decode(&next) != nil {
 			return
 		}
-		a.obey(next)
-		a.tell(agentLine{Obeyed: true, At: time.Now()})
+		a.apply(next)
+		a.report(agentReport{Obeyed: true, At: time.Now()})
 	}
 }
 
-func (a *agents) tell(l agentLine) { a.out <- l }
+func (a *agents) report(l agentReport) { a.out <- l }
 
 func (a *agents) accept() {
-	for i, l := range a.ls {
+	for i, l := range a.listeners {
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -127,15 +127,15 @@
 	}
 }
 
-// obey applies a command.
-func (a *agents) obey(next agentState) {
+// apply applies a command.
+func (a *agents) apply(next agentState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if next.Kind == agentSilent || a.state.Kind == agentSilent {
 		a.epoch++
 	}
 	if next.Kind == agentRefuses {
-		for _, l := range a.ls {
+		for _, l := range a.listeners {
 			l.Close()
 		}
 		for c := range a.conns {
@@ -148,7 +148,7 @@
 			if err != nil {
 				panic(err)
 			}
-			a.ls[i] = l
+			a.listeners[i] = l
 		}
 		a.accept()
 	}
@@ -157,7 +157,7 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *agents) now() (agentState, int, chan struct{}) {
+func (a *agents) current() (agentState, int, chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.state, a.epoch, a.changed
@@ -172,14 +172,14 @@
 		a.mu.Unlock()
 	}()
 	for r := bufio.NewReader(c); ; {
-		for s, _, changed := a.now(); s.Kind == agentDeaf; s, _, changed = a.now() {
+		for s, _, changed := a.current(); s.Kind == agentUnread; s, _, changed = a.current() {
 			<-changed
 		}
 		call, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		a.tell(agentLine{Node: node, At: time.Now()})
+		a.report(agentReport{Node: node, At: time.Now()})
 		if !a.answer(node, c, call, ticket) {
 			return
 		}
@@ -190,8 +190,8 @@
 	}
 }
 
-// turnLine handles calls one after another in the order of their tickets.
-type turnLine struct {
+// turnQueue handles calls one after another in the order of their tickets.
+type turnQueue struct {
 	mu      sync.Mutex
 	waiting turnHeap
 	busy    bool
@@ -215,17 +215,17 @@
 	return last
 }
 
-// gatherTickets is how long an idle line waits for calls that arrived earlier.
-const gatherTickets = 3 * time.Millisecond
+// gatherWindow is how long an idle line waits for calls that arrived earlier.
+const gatherWindow = 3 * time.Millisecond
 
-// work returns when a call has had its turn.
-func (l *turnLine) work(ticket int, takes time.Duration) {
+// waitTurn returns when a call has had its turn.
+func (l *turnQueue) waitTurn(ticket int, takes time.Duration) {
 	turn := make(chan struct{})
 	l.mu.Lock()
 	heap.Push(&l.waiting, turnWaiter{ticket, turn})
 	if !l.busy {
 		l.busy = true
-		time.AfterFunc(gatherTickets, l.next) // calls that were held up arrive together
+		time.AfterFunc(gatherWindow, l.next) // calls that were held up arrive together
 	}
 	l.mu.Unlock()
 	<-turn
@@ -234,7 +234,7 @@
 }
 
 // next starts the call with the lowest ticket.
-func (l *turnLine) next() {
+func (l *turnQueue) next() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.busy = len(l.waiting) > 0; l.busy {
@@ -247,20 +247,20 @@
 	q := call.URL.Query()
 	after, _ := strconv.Atoi(q.Get("after"))
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
-	s, epoch, changed := a.now()
+	s, epoch, changed := a.current()
 	for end := time.After(time.Duration(wait) * time.Millisecond); wait > 0 && s.Kind != agentBusy && s.Revision <= after; {
 		select {
 		case <-changed:
-			s, _, changed = a.now()
+			s, _, changed = a.current()
 			continue
 		case <-end:
 		}
 		break
 	}
 	if s.Turn > 0 {
-		a.line.work(ticket, s.Turn)
+		a.queue.waitTurn(ticket, s.Turn)
 	}
-	s, _, _ = a.now()
+	s, _, _ = a.current()
 	list := a.setup.Lists[s.Revision-1]
 	if wait > 0 && s.Revision <= after {
 		list = fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, s.Revision)
@@ -268,7 +268,7 @@
 	if s.Kind != agentInPieces {
 		time.Sleep(s.Delay)
 	}
-	_, epochNow, _ := a.now()
+	_, epochNow, _ := a.current()
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	switch {
 	case epoch != epochNow || s.Kind == agentSilent:
@@ -295,7 +295,7 @@
 			return false
 		}
 	}
-	a.tell(agentLine{Node: node, Revision: s.Revision, At: time.Now()})
+	a.report(agentReport{Node: node, Revision: s.Revision, At: time.Now()})
 	return true
 }
 
--- a/cmd/glencart/outage_test.go
+++ b/cmd/glencart/outage_test.go
@@ -38,7 +38,7 @@
 var (
 	outageSweep = flag.String("outage.sweep", "",
 		"run the cells of the table whose name contains this text, one at a time, instead of the default cells; all: every cell")
-	outageSeed  = flag.Uint64("outage.seed", 1, "seed for the times at which agents fail and come back")
+	outageSeed = flag.Uint64("outage.seed", 1, "seed for the times at which agents fail and come back")
 )
 
 // outageCell is one kind of outage.
@@ -71,7 +71,7 @@
 	return []outageCell{
 		{agentSilent, outage, agentState{Delay: 1100 * time.Millisecond}, 2},
 		{agentSilent, outage, agentState{Turn: 200 * time.Millisecond}, 1},
-		{agentDeaf, long, agentState{Turn: 100 * time.Millisecond}, 1},
+		{agentUnread, long, agentState{Turn: 100 * time.Millisecond}, 1},
 		{agentStopped, long, agentState{Turn: 100 * time.Millisecond}, 1},
 		{agentBusy, outage, agentState{Kind: agentInPieces, Delay: 1200 * time.Millisecond}, 2},
 	}
@@ -80,7 +80,7 @@
 // sweepCells returns the cells of the full table.
 func sweepCells() (cells []outageCell) {
 	const usual = 6 * time.Second
-	for _, kind := range []agentKind{agentStopped, agentDeaf, agentSilent, agentRefuses, agentBusy, agentCuts} {
+	for _, kind := range []agentKind{agentStopped, agentUnread, agentSilent, agentRefuses, agentBusy, agentCuts} {
 		for _, outage := range []time.Duration{300 * time.Millisecond, 2 * time.Second, usual, 20 * time.Second, time.Minute} {
 			cells = append(cells, outageCell{kind, outage, agentState{}, 1})
 		}
@@ -108,10 +108,10 @@
 
 const (
 	// outageClients send requests to each node at the same time. Each waits outagePause after its last answer.
-	// With more than outageBusy nodes the pause is longer, so that the machine can run them all.
-	outageClients, outagePause, outageBusy = 2, 20 * time.Millisecond, 8
-	// outageAfter is how long nodes are watched after the agents' return.
-	outageAfter = 4 * time.Second
+	// With more than outageManyNodes nodes the pause is longer, so that the machine can run them all.
+	outageClients, outagePause, outageManyNodes = 2, 20 * time.Millisecond, 8
+	// outageWatchTime is how long nodes are watched after the agents' return.
+	outageWatchTime = 4 * time.Second
 )
 
 // outage is one run.
@@ -124,15 +124,15 @@
 
 	commands *json.Encoder
 	agent    *os.Process
-	obeyed   chan time.Time
+	applied  chan time.Time
 
-	mu       sync.Mutex
-	arrivals []outageArrival // at backends that are removed later
-	calls    []int // by node: calls at its agent
-	answers  [][]time.Time // by node: when its agent had written the later list in whole
-	canTell  time.Time
-	late     time.Duration
-	over     chan struct{}
+	mu             sync.Mutex
+	arrivals       []outageArrival // at backends that are removed later
+	calls          []int           // by node: calls at its agent
+	listSentAt     [][]time.Time   // by node: when its agent had written the later list in whole
+	listSendableAt time.Time
+	late           time.Duration
+	done           chan struct{}
 }
 
 type outageArrival struct {
@@ -142,17 +142,17 @@
 
 // outageNode is one node process.
 type outageNode struct {
-	listen, admin string
-	process       *os.Process
-	taken         chan time.Time // when the node logged the later list
-	takenAt       time.Time
-	sockets       int // maximum of open descriptors
-	cpu           time.Duration
-	figures       map[string]int
+	listen, admin  string
+	process        *os.Process
+	applied        chan time.Time // when the node logged the later list
+	appliedAt      time.Time
+	maxDescriptors int // maximum of open descriptors
+	cpu            time.Duration
+	counters       map[string]int
 }
 
-func (o *outage) play() (faults []string) {
-	o.over = make(chan struct{})
+func (o *outage) run() (faults []string) {
+	o.done = make(chan struct{})
 	o.backends()
 	o.startAgents()
 	var wait sync.WaitGroup
@@ -170,24 +170,24 @@
 		}
 	}
 	time.Sleep(time.Second + time.Duration(o.rng.Int64N(int64(300*time.Millisecond))))
-	o.fail()
+	o.injectOutage()
 	for _, n := range o.nodes {
 		select {
-		case n.takenAt = <-n.taken:
-		case <-time.After(time.Until(o.canTell.Add(outageAfter + 2*o.cell.back.Delay + 20*o.cell.back.Turn))):
+		case n.appliedAt = <-n.applied:
+		case <-time.After(time.Until(o.listSendableAt.Add(outageWatchTime + 2*o.cell.back.Delay + 20*o.cell.back.Turn))):
 		}
 	}
-	time.Sleep(time.Until(o.canTell.Add(outageAfter)))
+	time.Sleep(time.Until(o.listSendableAt.Add(outageWatchTime)))
 	for _, n := range o.nodes {
 		n.measure()
 	}
-	close(o.over)
+	close(o.done)
 	wait.Wait()
-	return o.judge()
+	return o.violations()
 }
 
-// fail makes the agents fail, and come back with the later list.
-func (o *outage) fail() {
+// injectOutage makes the agents fail, and come back with the later list.
+func (o *outage) injectOutage() {
 	back := o.cell.back
 	back.Revision = 2
 	duration := o.cell.outage + time.Duration(o.rng.Int64N(int64(130*time.Millisecond)))
@@ -196,35 +196,35 @@
 		time.Sleep(duration)
 		o.commands.Encode(back)
 		o.mu.Lock()
-		o.canTell = time.Now()
+		o.listSendableAt = time.Now()
 		o.mu.Unlock()
 		o.agent.Signal(syscall.SIGCONT)
-		standin.Receive(o.t, "the agents' return", o.obeyed)
+		standin.Receive(o.t, "the agents' return", o.applied)
 		return
 	}
 	o.commands.Encode(agentState{Kind: o.cell.kind, Revision: 1})
-	standin.Receive(o.t, "the outage", o.obeyed)
+	standin.Receive(o.t, "the outage", o.applied)
 	time.Sleep(duration)
 	o.commands.Encode(back)
-	at := standin.Receive(o.t, "the agents' return", o.obeyed)
+	at := standin.Receive(o.t, "the agents' return", o.applied)
 	o.mu.Lock()
-	o.canTell = at
+	o.listSendableAt = at
 	o.mu.Unlock()
 }
 
-// judge returns the violations of the drain rule.
-func (o *outage) judge() (faults []string) {
+// violations returns the violations of the drain rule.
+func (o *outage) violations() (faults []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, n := range o.nodes {
-		if n.takenAt.IsZero() {
+		if n.appliedAt.IsZero() {
 			faults = append(faults, fmt.Sprintf("node %d never applied the list; its agent had %d calls and wrote %d whole answers with it",
-				i, o.calls[i], len(o.answers[i])))
+				i, o.calls[i], len(o.listSentAt[i])))
 		}
 	}
 	for _, a := range o.arrivals {
-		bound := o.canTell
-		if of := o.answers[a.node]; len(of) > 0 && of[0].After(bound) {
+		bound := o.listSendableAt
+		if of := o.listSentAt[a.node]; len(of) > 0 && of[0].After(bound) {
 			bound = of[0]
 		} else if len(of) == 0 {
 			continue // the agent has not sent the list
@@ -260,14 +260,14 @@
 	}}
 }
 
-// process returns a command that runs this test binary in another role.
-func (o *outage) process(env ...string) (cmd *exec.Cmd) {
+// command returns a command that runs this test binary in another role.
+func (o *outage) command(env ...string) (cmd *exec.Cmd) {
 	cmd = exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), "GORACE=atexit_sleep_ms=0"), env...)
 	return cmd
 }
 
-func (o *outage) started(cmd *exec.Cmd) {
+func (o *outage) startProcess(cmd *exec.Cmd) {
 	if err := cmd.Start(); err != nil {
 		o.t.Fatal(err)
 	}
@@ -279,17 +279,17 @@
 
 func (o *outage) startAgents() {
 	text, _ := json.Marshal(o.setup)
-	cmd := o.process(agentEnv + "=" + string(text))
+	cmd := o.command(agentEnv + "=" + string(text))
 	in, _ := cmd.StdinPipe()
 	out, _ := cmd.StdoutPipe()
 	cmd.Stderr = os.Stderr
-	o.started(cmd)
+	o.startProcess(cmd)
 	o.commands, o.agent = json.NewEncoder(in), cmd.Process
-	o.calls, o.answers, o.obeyed = make([]int, o.cell.nodes), make([][]time.Time, o.cell.nodes), make(chan time.Time, 4)
+	o.calls, o.listSentAt, o.applied = make([]int, o.cell.nodes), make([][]time.Time, o.cell.nodes), make(chan time.Time, 4)
 	addrs := make(chan []string, 1)
 	go func() {
 		for lines := json.NewDecoder(out); ; {
-			var l agentLine
+			var l agentReport
 			if lines.Decode(&l) != nil {
 				return
 			}
@@ -298,9 +298,9 @@
 			case l.Addrs != nil:
 				addrs <- l.Addrs
 			case l.Obeyed:
-				o.obeyed <- l.At
+				o.applied <- l.At
 			case l.Revision == 2:
-				o.answers[l.Node] = append(o.answers[l.Node], l.At)
+				o.listSentAt[l.Node] = append(o.listSentAt[l.Node], l.At)
 			case l.Revision == 0:
 				o.calls[l.Node]++
 			}
@@ -308,7 +308,7 @@
 		}
 	}()
 	for _, addr := range standin.Receive(o.t, "the agents", addrs) {
-		o.nodes = append(o.nodes, &outageNode{admin: addr, taken: make(chan time.Time, 1)})
+		o.nodes = append(o.nodes, &outageNode{admin: addr, applied: make(chan time.Time, 1)})
 	}
 }
 
@@ -328,14 +328,14 @@
 		o.t.Error(err)
 		return
 	}
-	cmd := o.process("GLENCART_TEST_RUN=1", "BALANCER_CONFIG="+path)
+	cmd := o.command("GLENCART_TEST_RUN=1", "BALANCER_CONFIG="+path)
 	logged, _ := cmd.StderrPipe()
-	o.started(cmd)
+	o.startProcess(cmd)
 	n.process = cmd.Process
 	go func() {
 		for lines := bufio.NewScanner(logged); lines.Scan(); {
 			if line := lines.Text(); strings.Contains(line, `msg="list taken" revision=2`) {
-				n.taken <- time.Now()
+				n.applied <- time.Now()
 			} else if testing.Verbose() && o.cell.nodes < 3 && strings.Contains(line, "discovery") {
 				o.t.Log(line)
 			}
@@ -361,9 +361,9 @@
 	defer c.CloseIdleConnections()
 	for n := 0; ; n++ {
 		select {
-		case <-o.over:
+		case <-o.done:
 			return
-		case <-time.After(outagePause * time.Duration(max(1, len(o.nodes)/outageBusy))):
+		case <-time.After(outagePause * time.Duration(max(1, len(o.nodes)/outageManyNodes))):
 		}
 		r, _ := http.NewRequest("GET", "http://"+o.nodes[node].listen+"/api/x", nil)
 		r.Header.Set("X-Trace-Id", fmt.Sprintf("%d-%x", node, rand.Uint64()))
@@ -382,7 +382,7 @@
 	for n := 0; ; n++ {
 		at := time.Now()
 		select {
-		case <-o.over:
+		case <-o.done:
 			return
 		case <-time.After(every):
 		}
@@ -392,20 +392,20 @@
 		o.mu.Unlock()
 		if node := o.nodes[n%len(o.nodes)]; n%4 == 0 {
 			open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.process.Pid))
-			node.sockets = max(node.sockets, len(open))
+			node.maxDescriptors = max(node.maxDescriptors, len(open))
 		}
 	}
 }
 
 // measure reads the node's counters and its CPU time.
 func (n *outageNode) measure() {
-	n.figures = map[string]int{}
+	n.counters = map[string]int{}
 	if resp, err := http.Get("http://" + n.admin + "/control/counters"); err == nil {
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		for line := range strings.Lines(string(text)) {
 			name, number, _ := strings.Cut(strings.TrimPrefix(strings.TrimSpace(line), "app."), "=")
-			n.figures[name], _ = strconv.Atoi(number)
+			n.counters[name], _ = strconv.Atoi(number)
 		}
 	}
 	n.cpu = processorTime(n.process.Pid)
@@ -433,15 +433,15 @@
 	sum := map[string]int{}
 	var cpu time.Duration
 	for _, n := range o.nodes {
-		if n.takenAt.IsZero() {
+		if n.appliedAt.IsZero() {
 			never++
 		} else {
-			delays = append(delays, n.takenAt.Sub(o.canTell))
+			delays = append(delays, n.appliedAt.Sub(o.listSendableAt))
 		}
-		for name, number := range n.figures {
+		for name, number := range n.counters {
 			sum[name] += number
 		}
-		sockets, cpu = max(sockets, n.sockets), cpu+n.cpu
+		sockets, cpu = max(sockets, n.maxDescriptors), cpu+n.cpu
 	}
 	slices.Sort(delays)
 	median, worst := "never", "never"
@@ -477,7 +477,7 @@
 				t.Parallel()
 			}
 			o := &outage{t: t, cell: cell, rng: rand.New(rand.NewPCG(*outageSeed, 1))}
-			faults := o.play()
+			faults := o.run()
 			if *outageSweep != "" {
 				fmt.Println(o.row(len(faults)))
 			}
--- a/cmd/glencart/soak_clients_test.go
+++ b/cmd/glencart/soak_clients_test.go
@@ -18,12 +18,12 @@
 func (s *soak) client(rng *rand.Rand) {
 	for n := 0; ; n++ {
 		select {
-		case <-s.over:
+		case <-s.done:
 			return
 		default:
 		}
 		s.mu.Lock()
-		closed := !s.told.IsZero() && time.Since(s.told) > stillComing
+		closed := !s.terminatedAt.IsZero() && time.Since(s.terminatedAt) > connectGrace
 		s.mu.Unlock()
 		if closed {
 			return
@@ -33,14 +33,14 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		for first := true; s.ask(c, rng, first); first = false {
+		for first := true; s.send(c, rng, first); first = false {
 		}
 		c.Close()
 	}
 }
 
-// ask sends one request and reports whether its connection can carry another.
-func (s *soak) ask(c net.Conn, rng *rand.Rand, first bool) bool {
+// send sends one request and reports whether its connection can carry another.
+func (s *soak) send(c net.Conn, rng *rand.Rand, first bool) bool {
 	q := &request{id: fmt.Sprintf("%d-%x", s.seed, rng.Uint64()), first: first}
 	q.effect = [...]string{"read", "order", "order", "token"}[rng.IntN(4)]
 	q.budget = s.deadline/4 + time.Duration(rng.Int64N(int64(s.deadline*3/4)))
@@ -65,17 +65,17 @@
 		text = text[cut:]
 		time.Sleep(time.Duration(rng.IntN(80)) * time.Millisecond)
 	}
-	q.written = time.Now()
+	q.writtenAt = time.Now()
 	if _, err := io.WriteString(c, text); err != nil {
 		return false // the connection ended before the last byte
 	}
 	leaves := rng.IntN(12) == 0
 	if leaves {
 		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
-		q.left = time.Now()
+		q.leftAt = time.Now()
 		c.Close()
 	}
-	more := s.await(c, q, leaves)
+	more := s.readAnswer(c, q, leaves)
 	s.mu.Lock()
 	s.requests = append(s.requests, q)
 	s.mu.Unlock()
@@ -83,12 +83,12 @@
 	return more
 }
 
-// await reads the answer to a request. It reports whether the connection can carry another request.
-func (s *soak) await(c net.Conn, q *request, left bool) bool {
+// readAnswer reads the answer to a request. It reports whether the connection can carry another request.
+func (s *soak) readAnswer(c net.Conn, q *request, left bool) bool {
 	if left {
 		return false
 	}
-	c.SetReadDeadline(q.written.Add(q.budget + 2*time.Second))
+	c.SetReadDeadline(q.writtenAt.Add(q.budget + 2*time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err == nil {
 		var text []byte
@@ -96,13 +96,13 @@
 			q.status, q.body = resp.StatusCode, string(text)
 		}
 	}
-	q.ended, q.err = time.Now(), err
+	q.endedAt, q.err = time.Now(), err
 	return err == nil && !resp.Close
 }
 
-// heldUpWithin returns how long the node was stopped within a period.
-func (s *soak) heldUpWithin(from, to time.Time) (d time.Duration) {
-	for _, h := range s.heldUp {
+// stoppedWithin returns how long the node was stopped within a period.
+func (s *soak) stoppedWithin(from, to time.Time) (d time.Duration) {
+	for _, h := range s.stopped {
 		if h.from.Before(to) && h.to.After(from) {
 			d += h.to.Sub(h.from)
 		}
@@ -110,8 +110,8 @@
 	return d
 }
 
-// judge checks all requests against the rules.
-func (s *soak) judge() {
+// checkRequests checks all requests against the rules.
+func (s *soak) checkRequests() {
 	for _, q := range s.requests {
 		runs := s.arrivals[q.id]
 		mayRun := 0
@@ -120,53 +120,54 @@
 				mayRun++
 			}
 			if i > 0 && q.effect == "order" && !runs[i-1].neverRan {
-				s.fault("duplicate: %s is unsafe and was sent again after it may have run", q.id)
+				s.addViolation("duplicate: %s is unsafe and was sent again after it may have run", q.id)
 			}
-			if d := a.at.Sub(runs[0].at); i > 0 && q.effect == "token" && !runs[0].neverRan && d > soakWindow+ruleSlack+s.late {
-				s.fault("duplicate: %s was sent again after %v, repeats are dropped for %v", q.id, d, soakWindow)
+			if d := a.at.Sub(runs[0].at); i > 0 && q.effect == "token" && !runs[0].neverRan && d > keyedWindow+ruleSlack+s.late {
+				s.addViolation("duplicate: %s was sent again after %v, repeats are dropped for %v", q.id, d, keyedWindow)
 			}
-			if !q.left.IsZero() {
-				if d := a.at.Sub(q.left); d > leaveSlack+s.late+s.heldUpWithin(q.left, a.at) {
-					s.fault("lost: %s began %v after its client had left", q.id, d)
+			if !q.leftAt.IsZero() {
+				if d := a.at.Sub(q.leftAt); d > leaveSlack+s.late+s.stoppedWithin(q.leftAt, a.at) {
+					s.addViolation("lost: %s began %v after its client had left", q.id, d)
 				}
 			}
 			// The client reads its clock before it writes, and the backend reads its clock after it has read.
 			// Each of them may be late, and so may the node between them.
-			if left := q.budget - a.at.Sub(q.written); a.told > left+toldSlack+3*s.late {
-				s.fault("%s: its backend got a time budget of %v, its client had %v left", q.id, a.told, left)
+			if left := q.budget - a.at.Sub(q.writtenAt); a.budget > left+budgetSlack+3*s.late {
+				s.addViolation("%s: its backend got a time budget of %v, its client had %v left", q.id, a.budget, left)
 			}
 		}
 		switch {
-		case !q.left.IsZero():
+		case !q.leftAt.IsZero():
 		case q.err != nil && (q.first || len(runs) > 0):
-			s.fault("lost: %s (%s, first on its connection: %v, at backends: %d) %v after SIGTERM has no answer: %v",
-				q.id, q.effect, q.first, len(runs), q.written.Sub(s.told), q.err)
+			s.addViolation("lost: %s (%s, first on its connection: %v, at backends: %d) %v after SIGTERM has no answer: %v",
+				q.id, q.effect, q.first, len(runs), q.writtenAt.Sub(s.terminatedAt), q.err)
 		case q.err != nil: // the request crossed the close of an idle connection
-		case q.ended.Sub(q.written) > q.budget+lateSlack+s.late:
-			s.fault("lost: %s was answered after %v of %v", q.id, q.ended.Sub(q.written), q.budget)
+		case q.endedAt.Sub(q.writtenAt) > q.budget+lateSlack+s.late:
+			s.addViolation("lost: %s was answered after %v of %v", q.id, q.endedAt.Sub(q.writtenAt), q.budget)
 		case q.status == http.StatusOK && q.body != q.id:
-			s.fault("lost: %s was served with %q", q.id, q.body)
+			s.addViolation("lost: %s was served with %q", q.id, q.body)
 		case q.status == http.StatusOK && mayRun == 0:
-			s.fault("lost: %s was served, but no backend may have run it", q.id)
+			s.addViolation("lost: %s was served, but no backend may have run it", q.id)
 		case q.status == http.StatusServiceUnavailable && q.effect == "order" && mayRun > 0:
-			s.fault("duplicate: %s was rejected, but may have run", q.id)
+			s.addViolation("duplicate: %s was rejected, but may have run", q.id)
 		}
 	}
 }
 
-// judgeDrain checks that a draining backend got no new request after the grace. It is called before that
+// checkDrain checks that a draining backend got no new request after the grace. It is called before that
 // backend returns to service.
-func (s *soak) judgeDrain(i int) {
+func (s *soak) checkDrain(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	listedAt := s.toldAt[i]
-	if sendableAt := s.canTell[i]; s.draining[i] && !sendableAt.IsZero() && (listedAt.IsZero() || sendableAt.Before(listedAt)) {
+	listedAt := s.drainListedAt[i]
+	if sendableAt := s.drainSendableAt[i]; s.draining[i] && !sendableAt.IsZero() && (listedAt.IsZero() || sendableAt.Before(listedAt)) {
 		listedAt = sendableAt // the list counts from when the agent could send it, whether or not a node asked
 	}
 	for id, runs := range s.arrivals {
 		for _, a := range runs {
-			if a.backend == i && !listedAt.IsZero() && a.begun.Sub(listedAt) > drainGrace+ruleSlack+s.late {
-				s.faults = append(s.faults, fmt.Sprintf("drain: %s arrived %v after the list in which s-%d drains", id, a.begun.Sub(listedAt), i))
+			if a.backend == i && !listedAt.IsZero() && a.beganAt.Sub(listedAt) > drainGrace+ruleSlack+s.late {
+				s.violations = append(s.violations, fmt.Sprintf("drain: %s arrived %v after the list in which s-%d drains",
+					id, a.beganAt.Sub(listedAt), i))
 			}
 		}
 	}
--- a/cmd/glencart/soak_discovery_test.go
+++ b/cmd/glencart/soak_discovery_test.go
@@ -18,9 +18,9 @@
 // Kinds of stalls.
 const (
 	stallNone stallKind = iota
-	stallLost // calls that are open or arrive meanwhile are never answered
-	stallHeld // calls are answered after the stall
-	stallSlow // each answer takes longer
+	stallLost           // calls that are open or arrive meanwhile are never answered
+	stallHeld           // calls are answered after the stall
+	stallSlow           // each answer takes longer
 )
 
 // stall is a period in which discovery does not answer at once.
@@ -28,41 +28,41 @@
 	kind  stallKind
 	until time.Time
 	delay time.Duration // of each answer
-	lost  int // number of stalls so far in which calls were lost
+	lost  int           // number of stalls so far in which calls were lost
 }
 
 // stallDiscovery makes discovery stall for a time. Other faults may happen meanwhile.
 func (s *soak) stallDiscovery() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.stalled.until) {
+	if time.Now().Before(s.currentStall.until) {
 		return
 	}
 	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(2500*time.Millisecond)))
-	next := stall{kind: stallKind(1 + s.rng.IntN(3)), until: time.Now().Add(duration), lost: s.stalled.lost}
+	next := stall{kind: stallKind(1 + s.rng.IntN(3)), until: time.Now().Add(duration), lost: s.currentStall.lost}
 	switch next.kind {
 	case stallLost:
 		next.lost++
 	case stallSlow:
 		next.delay = 50*time.Millisecond + time.Duration(s.rng.Int64N(int64(1500*time.Millisecond)))
 	}
-	s.stalled = next
+	s.currentStall = next
 	s.stalls++
 	for i, draining := range s.draining { // a list that is not written yet may be held back by this stall
-		if draining && s.toldAt[i].IsZero() {
-			s.canTell[i] = time.Time{}
+		if draining && s.drainListedAt[i].IsZero() {
+			s.drainSendableAt[i] = time.Time{}
 		}
 	}
 }
 
-// stalledNow returns the current stall, or one of kind stallNone.
-func (s *soak) stalledNow() stall {
+// activeStall returns the current stall, or one of kind stallNone.
+func (s *soak) activeStall() stall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.stalled.until) {
-		return s.stalled
+	if time.Now().Before(s.currentStall.until) {
+		return s.currentStall
 	}
-	return stall{lost: s.stalled.lost}
+	return stall{lost: s.currentStall.lost}
 }
 
 // pause waits for d or until the run is over. Meanwhile discovery doesn't notice that a call was given up.
@@ -72,7 +72,7 @@
 	}
 	select {
 	case <-time.After(d):
-	case <-s.over:
+	case <-s.done:
 	}
 }
 
@@ -96,7 +96,7 @@
 		after, _ := strconv.Atoi(hr.URL.Query().Get("after"))
 		wait, _ := strconv.Atoi(hr.URL.Query().Get("wait_ms"))
 		end := time.After(time.Duration(wait) * time.Millisecond)
-		before := s.stalledNow()
+		before := s.activeStall()
 		if before.kind == stallHeld {
 			s.pause(time.Until(before.until))
 		}
@@ -116,14 +116,14 @@
 			}
 			break
 		}
-		s.pause(s.stalledNow().delay)
-		if now := s.stalledNow(); now.kind == stallHeld { // a discovery that is held up writes nothing
+		s.pause(s.activeStall().delay)
+		if now := s.activeStall(); now.kind == stallHeld { // a discovery that is held up writes nothing
 			s.pause(time.Until(now.until))
 		}
-		if now := s.stalledNow(); before.kind == stallLost || now.kind == stallLost || now.lost != before.lost {
+		if now := s.activeStall(); before.kind == stallLost || now.kind == stallLost || now.lost != before.lost {
 			select { // until the node gives the call up, or the run is over
 			case <-hr.Context().Done():
-			case <-s.over:
+			case <-s.done:
 			}
 			panic(http.ErrAbortHandler)
 		}
@@ -131,13 +131,13 @@
 		defer s.mu.Unlock()
 		if io.WriteString(w, s.list()); http.NewResponseController(w).Flush() == nil {
 			for i := range s.draining {
-				if s.draining[i] && s.toldAt[i].IsZero() {
-					s.toldAt[i] = time.Now()
+				if s.draining[i] && s.drainListedAt[i].IsZero() {
+					s.drainListedAt[i] = time.Now()
 				}
 			}
 		}
 	})
-	for i := range s.discover {
+	for i := range s.registryAddrs {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.t.Fatal(err)
@@ -145,7 +145,7 @@
 		srv := &http.Server{Handler: handler}
 		go srv.Serve(l)
 		s.t.Cleanup(func() { srv.Close() })
-		s.discover[i] = l.Addr().String()
+		s.registryAddrs[i] = l.Addr().String()
 	}
 }
 
@@ -153,11 +153,11 @@
 func (s *soak) drain(i int, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining[i], s.toldAt[i] = draining, time.Time{}
-	if s.canTell[i] = time.Now(); s.stalled.until.After(s.canTell[i]) {
-		s.canTell[i] = s.stalled.until
-		if s.stalled.delay > 0 {
-			s.canTell[i] = time.Time{} // known only when its first answer is written
+	s.draining[i], s.drainListedAt[i] = draining, time.Time{}
+	if s.drainSendableAt[i] = time.Now(); s.currentStall.until.After(s.drainSendableAt[i]) {
+		s.drainSendableAt[i] = s.currentStall.until
+		if s.currentStall.delay > 0 {
+			s.drainSendableAt[i] = time.Time{} // known only when its first answer is written
 		}
 	}
 	s.revision++
--- a/cmd/glencart/soak_setup_test.go
+++ b/cmd/glencart/soak_setup_test.go
@@ -41,7 +41,7 @@
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		a := arrival{backend: i, begun: time.Now()}
+		a := arrival{backend: i, beganAt: time.Now()}
 		hr, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -55,7 +55,7 @@
 		}
 		a.at, a.method, a.key = time.Now(), hr.Method, hr.Header.Get("Idempotency-Key")
 		seconds, _ := strconv.ParseFloat(hr.Header.Get("X-Expires-In"), 64)
-		a.told = time.Duration(seconds * float64(time.Second))
+		a.budget = time.Duration(seconds * float64(time.Second))
 		chance := rng.IntN(100)
 		a.neverRan = chance >= 90 && chance < 95
 		id := hr.Header.Get("X-Trace-Id")
@@ -114,18 +114,18 @@
 	ns := func(d time.Duration) int64 { return int64(d) }
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "aim": ns(deadline / 2), "deadline": ns(deadline),
-			"keyScope": "all", "window": ns(soakWindow), "points": 1}
+			"keyScope": "all", "window": ns(keyedWindow), "points": 1}
 	}
 	return map[string]any{
 		"name": "n", "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 256},
 		"known":  map[string]any{"revision": 0, "complete": true, "members": []any{}},
 		"settings": map[string]any{"nInstances": 1, "zones": []string{"a"}, "skus": []string{"m"},
-			"classes":     []any{class("read", "pure"), class("order", "side_effect"), class("token", "token")},
-			"limits":      map[string]any{"cancelling": true, "probing": true, "maxAttempts": 4,
+			"classes": []any{class("read", "pure"), class("order", "side_effect"), class("token", "token")},
+			"limits": map[string]any{"cancelling": true, "probing": true, "maxAttempts": 4,
 				"connectTimeout": ns(100 * time.Millisecond), "idleClose": ns(5 * time.Second)},
 			"obligations": map[string]any{"drainGrace": ns(drainGrace), "coldShare": 0.12, "warmWithin": ns(22 * time.Second),
 				"fallMultiple": 3, "overloadFor": ns(1500 * time.Millisecond)},
-			"loadReport":  map[string]any{"source": "on_probe", "columns": []string{"active"}}},
+			"loadReport": map[string]any{"source": "on_probe", "columns": []string{"active"}}},
 	}
 }
--- a/cmd/glencart/soak_test.go
+++ b/cmd/glencart/soak_test.go
@@ -28,89 +28,89 @@
 const (
 	soakBackends = 4
 	soakClients  = 12
-	soakWindow   = 400 * time.Millisecond // in which backends drop repeats of a keyed request
+	keyedWindow  = 400 * time.Millisecond // in which backends drop repeats of a keyed request
 	drainGrace   = 500 * time.Millisecond
-	ruleSlack    = 50 * time.Millisecond // what the protocol adds to each time limit
+	ruleSlack    = 50 * time.Millisecond  // what the protocol adds to each time limit
 	leaveSlack   = 100 * time.Millisecond // maximum time from a client's leaving to the start of an attempt
-	toldSlack    = 150 * time.Millisecond // maximum excess of the time budget sent to a backend
+	budgetSlack  = 150 * time.Millisecond // maximum excess of the time budget sent to a backend
 	lateSlack    = 500 * time.Millisecond // an answer within this time after its budget is late and not lost
-	heldUpMost   = 150 * time.Millisecond
+	maxStopped   = 150 * time.Millisecond
 	killAfter    = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest deadline plus this time
-	leastServed  = 30 // with fewer a run checks too little; a node that has learned that answers are late rejects most requests
-	stillComing  = 400 * time.Millisecond // clients open new connections for this long after SIGTERM
+	minServed    = 30                     // with fewer a run checks too little; a node that has learned of late answers rejects most
+	connectGrace = 400 * time.Millisecond // clients open new connections for this long after SIGTERM
 )
 
 // arrival is an attempt whose last byte a backend has read.
 type arrival struct {
 	backend     int
-	begun, at   time.Time
-	told        time.Duration // value of X-Expires-In
+	beganAt, at time.Time
+	budget      time.Duration // value of X-Expires-In
 	neverRan    bool
 	key, method string
 }
 
-// span is a period in which the node was stopped.
-type span struct{ from, to time.Time }
+// period is a period in which the node was stopped.
+type period struct{ from, to time.Time }
 
 // soak is one run of one node.
 type soak struct {
-	t        *testing.T
-	seed     uint64
-	rng      *rand.Rand // used by the driver
-	deadline time.Duration
-	discover [2]string // two addresses of one registry
-	listen   string
-	config   string // path of the configuration file
+	t             *testing.T
+	seed          uint64
+	rng           *rand.Rand // used by the driver
+	deadline      time.Duration
+	registryAddrs [2]string // two addresses of one registry
+	listen        string
+	config        string // path of the configuration file
 
-	mu       sync.Mutex
-	revision int
-	draining [soakBackends]bool
-	toldAt   [soakBackends]time.Time // when the registry wrote the list in which it drains; zero if it has not
-	canTell  [soakBackends]time.Time // when the registry could send that list; zero if not before it did
-	stalled  stall
-	stalls   int
-	changed  chan struct{} // closed at the next change of the list
-	addrs    [soakBackends]string
-	arrivals map[string][]arrival
-	heldUp   []span
-	requests []*request
-	faults   []string
-	late     time.Duration // maximum delay of this process's own timers
-	told     time.Time // when the first SIGTERM was sent
-	over     chan struct{}
+	mu              sync.Mutex
+	revision        int
+	draining        [soakBackends]bool
+	drainListedAt   [soakBackends]time.Time // when the registry wrote the list in which it drains; zero if it has not
+	drainSendableAt [soakBackends]time.Time // when the registry could send that list; zero if not before it did
+	currentStall    stall
+	stalls          int
+	changed         chan struct{} // closed at the next change of the list
+	addrs           [soakBackends]string
+	arrivals        map[string][]arrival
+	stopped         []period
+	requests        []*request
+	violations      []string
+	late            time.Duration // maximum delay of this process's own timers
+	terminatedAt    time.Time     // when the first SIGTERM was sent
+	done            chan struct{}
 }
 
 // request is one request of a client and its outcome.
 type request struct {
 	id, effect string
 	budget     time.Duration
-	written    time.Time // right before its last byte was written
-	left       time.Time // when its client closed the connection; zero if it waited
-	first      bool // first request of its connection
-	status     int // 0 if there was no answer
+	writtenAt  time.Time // right before its last byte was written
+	leftAt     time.Time // when its client closed the connection; zero if it waited
+	first      bool      // first request of its connection
+	status     int       // 0 if there was no answer
 	body       string
-	ended      time.Time
+	endedAt    time.Time
 	err        error
 }
 
-func (s *soak) fault(format string, args ...any) {
+func (s *soak) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults = append(s.faults, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// play runs one node and returns the violations of the rules.
-func (s *soak) play() []string {
+// run runs one node and returns the violations of the rules.
+func (s *soak) run() []string {
 	s.rng = rand.New(rand.NewPCG(s.seed, 1))
 	s.deadline = [...]time.Duration{400 * time.Millisecond, time.Second, 3 * time.Second}[s.rng.IntN(3)]
-	s.arrivals, s.changed, s.over, s.revision = map[string][]arrival{}, make(chan struct{}), make(chan struct{}), 1
+	s.arrivals, s.changed, s.done, s.revision = map[string][]arrival{}, make(chan struct{}), make(chan struct{}), 1
 	for i := range soakBackends {
 		s.backend(i)
 	}
 	s.registry()
 	s.listen = standin.ReserveAddr(s.t)
 	s.config = s.t.TempDir() + "/config.json"
-	s.configure(s.discover[0], false)
+	s.configure(s.registryAddrs[0], false)
 	cmd := exec.Command(os.Args[0])
 	// Under the race detector a process would sleep for a second at its exit.
 	cmd.Env = append(os.Environ(), "GLENCART_TEST_RUN=1", "BALANCER_CONFIG="+s.config, "GORACE=atexit_sleep_ms=0")
@@ -137,16 +137,16 @@
 	for i := range soakClients {
 		clients.Go(func() { s.client(rand.New(rand.NewPCG(s.seed, uint64(100+i)))) })
 	}
-	s.trouble(cmd.Process)
-	s.end(cmd.Process, ended)
-	close(s.over)
+	s.injectFaults(cmd.Process)
+	s.terminate(cmd.Process, ended)
+	close(s.done)
 	clients.Wait()
 	watch.Wait()
 	for i := range soakBackends {
-		s.judgeDrain(i)
+		s.checkDrain(i)
 	}
-	s.judge()
-	return s.faults
+	s.checkRequests()
+	return s.violations
 }
 
 // watchTimers measures the maximum delay of this process's timers.
@@ -154,7 +154,7 @@
 	const every = 5 * time.Millisecond
 	for at := time.Now(); ; at = time.Now() {
 		select {
-		case <-s.over:
+		case <-s.done:
 			return
 		case <-time.After(every):
 			s.mu.Lock()
@@ -164,21 +164,21 @@
 	}
 }
 
-// holdUp stops the node with SIGSTOP for a short time.
-func (s *soak) holdUp(p *os.Process) {
+// stopNode stops the node with SIGSTOP for a short time.
+func (s *soak) stopNode(p *os.Process) {
 	from := time.Now()
 	p.Signal(syscall.SIGSTOP)
-	time.Sleep(heldUpMost/3 + time.Duration(s.rng.Int64N(int64(heldUpMost/2))))
+	time.Sleep(maxStopped/3 + time.Duration(s.rng.Int64N(int64(maxStopped/2))))
 	p.Signal(syscall.SIGCONT)
 	s.mu.Lock()
-	s.heldUp = append(s.heldUp, span{from, time.Now()})
+	s.stopped = append(s.stopped, period{from, time.Now()})
 	s.mu.Unlock()
 }
 
 // reload writes one or more new configurations and sends SIGHUP after each.
 func (s *soak) reload(p *os.Process) {
 	for n := 1 + s.rng.IntN(3); n > 0; n-- {
-		s.configure(s.discover[s.rng.IntN(2)], s.rng.IntN(4) == 0)
+		s.configure(s.registryAddrs[s.rng.IntN(2)], s.rng.IntN(4) == 0)
 		p.Signal(syscall.SIGHUP)
 		time.Sleep(time.Duration(s.rng.IntN(20)) * time.Millisecond)
 	}
@@ -196,16 +196,16 @@
 	}
 }
 
-// trouble injects faults before SIGTERM.
-func (s *soak) trouble(p *os.Process) {
+// injectFaults injects faults before SIGTERM.
+func (s *soak) injectFaults(p *os.Process) {
 	drained := -1
 	for n := 6 + s.rng.IntN(5); n > 0; n-- {
 		time.Sleep(time.Duration(50+s.rng.IntN(250)) * time.Millisecond)
 		switch s.rng.IntN(8) {
 		case 0, 1:
 			if drained >= 0 {
-				time.Sleep(max(0, time.Until(s.stalledNow().until)) + drainGrace + 2*ruleSlack)
-				s.judgeDrain(drained)
+				time.Sleep(max(0, time.Until(s.activeStall().until)) + drainGrace + 2*ruleSlack)
+				s.checkDrain(drained)
 				s.drain(drained, false)
 			}
 			drained = s.rng.IntN(soakBackends)
@@ -213,7 +213,7 @@
 		case 2:
 			s.reload(p)
 		case 3:
-			s.holdUp(p)
+			s.stopNode(p)
 		case 4:
 			if s.rng.IntN(2) == 0 {
 				s.crowd()
@@ -224,11 +224,11 @@
 	}
 }
 
-// end sends SIGTERM, once or several times and with further faults, and SIGKILL as soon as the platform may
+// terminate sends SIGTERM, once or several times and with further faults, and SIGKILL as soon as the platform may
 // send it.
-func (s *soak) end(p *os.Process, ended <-chan error) {
+func (s *soak) terminate(p *os.Process, ended <-chan error) {
 	s.mu.Lock()
-	s.told = time.Now()
+	s.terminatedAt = time.Now()
 	s.mu.Unlock()
 	p.Signal(syscall.SIGTERM)
 	kill := time.After(s.deadline + killAfter)
@@ -239,7 +239,7 @@
 		case <-next:
 			switch s.rng.IntN(5) {
 			case 0:
-				s.holdUp(p)
+				s.stopNode(p)
 			case 1:
 				s.reload(p)
 			case 2:
@@ -254,12 +254,12 @@
 			}
 		case err := <-ended:
 			if err != nil {
-				s.fault("the node ended with %v", err)
+				s.addViolation("the node ended with %v", err)
 			}
 			return
 		case <-kill:
 			p.Kill()
-			s.fault("the node was still running %v after SIGTERM", time.Since(s.told))
+			s.addViolation("the node was still running %v after SIGTERM", time.Since(s.terminatedAt))
 			<-ended
 			return
 		}
@@ -275,7 +275,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			s := &soak{t: t, seed: seed}
-			faults := s.play()
+			faults := s.run()
 			answered, served, crossed := 0, 0, 0
 			for _, q := range s.requests {
 				switch {
@@ -284,13 +284,13 @@
 					answered++
 				case q.status > 0:
 					answered++
-				case q.left.IsZero():
+				case q.leftAt.IsZero():
 					crossed++
 				}
 			}
 			t.Logf("deadline %v: %d requests, %d answered, %d served, %d without an answer; held up %d times, discovery %d; late by %v",
-				s.deadline, len(s.requests), answered, served, crossed, len(s.heldUp), s.stalls, s.late)
-			if served < leastServed {
+				s.deadline, len(s.requests), answered, served, crossed, len(s.stopped), s.stalls, s.late)
+			if served < minServed {
 				t.Errorf("%d requests, %d served: too few for a valid run", len(s.requests), served)
 			}
 			for i, f := range faults {
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -31,13 +31,13 @@
 	// answerMost bounds the bytes read for one answer. A body in small chunks takes several times its own size
 	// on the wire.
 	answerMost = headMost + 4*bodyMost
-	// holdFor is how long an answer of unknown length is held back. If it ends in this time, the client gets
-	// its length, and a broken end is seen before any of it is sent.
-	holdFor = 100 * time.Millisecond
-	// informMost is how many 1xx answers may precede the final one.
-	informMost = 8
-	// probeWithin is the timeout of a probe. A later answer would describe an outdated state.
-	probeWithin = 150 * time.Millisecond
+	// unknownLengthGrace is how long an answer of unknown length is held back. If it ends in this time, the
+	// client gets its length, and a broken end is seen before any of it is sent.
+	unknownLengthGrace = 100 * time.Millisecond
+	// maxInformational is how many 1xx answers may precede the final one.
+	maxInformational = 8
+	// probeTimeout is the timeout of a probe. A later answer would describe an outdated state.
+	probeTimeout = 150 * time.Millisecond
 	// reportHeader carries a load report. neverRanHeader marks a request that the backend did not run.
 	reportHeader, neverRanHeader = "Endpoint-Load-Metrics", "X-Never-Ran"
 )
@@ -51,42 +51,42 @@
 // still in a buffer. Neither reports whether the last byte has left, which decides whether an attempt may have
 // run. Here each request goes out in one Write. net/http is used to parse the answer.
 type exchanges struct {
-	pool     *pool
-	inline   bool // answers carry load reports in a header
-	complain *lograte.Limited
-	jobs     chan func() // jobs for idle workers; a new goroutine would have to grow its stack again
+	pool       *pool
+	inline     bool // answers carry load reports in a header
+	limitedLog *lograte.Limited
+	jobs       chan func() // jobs for idle workers; a new goroutine would have to grow its stack again
 }
 
 func newExchanges(p *pool, inline bool, log *slog.Logger) *exchanges {
-	return &exchanges{pool: p, inline: inline, complain: &lograte.Limited{Log: log}, jobs: make(chan func())}
+	return &exchanges{pool: p, inline: inline, limitedLog: &lograte.Limited{Log: log}, jobs: make(chan func())}
 }
 
 // message is a client's request in the form in which it goes to backends.
 type message struct {
-	method string
-	uri    string // request target as received, if it is a path; net/url may encode it differently
-	url    *url.URL
-	host   string
-	header http.Header
-	body   []byte // first part of the body, at most bodyMost bytes
-	more   [][]byte // further pieces of a longer body that is held
-	up     *upload // rest of a longer body that is not held
-	probe  bool
-	tuning *tuning // settings under which the request was read
-	count  *classFigures // nil if the message isn't counted
-
-	left0  time.Duration // time budget of the request from its last byte on
-	held   int64 // bytes reserved in budget
-	budget *budget
-
-	client *clients.Conn // connection of the client; nil if there is none or it can't be checked
-	gone   atomic.Bool // the client has left
-	went   func() // records that the client has left; runs once
-	lost   chan struct{} // closed by went
-
-	mu      sync.Mutex
-	left    bool // the client's goroutine has ended
-	streams chan *stream // receives an answer that is still arriving; capacity 1
+	method   string
+	uri      string // request target as received, if it is a path; net/url may encode it differently
+	url      *url.URL
+	host     string
+	header   http.Header
+	body     []byte   // first part of the body, at most bodyMost bytes
+	more     [][]byte // further pieces of a longer body that is held
+	up       *upload  // rest of a longer body that is not held
+	probe    bool
+	settings *activeSettings // settings under which the request was read
+	counters *classCounters  // nil if the message isn't counted
+
+	left0         time.Duration // time budget of the request from its last byte on
+	reservedBytes int64         // bytes reserved in budget
+	budget        *budget
+
+	client           *clients.Conn // connection of the client; nil if there is none or it can't be checked
+	clientHasGone    atomic.Bool   // the client has left
+	markClientGone   func()        // records that the client has left; runs once
+	clientGoneSignal chan struct{} // closed by markClientGone
+
+	mu          sync.Mutex
+	handlerDone bool         // the client's goroutine has ended
+	streams     chan *stream // receives an answer that is still arriving; capacity 1
 }
 
 // reply is the answer of a backend that served the request.
@@ -106,10 +106,10 @@
 
 // call is an exchange in progress.
 type call struct {
-	cancel context.CancelFunc
-	own    *engine.Attempt // nil for a probe
-	up     *upload // rest of the body, if this call sends it
-	state  atomic.Int32
+	cancel  context.CancelFunc
+	attempt *engine.Attempt // nil for a probe
+	upload  *upload         // rest of the body, if this call sends it
+	state   atomic.Int32
 }
 
 // States of a call: no byte is written yet, a byte may be written, or no byte will ever be written.
@@ -135,7 +135,7 @@
 	c := a.State.(*call)
 	barred := c.bar()
 	if barred {
-		c.up.giveBack(c)
+		c.upload.unclaim(c)
 	}
 	return barred
 }
@@ -152,7 +152,7 @@
 	return x.begin(nil, to, m, deadline, done)
 }
 
-// begin is like attempt. The engine can have the answer of attempt own delivered as a stream.
+// begin is like attempt. If own is not nil, the engine can have its answer delivered as a stream.
 func (x *exchanges) begin(own *engine.Attempt, to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	if m.up != nil {
@@ -160,33 +160,33 @@
 		cancel()
 		ctx, cancel = context.WithCancel(context.Background())
 	}
-	c := &call{cancel: cancel, own: own, up: m.up}
-	m.up.take(c)
-	x.work(func() {
+	c := &call{cancel: cancel, attempt: own, upload: m.up}
+	m.up.claim(c)
+	x.runJob(func() {
 		defer cancel()
-		if r, handed := x.exchange(ctx, c, to, m, deadline); !handed {
+		if r, handed := x.roundTrip(ctx, c, to, m, deadline); !handed {
 			done(r)
 		}
 	})
 	return c
 }
 
-// workerKeep is how long an idle worker waits for another job.
-const workerKeep = time.Second
+// workerIdleTimeout is how long an idle worker waits for another job.
+const workerIdleTimeout = time.Second
 
-// work runs a job at once, in an idle worker or in a new goroutine.
-func (x *exchanges) work(job func()) {
+// runJob runs a job at once, in an idle worker or in a new goroutine.
+func (x *exchanges) runJob(job func()) {
 	select {
 	case x.jobs <- job:
 		return
 	default:
 	}
 	go func() {
-		keep := time.NewTimer(workerKeep)
+		keep := time.NewTimer(workerIdleTimeout)
 		defer keep.Stop()
 		for {
 			job()
-			keep.Reset(workerKeep)
+			keep.Reset(workerIdleTimeout)
 			select {
 			case job = <-x.jobs:
 			case <-keep.C:
@@ -196,41 +196,41 @@
 	}()
 }
 
-// exchange carries out one attempt once, on one connection. It reports true if it handed the answer on as a
+// roundTrip carries out one attempt once, on one connection. It reports true if it handed the answer on as a
 // stream and informed the engine.
-func (x *exchanges) exchange(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (engine.Result, bool) {
+func (x *exchanges) roundTrip(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (engine.Result, bool) {
 	ended := func(st balance.Status) (engine.Result, bool) { return engine.Result{Status: st}, false }
 	if m.up != nil && m.up.owner.Load() != c {
 		return ended(balance.Unused) // another attempt has the body, or has sent a part of it
 	}
-	cn, text, stop, err := x.ready(ctx, c, to, m, deadline)
+	cn, text, stop, err := x.readyConn(ctx, c, to, m, deadline)
 	if err != nil {
-		m.up.giveBack(c)
+		m.up.unclaim(c)
 	}
 	switch {
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errNoCapacity):
 		return ended(balance.Unused) // the cause is not the backend
 	case err != nil:
 		return engine.Result{Status: balance.DialFailed, Refused: errors.Is(err, syscall.ECONNREFUSED)}, false
 	}
 	defer stop()
-	if ctx.Err() != nil || c.own != nil && c.own.TooLate() || m.clientGone() || !c.state.CompareAndSwap(callQueued, callWriting) {
-		m.up.giveBack(c)
+	if ctx.Err() != nil || c.attempt != nil && c.attempt.TooLate() || m.checkClientGone() || !c.state.CompareAndSwap(callQueued, callWriting) {
+		m.up.unclaim(c)
 		x.pool.discard(cn)
 		return ended(balance.Unused)
 	}
 	if n, all, err := m.send(cn, text); err != nil {
-		m.up.giveBack(c)
+		m.up.unclaim(c)
 		x.pool.discard(cn)
 		if n < all || m.up != nil {
 			return ended(balance.DialFailed) // the last byte was not sent
 		}
-		return ended(x.broken(ctx, err))
+		return ended(x.brokenStatus(ctx, err))
 	}
 	if m.up != nil {
 		// This attempt is the last one, because it reads the rest of the body.
-		c.own.Started()
-		if err := m.up.pass(cn, m.up.length-m.size(), c.own.WriteBy); err != nil {
+		c.attempt.Started()
+		if err := m.up.pass(cn, m.up.length-m.size(), c.attempt.WriteBy); err != nil {
 			x.pool.discard(cn)
 			r := engine.Result{Status: balance.DialFailed, Body: &reply{neverRan: true}}
 			if errors.Is(err, errClient) {
@@ -240,28 +240,28 @@
 		}
 		cn.SetDeadline(time.Now().Add(m.left0))
 	}
-	if m.count != nil {
-		m.count.attempts.Add(1)
+	if m.counters != nil {
+		m.counters.attempts.Add(1)
 	}
-	resp, body, err := cn.answer(m.method, c.own != nil)
+	resp, body, err := cn.readAnswer(m.method, c.attempt != nil)
 	if err != nil {
 		x.pool.discard(cn)
-		st := x.broken(ctx, err)
+		st := x.brokenStatus(ctx, err)
 		if st == balance.Dropped {
-			x.pool.wear.note(cn.age, true)
+			x.pool.breakRates.note(cn.idleAge, true)
 		}
 		return ended(st)
 	}
-	x.pool.wear.note(cn.age, false)
+	x.pool.breakRates.note(cn.idleAge, false)
 	r := engine.Result{Status: outcome(resp)}
 	if text := resp.Header.Get(reportHeader); text != "" && x.inline {
-		r.Load = x.report(text)
+		r.Load = x.parseReport(text)
 	}
 	whole := reply{body: body, contentType: resp.Header.Get("Content-Type")}
 	if resp.Body != http.NoBody { // the body has not ended yet
 		if r.Status == balance.Delivered {
-			return x.handOn(ctx, c.own, stop, m, &stream{reply: whole, length: resp.ContentLength, rest: resp.Body, cn: cn,
-				keep: !resp.Close, pool: x.pool}, r.Load)
+			return x.startStream(ctx, c.attempt, stop, m, &stream{reply: whole, length: resp.ContentLength, rest: resp.Body, cn: cn,
+				isReusable: !resp.Close, pool: x.pool}, r.Load)
 		}
 		x.pool.discard(cn)
 	} else if resp.Close || cn.read.Buffered() > 0 || !stop() {
@@ -275,10 +275,10 @@
 	return r, false
 }
 
-// ready returns a connection and the bytes to write on it. The check of the connection is the last step before
-// the write. Bytes that were readable before the request are no answer to it, and a connection that has ended
-// would lose the request.
-func (x *exchanges) ready(
+// readyConn returns a connection and the bytes to write on it. The check of the connection is the last step
+// before the write. Bytes that were readable before the request are no answer to it, and a connection that has
+// ended would lose the request.
+func (x *exchanges) readyConn(
 	ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time,
 ) (*conn, []byte, func() bool, error) {
 	for {
@@ -286,10 +286,10 @@
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		text := m.wire(to.Addr, time.Until(deadline))
+		text := m.encode(to.Addr, time.Until(deadline))
 		cn.SetDeadline(deadline)
-		if c.own != nil && !c.own.WriteBy.IsZero() && c.own.WriteBy.Before(deadline) {
-			cn.SetWriteDeadline(c.own.WriteBy) // the request counts as sent with its last byte
+		if c.attempt != nil && !c.attempt.WriteBy.IsZero() && c.attempt.WriteBy.Before(deadline) {
+			cn.SetWriteDeadline(c.attempt.WriteBy) // the request counts as sent with its last byte
 		}
 		// A call that is given up closes its connection at once. Nothing that arrives later has a receiver.
 		stop := context.AfterFunc(ctx, func() { sock.Abort(cn.Conn) })
@@ -299,14 +299,14 @@
 		stop()
 		x.pool.discard(cn)
 		if !cn.kept {
-			return nil, nil, nil, errSpoke
+			return nil, nil, nil, errNewConnNotQuiet
 		}
 	}
 }
 
-// broken returns the status of an attempt that was written whole and got no whole answer. The backend may have
-// run it.
-func (x *exchanges) broken(ctx context.Context, err error) balance.Status {
+// brokenStatus returns the status of an attempt that was written whole and got no whole answer. The backend may
+// have run it.
+func (x *exchanges) brokenStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balance.Expired
@@ -337,9 +337,9 @@
 	return m.url.RequestURI()
 }
 
-// wire encodes the message for a backend in one piece. http.Request.Write does the same but takes a tenth of
+// encode encodes the message for a backend in one piece. http.Request.Write does the same but takes a tenth of
 // the node's CPU. net/http has parsed and checked names and values, so none of them can end a line.
-func (m *message) wire(addr string, left time.Duration) []byte {
+func (m *message) encode(addr string, left time.Duration) []byte {
 	host := cmp.Or(m.host, addr)
 	b := make([]byte, 0, len(m.body)+1<<10)
 	b = append(b, m.method+" "+m.target()+" HTTP/1.1\r\nHost: "+host+"\r\n"...)
@@ -368,14 +368,14 @@
 	return append(b, m.body...)
 }
 
-// answer reads one answer. It returns the whole answer and sets Body to http.NoBody. If long is set, it returns
-// only the first bytes of an answer whose stated length is over bodyMost, and of an answer without a stated
-// length that is over bodyMost or has not ended holdFor after its head. An answer without a length is whole
-// when its connection ends (RFC 9112, section 6.3).
-func (c *conn) answer(method string, long bool) (*http.Response, []byte, error) {
+// readAnswer reads one answer. It returns the whole answer and sets Body to http.NoBody. If long is set, it
+// returns only the first bytes of an answer whose stated length is over bodyMost, and of an answer without a
+// stated length that is over bodyMost or has not ended unknownLengthGrace after its head. An answer without a
+// length is whole when its connection ends (RFC 9112, section 6.3).
+func (c *conn) readAnswer(method string, long bool) (*http.Response, []byte, error) {
 	c.limit.N = answerMost
 	req := &http.Request{Method: method}
-	for range informMost {
+	for range maxInformational {
 		resp, err := http.ReadResponse(c.read, req)
 		if err != nil {
 			return nil, nil, err
@@ -406,7 +406,7 @@
 			var n int
 			n, err = resp.Body.Read(body[len(body):cap(body)])
 			body = body[:len(body)+n]
-			if long && (resp.ContentLength > bodyMost || !began.IsZero() && time.Since(began) > holdFor) {
+			if long && (resp.ContentLength > bodyMost || !began.IsZero() && time.Since(began) > unknownLengthGrace) {
 				break
 			}
 		}
@@ -429,9 +429,9 @@
 // Probe requests the load report of an endpoint.
 func (x *exchanges) Probe(to engine.Endpoint, done func(engine.Result)) {
 	x.attempt(to, &message{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.Addr, header: http.Header{}, probe: true},
-		time.Now().Add(probeWithin), func(r engine.Result) {
+		time.Now().Add(probeTimeout), func(r engine.Result) {
 			if r.Status == balance.Delivered && r.Load.Has == 0 {
-				r.Load = x.report(string(replyOf(r.Body).body))
+				r.Load = x.parseReport(string(replyOf(r.Body).body))
 			}
 			if r.Status == balance.AppError {
 				r.Status = balance.Shed // the backend rejected the probe
@@ -440,11 +440,11 @@
 		})
 }
 
-// report parses a load report. It logs a malformed one at a bounded rate.
-func (x *exchanges) report(text string) balance.Load {
+// parseReport parses a load report. It logs a malformed one at a bounded rate.
+func (x *exchanges) parseReport(text string) balance.Load {
 	l, err := settings.ParseReport(text)
 	if err != nil {
-		x.complain.Warn("malformed load report", "error", err)
+		x.limitedLog.Warn("malformed load report", "error", err)
 	}
 	return l
 }
--- a/internal/node/bodies.go
+++ b/internal/node/bodies.go
@@ -19,23 +19,23 @@
 // passed on as they arrive otherwise.
 
 const (
-	// uploadMost bounds the body of a request in bytes, and so how long one client may keep sending.
-	uploadMost = 40 << 20
-	// copyPiece is the buffer size of a stream.
-	copyPiece = 32 << 10
-	// silentMost is how long a client may send no byte of its body. backendSilent is how long a backend may
-	// send no byte of its answer or read no byte of a request. readerSilent is how long a client may read no
-	// byte of its answer.
-	silentMost, backendSilent, readerSilent = stopsWithin, 10 * time.Second, 20 * time.Second
-	// uploadLeast is the minimum rate of a body in bytes per second, after an initial silentMost. Without it a
+	// maxUploadBytes bounds the body of a request in bytes, and so how long one client may keep sending.
+	maxUploadBytes = 40 << 20
+	// copyBufferBytes is the buffer size of a stream.
+	copyBufferBytes = 32 << 10
+	// silentMost is how long a client may send no byte of its body. backendSilenceTimeout is how long a backend
+	// may send no byte of its answer or read no byte of a request. readerSilent is how long a client may read
+	// no byte of its answer.
+	silentMost, backendSilenceTimeout, readerSilent = stalledRequestTimeout, 10 * time.Second, 20 * time.Second
+	// minUploadRate is the minimum rate of a body in bytes per second, after an initial silentMost. Without it a
 	// client that sends a byte now and then would hold its place. Clients at 64 kB per second must be served.
-	uploadLeast = 16 << 10
+	minUploadRate = 16 << 10
 )
 
 var (
-	errTooLong = errors.New("body too long")
-	errCut     = errors.New("body cut short")
-	errClient  = errors.New("client connection failed")
+	errTooLong        = errors.New("body too long")
+	errIncompleteBody = errors.New("body cut short")
+	errClient         = errors.New("client connection failed")
 )
 
 // budget bounds the bytes of all bodies that are held beyond their first bodyMost bytes.
@@ -53,30 +53,30 @@
 // patient reads a client's body. Its timeout is on silence and on a low rate, because a slow client has not
 // left.
 type patient struct {
-	body  io.Reader
-	rc    *http.ResponseController
-	began time.Time
-	got   int64
+	body      io.Reader
+	rc        *http.ResponseController
+	beganAt   time.Time
+	bytesRead int64
 }
 
 func (p *patient) Read(b []byte) (int, error) {
 	now := time.Now()
-	pace := p.began.Add(silentMost + time.Duration(p.got)*time.Second/uploadLeast)
+	pace := p.beganAt.Add(silentMost + time.Duration(p.bytesRead)*time.Second/minUploadRate)
 	if silent := now.Add(silentMost); silent.Before(pace) {
 		pace = silent
 	}
 	p.rc.SetReadDeadline(pace)
 	n, err := p.body.Read(b)
-	p.got += int64(n)
+	p.bytesRead += int64(n)
 	if errors.Is(err, io.EOF) {
 		p.rc.SetReadDeadline(time.Time{}) // a deadline that passes later would look as if the client had left
 	}
 	return n, err
 }
 
-// body reads the body of a request. It reads the whole body if it is short or there is room to hold it.
+// readBody reads the body of a request. It reads the whole body if it is short or there is room to hold it.
 // Otherwise it reads the first part and leaves the rest in m.up.
-func (f *front) body(w http.ResponseWriter, hr *http.Request, m *message) error {
+func (f *front) readBody(w http.ResponseWriter, hr *http.Request, m *message) error {
 	if hr.ContentLength == 0 {
 		return nil
 	}
@@ -85,14 +85,14 @@
 		return errTooLong
 	}
 	rc := http.NewResponseController(w)
-	from := &patient{body: hr.Body, rc: rc, began: time.Now()}
+	from := &patient{body: hr.Body, rc: rc, beganAt: time.Now()}
 	size := int64(bodyMost)
 	if hr.ContentLength > 0 {
 		size = min(size, hr.ContentLength)
 	}
-	whole, err := m.fill(from, size)
+	whole, err := m.readPiece(from, size)
 	if err != nil {
-		return errCut
+		return errIncompleteBody
 	}
 	if hr.ContentLength > 0 && hr.ContentLength <= bodyMost {
 		whole = true
@@ -100,7 +100,7 @@
 	total := size
 	fits := !whole && f.held.take(max(hr.ContentLength-total, 0)) // without room for the whole body, holding a part is of no use
 	if fits {
-		m.held, m.budget = max(hr.ContentLength-total, 0), &f.held
+		m.reservedBytes, m.budget = max(hr.ContentLength-total, 0), &f.held
 	}
 	for !whole && fits {
 		piece := int64(bodyMost)
@@ -109,10 +109,10 @@
 		} else if fits = f.held.take(piece); !fits {
 			break
 		} else {
-			m.held += piece
+			m.reservedBytes += piece
 		}
-		if whole, err = m.fill(from, piece); err != nil {
-			return errCut
+		if whole, err = m.readPiece(from, piece); err != nil {
+			return errIncompleteBody
 		}
 		total += piece
 		whole = whole || total == hr.ContentLength
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// fill reads size bytes or up to the end of the body. It reports whether it reached the end.
-func (m *message) fill(from io.Reader, size int64) (end bool, err error) {
+// readPiece reads size bytes or up to the end of the body. It reports whether it reached the end.
+func (m *message) readPiece(from io.Reader, size int64) (end bool, err error) {
 	var piece []byte
 	if m.body == nil && size == bodyMost {
 		piece = make([]byte, 0, 4<<10) // most bodies of unknown length are short
@@ -158,7 +158,7 @@
 // release returns the message's bytes to the budget.
 func (m *message) release() {
 	if m.budget != nil {
-		m.budget.left.Add(m.held)
+		m.budget.left.Add(m.reservedBytes)
 		m.budget = nil
 	}
 }
@@ -179,9 +179,9 @@
 	length int64 // of the whole body; -1 if unknown
 	within int64 // how many more bytes may arrive
 
-	owner atomic.Pointer[call] // attempt that may read the body; set on the engine's loop, cleared by the attempt or its Bar
-	begun atomic.Bool // a part has been read
-	gone  atomic.Bool // the client has left, or was silent for too long
+	owner      atomic.Pointer[call] // attempt that may read the body; set on the engine's loop, cleared by the attempt or its Bar
+	hasBegun   atomic.Bool          // a part has been read
+	clientGone atomic.Bool          // the client has left, or was silent for too long
 
 	mu      sync.Mutex // held during a read
 	stopped atomic.Bool
@@ -198,7 +198,7 @@
 	if u.stopped.Load() {
 		return 0, errStopped
 	}
-	u.begun.Store(true)
+	u.hasBegun.Store(true)
 	n, err := u.from.Read(b)
 	if u.within -= int64(n); u.within < 0 {
 		return 0, errTooLong
@@ -207,17 +207,17 @@
 	return n, err
 }
 
-// take makes an attempt the owner if the upload has no owner and nothing of it has been read.
-func (u *upload) take(c *call) {
-	if u != nil && !u.begun.Load() {
+// claim makes an attempt the owner if the upload has no owner and nothing of it has been read.
+func (u *upload) claim(c *call) {
+	if u != nil && !u.hasBegun.Load() {
 		u.owner.CompareAndSwap(nil, c)
 	}
 }
 
-// giveBack lets another attempt own the upload, if c owns it and nothing of it has been read. A nil upload is
+// unclaim lets another attempt own the upload, if c owns it and nothing of it has been read. A nil upload is
 // allowed.
-func (u *upload) giveBack(c *call) {
-	if u != nil && !u.begun.Load() {
+func (u *upload) unclaim(c *call) {
+	if u != nil && !u.hasBegun.Load() {
 		u.owner.CompareAndSwap(c, nil)
 	}
 }
@@ -231,7 +231,7 @@
 		u.mu.Lock()
 	}
 	defer u.mu.Unlock()
-	if !u.ended && u.within > 0 && !u.gone.Load() { // if the client has left, a flush would send an empty 200
+	if !u.ended && u.within > 0 && !u.clientGone.Load() { // if the client has left, a flush would send an empty 200
 		u.rc.Flush()
 		io.CopyN(io.Discard, u.from, u.within)
 	}
@@ -247,11 +247,11 @@
 	if chunked {
 		to = httputil.NewChunkedWriter(cn)
 	}
-	buf := make([]byte, copyPiece)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := u.read(buf)
 		if n > 0 {
-			end := time.Now().Add(backendSilent)
+			end := time.Now().Add(backendSilenceTimeout)
 			if !by.IsZero() && by.Before(end) {
 				end = by
 			}
@@ -291,37 +291,37 @@
 // stream is an answer of which the backend is still sending the rest.
 type stream struct {
 	reply
-	length int64 // of the whole answer; -1 if unknown
-	rest   io.ReadCloser
-	cn     *conn
-	keep   bool // the connection can be reused afterwards
-	pool   *pool
+	length     int64 // of the whole answer; -1 if unknown
+	rest       io.ReadCloser
+	cn         *conn
+	isReusable bool // the connection can be reused afterwards
+	pool       *pool
 }
 
 // end returns the connection to the pool, or closes it.
 func (s *stream) end(whole bool) {
-	if whole && s.keep && s.cn.read.Buffered() == 0 {
+	if whole && s.isReusable && s.cn.read.Buffered() == 0 {
 		s.pool.put(s.cn)
 		return
 	}
 	s.pool.discard(s.cn)
 }
 
-// hand passes a stream to the client's goroutine. It reports whether that goroutine still runs.
-func (m *message) hand(s *stream) bool {
+// deliver passes a stream to the client's goroutine. It reports whether that goroutine still runs.
+func (m *message) deliver(s *stream) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.left {
+	if m.handlerDone {
 		return false
 	}
 	m.streams <- s
 	return true
 }
 
-// leave records that no stream will be received any more.
-func (m *message) leave() {
+// closeStreams records that no stream will be received any more.
+func (m *message) closeStreams() {
 	m.mu.Lock()
-	m.left = true
+	m.handlerDone = true
 	m.mu.Unlock()
 	select {
 	case s := <-m.streams:
@@ -330,25 +330,25 @@
 	}
 }
 
-// handOn hands an answer that has begun to the client's goroutine as a stream, if the request may have it. It
-// returns the result of the attempt if it doesn't.
-func (x *exchanges) handOn(
+// startStream hands an answer that has begun to the client's goroutine as a stream, if the request may have it.
+// It returns the result of the attempt if it doesn't.
+func (x *exchanges) startStream(
 	ctx context.Context, own *engine.Attempt, stop func() bool, m *message, s *stream, load balance.Load,
 ) (engine.Result, bool) {
 	if !stop() {
 		x.pool.discard(s.cn)
-		return engine.Result{Status: x.broken(ctx, context.Canceled)}, false
+		return engine.Result{Status: x.brokenStatus(ctx, context.Canceled)}, false
 	}
 	s.cn.SetDeadline(time.Time{})
-	if !own.Deliver(engine.Result{Status: balance.Delivered, Load: load}) || !m.hand(s) {
+	if !own.Deliver(engine.Result{Status: balance.Delivered, Load: load}) || !m.deliver(s) {
 		x.pool.discard(s.cn)
 	}
 	return engine.Result{}, true
 }
 
-// pass writes a stream to its client as it arrives. If the stream breaks, the client's connection is closed
-// without the last chunk.
-func (f *front) pass(w http.ResponseWriter, s *stream, count *classFigures) {
+// writeStream writes a stream to its client as it arrives. If the stream breaks, the client's connection is
+// closed without the last chunk.
+func (f *front) writeStream(w http.ResponseWriter, s *stream, count *classCounters) {
 	whole := false
 	defer func() {
 		s.end(whole)
@@ -373,9 +373,9 @@
 		panic(http.ErrAbortHandler)
 	}
 	s.body = nil
-	buf := make([]byte, copyPiece)
+	buf := make([]byte, copyBufferBytes)
 	for {
-		s.cn.SetReadDeadline(time.Now().Add(backendSilent))
+		s.cn.SetReadDeadline(time.Now().Add(backendSilenceTimeout))
 		n, err := s.rest.Read(buf)
 		if n > 0 {
 			rc.SetWriteDeadline(time.Now().Add(readerSilent))
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -27,58 +27,60 @@
 )
 
 const (
-	// stopsWithin is how long a client that stops within a request may stay connected. The client must get an
-	// error or a close within 3 s. Half a second of that is for a queue before Accept and for late timers.
-	stopsWithin = 2500 * time.Millisecond
+	// stalledRequestTimeout is how long a client that stops within a request may stay connected. The client
+	// must get an error or a close within 3 s. Half a second of that is for a queue before Accept and for late
+	// timers.
+	stalledRequestTimeout = 2500 * time.Millisecond
 	// headWithin is how long a client may take from its connection, or from the first byte of a further
-	// request, to the last byte of the head. idleWithin is how long a connection may stay without a request.
-	headWithin, idleWithin = stopsWithin, 4 * time.Second
-	// drainMost bounds how many bytes are read of the body of a rejected request.
-	drainMost = 4 * bodyMost
-	// answerWithin is how long a client may take to read its answer.
-	answerWithin = 20 * time.Second
+	// request, to the last byte of the head. clientIdleTimeout is how long a connection may stay without a
+	// request.
+	headWithin, clientIdleTimeout = stalledRequestTimeout, 4 * time.Second
+	// maxDiscardedBytes bounds how many bytes are read of the body of a rejected request.
+	maxDiscardedBytes = 4 * bodyMost
+	// answerReadTimeout is how long a client may take to read its answer.
+	answerReadTimeout = 20 * time.Second
 	// early is how much sooner than the client's deadline a request ends. The request's way to the node and the
 	// answer's way back take part of the time, and the node can't measure either.
 	early = 8 * time.Millisecond
 	// defaultDeadline is the deadline of a class that has none.
 	defaultDeadline = time.Minute
-	// goneEvery is the interval at which the node checks whether a waiting client has left. net/http sees that
-	// only while no byte follows the request. Each attempt is checked once more before its write.
-	goneEvery = 100 * time.Millisecond
-	// fullRetry is the retry-after of a request that is rejected because the node is full.
-	fullRetry = 250 * time.Millisecond
+	// clientCheckInterval is the interval at which the node checks whether a waiting client has left. net/http
+	// sees that only while no byte follows the request. Each attempt is checked once more before its write.
+	clientCheckInterval = 100 * time.Millisecond
+	// fullRetryAfter is the retry-after of a request that is rejected because the node is full.
+	fullRetryAfter = 250 * time.Millisecond
 )
 
 // front is the client side. It reads requests, passes them to the loop for a decision and writes the answers.
 type front struct {
-	loop     *engine.Engine
-	tuning   atomic.Pointer[tuning]
-	held     budget // for bodies over bodyMost
-	bodyMost atomic.Int64 // longest body in bytes
-	log      *slog.Logger
-	most     atomic.Int64 // limit on requests in flight
-	inFlight atomic.Int64
-	ready    atomic.Bool // the lifecycle permits readiness
-	leaving  atomic.Bool // the node is shutting down
-	closing  atomic.Bool // answers close their connections
-	timed    atomic.Bool // the time for writing answers is measured
-	writes   atomic.Int64 // mean time for encoding and writing an answer, in ns
-	book     living.Book
-	table    *clients.Table
+	loop           *engine.Engine
+	tuning         atomic.Pointer[activeSettings]
+	held           budget       // for bodies over bodyMost
+	bodyMost       atomic.Int64 // longest body in bytes
+	log            *slog.Logger
+	most           atomic.Int64 // limit on requests in flight
+	inFlight       atomic.Int64
+	isReady        atomic.Bool  // the lifecycle permits readiness
+	leaving        atomic.Bool  // the node is shutting down
+	closing        atomic.Bool  // answers close their connections
+	isTimingWrites atomic.Bool  // the time for writing answers is measured
+	meanWriteNanos atomic.Int64 // mean time for encoding and writing an answer, in ns
+	book           living.Book
+	table          *clients.Table
 }
 
 // newFront returns the client side of a node with these limits on connections of clients and to backends.
-func newFront(l *engine.Engine, names settings.Settings, maxClients, maxBackends int, counts *figures, log *slog.Logger) *front {
+func newFront(l *engine.Engine, names settings.Settings, maxClients, maxBackends int, counts *counters, log *slog.Logger) *front {
 	f := &front{loop: l, log: log, table: clients.NewTable(maxClients, clients.Platform)}
-	f.tuning.Store(newTuning(names, counts))
-	f.bodyMost.Store(uploadMost)
-	f.resize(maxClients, maxBackends)
+	f.tuning.Store(newActiveSettings(names, counts))
+	f.bodyMost.Store(maxUploadBytes)
+	f.setLimits(maxClients, maxBackends)
 	return f
 }
 
-// resize changes the limits on connections of clients and to backends.
-func (f *front) resize(maxClients, maxBackends int) {
-	f.most.Store(int64(min(maxClients, maxBackends-probesOut)))
+// setLimits changes the limits on connections of clients and to backends.
+func (f *front) setLimits(maxClients, maxBackends int) {
+	f.most.Store(int64(min(maxClients, maxBackends-probeConns)))
 	f.table.Resize(maxClients)
 }
 
@@ -87,7 +89,7 @@
 	return &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: headWithin, // a body has its own timeout, see patient
-		IdleTimeout:       idleWithin,
+		IdleTimeout:       clientIdleTimeout,
 		MaxHeaderBytes:    headMost,
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 		ConnState:         f.table.Track,
@@ -111,15 +113,15 @@
 					taken = true
 				}
 			}
-			f.count(taken, answered)
+			f.countOutcome(taken, answered)
 			panic(http.ErrAbortHandler)
 		}
-		f.count(taken, answered)
+		f.countOutcome(taken, answered)
 	}()
 	// Otherwise the write deadline of the previous request on this connection would apply.
-	http.NewResponseController(w).SetWriteDeadline(received.Add(headWithin + answerWithin))
+	http.NewResponseController(w).SetWriteDeadline(received.Add(headWithin + answerReadTimeout))
 	// Closing an idle connection may cross a request that is under way. Closing after an answer can't.
-	closes(w, hr.Context(), f.closing.Load() || f.table.Crowded())
+	setConnectionClose(w, hr.Context(), f.closing.Load() || f.table.Crowded())
 	if frame := clients.FromContext(hr.Context()); frame != nil {
 		switch {
 		case frame.Unsure.Load(), hr.ProtoMajor == 1 && hr.ProtoMinor == 0 && frame.Chunked.Load():
@@ -134,38 +136,38 @@
 	}
 	switch hr.URL.Path {
 	case "/health/ready":
-		f.health(w, f.loop.Ready() && f.ready.Load())
+		f.health(w, f.loop.Ready() && f.isReady.Load())
 		return
 	case "/health/live":
 		f.health(w, true)
 		return
 	}
-	r, status, err := f.read(w, hr, received)
+	r, status, err := f.readRequest(w, hr, received)
 	f.book.Taken.Add(1)
 	taken = true
 	if err != nil {
 		answered = true
 		if c := clients.FromContext(hr.Context()); c != nil && c.Cut() {
 			w.Header().Set("Connection", "close")
-			refuse(w, fullRetry)
+			writeRejected(w, fullRetryAfter)
 			return
 		}
-		f.turnAway(w, hr, err, status)
+		f.rejectMalformed(w, hr, err, status)
 		if t := f.tuning.Load(); t.Class(hr.Header.Get("X-Qos")) >= 0 {
-			t.counts[t.Class(hr.Header.Get("X-Qos"))].failed.Add(1)
+			t.counters[t.Class(hr.Header.Get("X-Qos"))].failed.Add(1)
 		}
 		return
 	}
 	m := r.Message.(*message)
-	count := m.count
+	count := m.counters
 	defer m.release()
-	defer m.leave()
+	defer m.closeStreams()
 	if m.up != nil {
 		defer m.up.stop()
 	}
 	if !f.table.Begin(hr.Context()) { // the connection is being closed to make room, or the node is shutting down
 		answered = true
-		f.refuseUnsent(w, hr.Context(), count)
+		f.rejectUnsent(w, hr.Context(), count)
 		return
 	}
 	// Only whole requests count. Otherwise a few clients that send slowly would cause the rejection of all
@@ -173,7 +175,7 @@
 	if f.inFlight.Add(1) > f.most.Load() {
 		f.inFlight.Add(-1)
 		answered = true
-		f.refuseUnsent(w, hr.Context(), count)
+		f.rejectUnsent(w, hr.Context(), count)
 		return
 	}
 	defer f.inFlight.Add(-1)
@@ -187,12 +189,12 @@
 	f.log.Error("handler panicked: the request is answered as failed", "id", hr.Header.Get("X-Trace-Id"), "panic", cause,
 		"stack", string(debug.Stack()))
 	w.Header().Set("Connection", "close")
-	fail(w, http.StatusInternalServerError)
+	writeFailed(w, http.StatusInternalServerError)
 	http.NewResponseController(w).Flush()
 }
 
-// count counts how a received request ended.
-func (f *front) count(taken, answered bool) {
+// countOutcome counts how a received request ended.
+func (f *front) countOutcome(taken, answered bool) {
 	if !taken {
 		return
 	}
@@ -203,15 +205,15 @@
 	}
 }
 
-// refuseUnsent rejects a request that the loop has not seen, and closes its connection.
-func (f *front) refuseUnsent(w http.ResponseWriter, ctx context.Context, count *classFigures) {
-	closes(w, ctx, true)
-	refuse(w, fullRetry)
+// rejectUnsent rejects a request that the loop has not seen, and closes its connection.
+func (f *front) rejectUnsent(w http.ResponseWriter, ctx context.Context, count *classCounters) {
+	setConnectionClose(w, ctx, true)
+	writeRejected(w, fullRetryAfter)
 	count.refused.Add(1)
 }
 
-// turnAway answers a request that can't be read, and closes the connection.
-func (f *front) turnAway(w http.ResponseWriter, hr *http.Request, err error, status int) {
+// rejectMalformed answers a request that can't be read, and closes the connection.
+func (f *front) rejectMalformed(w http.ResponseWriter, hr *http.Request, err error, status int) {
 	w.Header().Set("Connection", "close")
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(silentMost)) // for the rest of the body
 	text := err.Error() + "\n"
@@ -222,7 +224,7 @@
 	if hr.ContentLength > 0 && hr.Header.Get("Expect") == "" {
 		// Closing a connection with unread bytes sends a reset, which can overtake the answer.
 		http.NewResponseController(w).Flush()
-		io.CopyN(io.Discard, hr.Body, drainMost)
+		io.CopyN(io.Discard, hr.Body, maxDiscardedBytes)
 	}
 }
 
@@ -236,9 +238,9 @@
 	io.WriteString(w, text)
 }
 
-// closes sets or clears "Connection: close" on an answer. The connection stays open if further bytes have been
-// read behind the request, because net/http would drop them.
-func closes(w http.ResponseWriter, ctx context.Context, want bool) {
+// setConnectionClose sets or clears "Connection: close" on an answer. The connection stays open if further
+// bytes have been read behind the request, because net/http would drop them.
+func setConnectionClose(w http.ResponseWriter, ctx context.Context, want bool) {
 	switch c := clients.FromContext(ctx); {
 	case c != nil && c.Behind():
 		w.Header().Del("Connection")
@@ -250,16 +252,16 @@
 // serve passes a request to the loop and writes its one final answer.
 func (f *front) serve(w http.ResponseWriter, ctx context.Context, r *engine.Request) {
 	m := r.Message.(*message)
-	m.went = sync.OnceFunc(func() {
-		m.gone.Store(true)
+	m.markClientGone = sync.OnceFunc(func() {
+		m.clientHasGone.Store(true)
 		f.loop.PostFirst(func() { f.loop.Gone(r) }) // if the loop has not received the request yet, it never will
-		close(m.lost)
+		close(m.clientGoneSignal)
 	})
 	f.loop.Post(func() {
-		if m.gone.Load() {
+		if m.clientHasGone.Load() {
 			return // the client left while this was queued for the loop
 		}
-		if !m.tuning.holds(f.tuning.Load(), r.Class) {
+		if !m.settings.accepts(f.tuning.Load(), r.Class) {
 			// Nothing has run. When the client sends it again, the request gets the class that the name has
 			// now.
 			r.Reply <- engine.Answer{Kind: engine.Refused}
@@ -267,60 +269,60 @@
 		}
 		f.loop.Arrive(r)
 	})
-	look := time.NewTicker(goneEvery)
+	look := time.NewTicker(clientCheckInterval)
 	defer look.Stop()
 	for {
 		select {
 		case a := <-r.Reply:
-			closes(w, ctx, f.closing.Load())
+			setConnectionClose(w, ctx, f.closing.Load())
 			if a.Kind == engine.Failed && replyOf(a.Body).neverRan {
 				a.Kind = engine.Refused // the only attempt broke before its last byte
 			}
 			f.write(w, a)
-			m.count.answered(a.Kind)
+			m.counters.answered(a.Kind)
 			return
 		case s := <-m.streams:
-			closes(w, ctx, f.closing.Load())
-			f.pass(w, s, m.count)
+			setConnectionClose(w, ctx, f.closing.Load())
+			f.writeStream(w, s, m.counters)
 			return
 		case <-look.C:
-			m.clientGone()
+			m.checkClientGone()
 		case <-ctx.Done():
-			m.went()
-		case <-m.lost:
+			m.markClientGone()
+		case <-m.clientGoneSignal:
 			if m.up != nil {
-				m.up.gone.Store(true)
+				m.up.clientGone.Store(true)
 			}
 			// If the handler returned, net/http would send an empty 200.
 			panic(http.ErrAbortHandler)
 		case <-f.loop.Done(): // the node has ended
-			fail(w, http.StatusBadGateway)
-			m.count.failed.Add(1)
+			writeFailed(w, http.StatusBadGateway)
+			m.counters.failed.Add(1)
 			return
 		}
 	}
 }
 
-// clientGone reports whether the client has left. It is called right before the write of each attempt. The loop
-// and net/http may not have seen it yet. net/http never sees it if a byte came after the request.
-func (m *message) clientGone() bool {
-	if !m.gone.Load() && m.client.Gone() {
-		m.went()
+// checkClientGone reports whether the client has left. It is called right before the write of each attempt. The
+// loop and net/http may not have seen it yet. net/http never sees it if a byte came after the request.
+func (m *message) checkClientGone() bool {
+	if !m.clientHasGone.Load() && m.client.Gone() {
+		m.markClientGone()
 	}
-	return m.gone.Load()
+	return m.clientHasGone.Load()
 }
 
 // write writes an answer. While the node shuts down it also measures the time for that.
 func (f *front) write(w http.ResponseWriter, a engine.Answer) {
-	if !f.timed.Load() {
+	if !f.isTimingWrites.Load() {
 		write(w, a)
 		return
 	}
 	began := time.Now()
 	write(w, a)
 	http.NewResponseController(w).Flush()
-	mean := f.writes.Load()
-	f.writes.Store(mean + int64(writeWeight*float64(int64(time.Since(began))-mean)))
+	mean := f.meanWriteNanos.Load()
+	f.meanWriteNanos.Store(mean + int64(writeWeight*float64(int64(time.Since(began))-mean)))
 }
 
 func write(w http.ResponseWriter, a engine.Answer) {
@@ -336,20 +338,20 @@
 		w.WriteHeader(http.StatusOK)
 		w.Write(r.body)
 	case engine.Refused:
-		refuse(w, a.RetryIn)
+		writeRejected(w, a.RetryIn)
 	case engine.Failed:
 		status := http.StatusBadGateway
 		if a.Late {
 			status = http.StatusGatewayTimeout
 		}
-		fail(w, status)
+		writeFailed(w, status)
 	case engine.Doubled:
 		http.Error(w, "X-Trace-Id: another request with this id is open: give each request an id of its own", http.StatusConflict)
 	}
 }
 
-// refuse answers that the request did not run. The client may retry it after retryIn.
-func refuse(w http.ResponseWriter, retryIn time.Duration) {
+// writeRejected answers that the request did not run. The client may retry it after retryIn.
+func writeRejected(w http.ResponseWriter, retryIn time.Duration) {
 	if retryIn > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', 3, 64))
 	}
@@ -357,8 +359,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// fail answers that the request failed and may have run.
-func fail(w http.ResponseWriter, status int) {
+// writeFailed answers that the request failed and may have run.
+func writeFailed(w http.ResponseWriter, status int) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
@@ -368,8 +370,8 @@
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
-// read checks a request and reads its body. It returns an error with the status for the answer.
-func (f *front) read(w http.ResponseWriter, hr *http.Request, received time.Time) (*engine.Request, int, error) {
+// readRequest checks a request and reads its body. It returns an error with the status for the answer.
+func (f *front) readRequest(w http.ResponseWriter, hr *http.Request, received time.Time) (*engine.Request, int, error) {
 	bad := func(format string, args ...any) (*engine.Request, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
@@ -423,10 +425,10 @@
 		io.WriteString(sum, subject)
 		r.Key, r.HasKey = sum.Sum64()>>11, true
 	}
-	m := &message{tuning: t, count: t.counts[r.Class],
+	m := &message{settings: t, counters: t.counters[r.Class],
 		method: method, uri: hr.RequestURI, url: hr.URL, host: hr.Host, header: h, left0: left - early,
-		streams: make(chan *stream, 1), client: clients.FromContext(hr.Context()), lost: make(chan struct{})}
-	switch err := f.body(w, hr, m); {
+		streams: make(chan *stream, 1), client: clients.FromContext(hr.Context()), clientGoneSignal: make(chan struct{})}
+	switch err := f.readBody(w, hr, m); {
 	case errors.Is(err, errTooLong):
 		m.release()
 		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("%w: send at most %d bytes", err, f.bodyMost.Load())
@@ -445,7 +447,7 @@
 	// A read deadline that passes while the request is served would look as if the client had left.
 	rc := http.NewResponseController(w)
 	rc.SetReadDeadline(time.Time{})
-	rc.SetWriteDeadline(r.Deadline.Add(answerWithin))
+	rc.SetWriteDeadline(r.Deadline.Add(answerReadTimeout))
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/internal/node/compare.go
+++ b/internal/node/compare.go
@@ -18,10 +18,10 @@
 // Decode reads a client's request as the node does.
 func Decode(names settings.Settings, hr *http.Request, received time.Time) (*engine.Request, error) {
 	f := &front{}
-	f.bodyMost.Store(uploadMost)
-	f.held.left.Store(boundsOf(Limits{}, 0).held)
-	f.tuning.Store(newTuning(names, &figures{}))
-	r, _, err := f.read(discard{}, hr, received)
+	f.bodyMost.Store(maxUploadBytes)
+	f.held.left.Store(boundsOf(Limits{}, 0).heldBytes)
+	f.tuning.Store(newActiveSettings(names, &counters{}))
+	r, _, err := f.readRequest(discard{}, hr, received)
 	return r, err
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -34,7 +34,7 @@
 	knownErr   error // why Known could not be read
 	Settings   settings.Settings
 	origin     time.Duration // start of the engine's clock; 0 means the wall clock at the start
-	keys       any // decoded file without known; a reloaded file must have all of these keys
+	keys       any           // decoded file without known; a reloaded file must have all of these keys
 }
 
 // Limits are the resource limits of the machine. Zero means not given.
@@ -50,7 +50,7 @@
 		return Config{}, errors.New("configuration: no file name: set BALANCER_CONFIG")
 	}
 	var text []byte
-	if err := tryForAMoment(context.Background(), func(context.Context) (err error) {
+	if err := retryOpen(context.Background(), func(context.Context) (err error) {
 		text, err = os.ReadFile(path)
 		return err
 	}); err != nil {
@@ -143,14 +143,14 @@
 	return nil
 }
 
-// beside returns the limits of each of two processes that share one machine.
-func (l Limits) beside() Limits {
-	l.Sockets, l.MemoryMB = cmp.Or(l.Sockets, usualSockets)/2, l.MemoryMB/2
+// halved returns the limits of each of two processes that share one machine.
+func (l Limits) halved() Limits {
+	l.Sockets, l.MemoryMB = cmp.Or(l.Sockets, defaultSockets)/2, l.MemoryMB/2
 	return l
 }
 
 // Heap returns the memory limit for the garbage collector in bytes, or 0 if there is none.
-func (l Limits) Heap() int64 { return boundsOf(l, 0).heap }
+func (l Limits) Heap() int64 { return boundsOf(l, 0).heapBytes }
 
 // share divides the descriptors between client connections and backend connections.
 func (l Limits) share() (clients, backends int) {
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -10,36 +10,36 @@
 	"glencart/internal/members/registry"
 )
 
-// figures are the counters for operators, from the start of the process.
-type figures struct {
+// counters are the counters for operators, from the start of the process.
+type counters struct {
 	mu      sync.Mutex
-	classes []*classFigures // in the order in which settings listed them; a removed class keeps its counts
-	byName  map[string]*classFigures
+	classes []*classCounters // in the order in which settings listed them; a removed class keeps its counts
+	byName  map[string]*classCounters
 
-	reloadsOK, reloadsFailed atomic.Int64
-	known, excluded          atomic.Int64 // numbers of backends, as of the last update by the loop
+	reloadsOK, reloadsFailed        atomic.Int64
+	knownBackends, excludedBackends atomic.Int64 // numbers of backends, as of the last update by the loop
 
 	discovery *registry.Stats // nil if no discovery is used
 }
 
-// classFigures are the counters of one class.
-type classFigures struct {
+// classCounters are the counters of one class.
+type classCounters struct {
 	name                              string
 	served, refused, failed, attempts atomic.Int64
 }
 
-// figuresEvery is the interval at which values owned by the loop are copied. Counters may be 0.5 s old.
-const figuresEvery = 200 * time.Millisecond
+// countersInterval is the interval at which values owned by the loop are copied. Counters may be 0.5 s old.
+const countersInterval = 200 * time.Millisecond
 
 // class returns the counters of a class. They start at 0 when the class is first listed.
-func (f *figures) class(name string) *classFigures {
+func (f *counters) class(name string) *classCounters {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.byName[name]
 	if c == nil {
-		c = &classFigures{name: name}
+		c = &classCounters{name: name}
 		if f.byName == nil {
-			f.byName = map[string]*classFigures{}
+			f.byName = map[string]*classCounters{}
 		}
 		f.byName[name] = c
 		f.classes = append(f.classes, c)
@@ -47,8 +47,8 @@
 	return c
 }
 
-// names returns how many classes there would be after adding more.
-func (f *figures) names(more []string) int {
+// classesWith returns how many classes there would be after adding more.
+func (f *counters) classesWith(more []string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.classes)
@@ -61,7 +61,7 @@
 }
 
 // answered counts a request by its final answer.
-func (c *classFigures) answered(kind engine.AnswerKind) {
+func (c *classCounters) answered(kind engine.AnswerKind) {
 	switch kind {
 	case engine.Served:
 		c.served.Add(1)
@@ -72,8 +72,8 @@
 	}
 }
 
-// text returns the counters, one per line.
-func (f *figures) text(inFlight int64) []byte {
+// format returns the counters, one per line.
+func (f *counters) format(inFlight int64) []byte {
 	b := make([]byte, 0, 1<<10)
 	line := func(name string, n int64) {
 		b = append(append(b, "app."...), name...)
@@ -94,8 +94,8 @@
 	}
 	line("attempts", attempts)
 	line("in_flight", inFlight)
-	line("backends_known", f.known.Load())
-	line("backends_excluded", f.excluded.Load())
+	line("backends_known", f.knownBackends.Load())
+	line("backends_excluded", f.excludedBackends.Load())
 	line("reloads_ok", f.reloadsOK.Load())
 	line("reloads_failed", f.reloadsFailed.Load())
 	if d := f.discovery; d != nil {
--- a/internal/node/idlebreaks.go
+++ b/internal/node/idlebreaks.go
@@ -13,19 +13,20 @@
 type wear struct {
 	mu    sync.Mutex
 	fresh rate // of connections dialed for the request or used just before
-	aged  [wearAges]rate
+	aged  [idleAgeClasses]rate
 }
 
 const (
-	// Below wearFrom a kept connection counts as a fresh one. Above it there are wearAges classes of idle ages.
-	// Each covers twice the age of the one before.
-	wearFrom, wearAges = 50 * time.Millisecond, 7
-	// wearMost is how much higher than for fresh connections the break rate may be while requests still use a
-	// connection. A new dial costs a few round trips and some work on the backend. Up to wearChance breaks are
-	// treated as chance. After wearSeen exchanges within the limit an age counts as good.
-	wearMost, wearChance, wearSeen = 0.05, 2, 12
-	// wearSpan is the time constant with which observations decay.
-	wearSpan = 8 * time.Second
+	// Below minIdleAge a kept connection counts as a fresh one. Above it there are idleAgeClasses classes of
+	// idle ages. Each covers twice the age of the one before.
+	minIdleAge, idleAgeClasses = 50 * time.Millisecond, 7
+	// maxExcessBreakRate is how much higher than for fresh connections the break rate may be while requests
+	// still use a connection. A new dial costs a few round trips and some work on the backend. Up to
+	// chanceBreaks breaks are treated as chance. After minExchanges exchanges within the limit an age counts as
+	// good.
+	maxExcessBreakRate, chanceBreaks, minExchanges = 0.05, 2, 12
+	// breakRateDecay is the time constant with which observations decay.
+	breakRateDecay = 8 * time.Second
 )
 
 // rate is the share of recent exchanges that broke.
@@ -35,7 +36,7 @@
 }
 
 func (r *rate) fade(now time.Time) {
-	keep := math.Exp(-now.Sub(r.at).Seconds() / wearSpan.Seconds())
+	keep := math.Exp(-now.Sub(r.at).Seconds() / breakRateDecay.Seconds())
 	r.broke, r.seen, r.at = r.broke*keep, r.seen*keep, now
 }
 
@@ -44,7 +45,7 @@
 // class returns the class of an idle age, or -1 for a fresh connection.
 func (w *wear) class(age time.Duration) int {
 	i := -1
-	for from := wearFrom; age >= from && i < wearAges-1; from *= 2 {
+	for from := minIdleAge; age >= from && i < idleAgeClasses-1; from *= 2 {
 		i++
 	}
 	return i
@@ -76,9 +77,9 @@
 		r := &w.aged[i]
 		r.fade(now)
 		switch {
-		case r.broke-wearChance > r.seen*(w.fresh.value()+wearMost):
+		case r.broke-chanceBreaks > r.seen*(w.fresh.value()+maxExcessBreakRate):
 			return true
-		case r.seen >= wearSeen:
+		case r.seen >= minExchanges:
 			return false // breaks no more often than a fresh connection
 		}
 	}
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -15,57 +15,58 @@
 // actions.
 
 const (
-	// openNamed is how many requests the log names when the end of the node cuts them.
-	openNamed = 8
+	// maxLoggedIDs is how many requests the log names when the end of the node cuts them.
+	maxLoggedIDs = 8
 	// writeWeight is the weight of a new answer in the mean time for encoding and writing one.
 	writeWeight = 0.2
 )
 
-// obeys carries out the lifecycle actions for a node.
-type obeys struct{ *Node }
+// lifecycleFront carries out the lifecycle actions for a node.
+type lifecycleFront struct{ *Node }
 
-func (n obeys) Ready(ready bool) {
-	n.front.ready.Store(ready)
+func (n lifecycleFront) Ready(ready bool) {
+	n.front.isReady.Store(ready)
 	if !ready {
 		n.front.leaving.Store(true)
 	}
 }
 
-func (n obeys) AnswerBy(by time.Time) {
+func (n lifecycleFront) AnswerBy(by time.Time) {
 	n.loop.PostFirst(func() { n.loop.AnswerBy(by) })
 	// A second call at by ends answers that are still streaming.
 	time.AfterFunc(time.Until(by), func() { n.loop.PostFirst(func() { n.loop.AnswerBy(by) }) })
 }
 
-func (n obeys) StopAccepting() {
+func (n lifecycleFront) StopAccepting() {
 	n.listener.Close()
 	n.front.table.KeepAll()
 }
 
-func (n obeys) CloseAnswered() { n.front.closing.Store(true) }
+func (n lifecycleFront) CloseAnswered() { n.front.closing.Store(true) }
 
-func (n obeys) CloseQuiet(half bool) { n.front.table.CloseQuiet(half) }
+func (n lifecycleFront) CloseQuiet(half bool) { n.front.table.CloseQuiet(half) }
 
-// leave shuts the node down in order. The node keeps serving for as long as new requests can be answered in
+// shutDown shuts the node down in order. The node keeps serving for as long as new requests can be answered in
 // time. After that it closes each connection after its answer. Clients reuse their connections. If this node
 // closed one early while other nodes are down for a restart, the client could have no connection left. served
 // receives a value when the server no longer accepts connections.
-func (n *Node) leave(srv *http.Server, served <-chan error) error {
+func (n *Node) shutDown(srv *http.Server, served <-chan error) error {
 	followed := n.place != nil && n.place.Followed()
 	text := "leaving"
 	if followed {
 		text = "leaving: a successor process takes over"
 	}
-	n.front.timed.Store(true)
-	ended := n.living.Tell(life.Event{Kind: life.Told, Followed: followed})
-	n.log.Info(text, "most", n.living.Left())
+	n.front.isTimingWrites.Store(true)
+	ended := n.lifecycle.Tell(life.Event{Kind: life.Told, Followed: followed})
+	n.log.Info(text, "most", n.lifecycle.Left())
 	if !ended {
-		n.living.Leave(served, n.see)
+		n.lifecycle.Leave(served, n.observe)
 	}
 	counts := &n.front.book
-	n.log.Info("left", "taken", counts.Taken.Load(), "answered", counts.Answered.Load(), "client_left", counts.Left.Load(), "open", counts.Open())
+	n.log.Info("left", "taken", counts.Taken.Load(), "answered", counts.Answered.Load(),
+		"client_left", counts.Left.Load(), "open", counts.Open())
 	if counts.Open() > 0 {
-		n.nameOpen()
+		n.logOpenRequests()
 	}
 	if err := srv.Close(); err != nil && !errors.Is(err, net.ErrClosed) { // the shutdown may have closed the listener already
 		return err
@@ -73,17 +74,17 @@
 	return nil
 }
 
-// see returns an event with the current state of the connections and the loop.
-func (n *Node) see(accepting bool) life.Event {
+// observe returns an event with the current state of the connections and the loop.
+func (n *Node) observe(accepting bool) life.Event {
 	ev := life.Event{Kind: life.Seen, Queued: accepting && n.listener.Queued(), Conns: n.listener.Holds(), Asked: n.front.table.Asked()}
-	ev.Lag = n.lag.Measure(n.loop.Post) + time.Duration(ev.Asked)*time.Duration(n.front.writes.Load())
+	ev.Lag = n.loopLag.Measure(n.loop.Post) + time.Duration(ev.Asked)*time.Duration(n.front.meanWriteNanos.Load())
 	return ev
 }
 
-// nameOpen logs the ids of some requests that the end of the node cuts.
-func (n *Node) nameOpen() {
+// logOpenRequests logs the ids of some requests that the end of the node cuts.
+func (n *Node) logOpenRequests() {
 	named := make(chan []string, 1)
-	if !n.loop.PostFirst(func() { named <- n.loop.OpenIDs(openNamed) }) {
+	if !n.loop.PostFirst(func() { named <- n.loop.OpenIDs(maxLoggedIDs) }) {
 		return
 	}
 	select {
@@ -94,8 +95,9 @@
 	}
 }
 
-// remember lets the node report readiness on the cached endpoint list if discovery sends no list in time.
-func (n *Node) remember(ctx context.Context) {
+// useCachedListInTime lets the node report readiness on the cached endpoint list if discovery sends no list in
+// time.
+func (n *Node) useCachedListInTime(ctx context.Context) {
 	pause(ctx, life.RememberFor)
-	n.living.Tell(life.Event{Kind: life.Tick})
+	n.lifecycle.Tell(life.Event{Kind: life.Tick})
 }
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -17,14 +17,15 @@
 )
 
 const (
-	// adminMost bounds the connections of operators whose request has not fully arrived. Beyond it the oldest
-	// silent one is closed, and beyond adminLast the oldest of all. They are part of otherSockets.
-	adminMost, adminLast = 6, 10
-	// adminFresh is how long a caller may take for its first byte before it counts as silent.
-	adminFresh = 20 * time.Millisecond
-	// adminWithin is how long a request may take to arrive, and its answer to be read. A request is answered
-	// after adminWaits even if the loop has not handled it, because operators must get an answer within 1 s.
-	adminWithin, adminWaits = 5 * time.Second, 700 * time.Millisecond
+	// maxWaitingAdminConns bounds the connections of operators whose request has not fully arrived. Beyond it
+	// the oldest silent one is closed, and beyond adminLast the oldest of all. They are part of otherSockets.
+	maxWaitingAdminConns, adminLast = 6, 10
+	// adminFirstByteGrace is how long a caller may take for its first byte before it counts as silent.
+	adminFirstByteGrace = 20 * time.Millisecond
+	// adminTimeout is how long a request may take to arrive, and its answer to be read. A request is answered
+	// after adminAnswerTimeout even if the loop has not handled it, because operators must get an answer within
+	// 1 s.
+	adminTimeout, adminAnswerTimeout = 5 * time.Second, 700 * time.Millisecond
 	// idMost bounds the length of a backend id in a request.
 	idMost = 256
 )
@@ -34,10 +35,10 @@
 	node *Node
 	srv  *http.Server
 
-	mu    sync.Mutex
-	conns map[net.Conn]time.Time // connections whose request has not fully arrived
-	calls atomic.Int32 // requests that are being answered
-	open  int
+	mu             sync.Mutex
+	conns          map[net.Conn]time.Time // connections whose request has not fully arrived
+	activeRequests atomic.Int32           // requests that are being answered
+	waitingConns   int
 }
 
 func newAdminEndpoint(n *Node) *adminEndpoint {
@@ -45,28 +46,28 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !n.canServe() {
-			reply1(w, http.StatusServiceUnavailable, "not ready\n")
+			writeText(w, http.StatusServiceUnavailable, "not ready\n")
 			return
 		}
-		reply1(w, http.StatusOK, "ready\n")
+		writeText(w, http.StatusOK, "ready\n")
 	})
 	mux.HandleFunc("GET /control/counters", func(w http.ResponseWriter, _ *http.Request) {
-		reply1(w, http.StatusOK, string(n.figures.text(n.front.inFlight.Load())))
+		writeText(w, http.StatusOK, string(n.figures.format(n.front.inFlight.Load())))
 	})
-	mux.HandleFunc("POST /control/backends/{id}/offline", func(w http.ResponseWriter, r *http.Request) { d.byHand(w, r, true) })
-	mux.HandleFunc("POST /control/backends/{id}/online", func(w http.ResponseWriter, r *http.Request) { d.byHand(w, r, false) })
+	mux.HandleFunc("POST /control/backends/{id}/offline", func(w http.ResponseWriter, r *http.Request) { d.setOffline(w, r, true) })
+	mux.HandleFunc("POST /control/backends/{id}/online", func(w http.ResponseWriter, r *http.Request) { d.setOffline(w, r, false) })
 	d.srv = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			d.whole(adminConn(r.Context()))
+			d.requestArrived(adminConn(r.Context()))
 			w.Header().Set("Connection", "close")
-			defer d.calls.Add(-1)
-			if d.calls.Add(1) > adminLast {
-				reply1(w, http.StatusServiceUnavailable, "too many calls at once\n")
+			defer d.activeRequests.Add(-1)
+			if d.activeRequests.Add(1) > adminLast {
+				writeText(w, http.StatusServiceUnavailable, "too many calls at once\n")
 				return
 			}
 			mux.ServeHTTP(w, r)
 		}),
-		ReadTimeout: adminWithin, WriteTimeout: adminWithin, MaxHeaderBytes: 4 << 10,
+		ReadTimeout: adminTimeout, WriteTimeout: adminTimeout, MaxHeaderBytes: 4 << 10,
 		ErrorLog:  slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		ConnState: d.track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -90,28 +91,28 @@
 	switch s {
 	case http.StateNew:
 		d.conns[c] = time.Now()
-		d.open++
-		for d.open > adminMost {
-			victim := d.silent(c)
+		d.waitingConns++
+		for d.waitingConns > maxWaitingAdminConns {
+			victim := d.connToClose(c)
 			if victim == nil {
 				return
 			}
 			delete(d.conns, victim)
-			d.open--
+			d.waitingConns--
 			victim.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
 		if _, waits := d.conns[c]; waits {
 			delete(d.conns, c)
-			d.open--
+			d.waitingConns--
 		}
 	}
 }
 
-// silent returns the oldest connection, other than except, that has no unread bytes. Beyond adminLast it returns the
-// oldest of all. A request that arrived together with many silent connections may be unread when the last of
-// them is accepted.
-func (d *adminEndpoint) silent(except net.Conn) net.Conn {
+// connToClose returns the oldest connection, other than except, that has no unread bytes. Beyond adminLast it
+// returns the oldest of all. A request that arrived together with many silent connections may be unread when
+// the last of them is accepted.
+func (d *adminEndpoint) connToClose(except net.Conn) net.Conn {
 	var quiet, oldest net.Conn
 	for c, at := range d.conns {
 		if c == except {
@@ -120,31 +121,31 @@
 		if oldest == nil || at.Before(d.conns[oldest]) {
 			oldest = c
 		}
-		if n, _ := sock.Peek(c); n <= 0 && time.Since(at) > adminFresh && (quiet == nil || at.Before(d.conns[quiet])) {
+		if n, _ := sock.Peek(c); n <= 0 && time.Since(at) > adminFirstByteGrace && (quiet == nil || at.Before(d.conns[quiet])) {
 			quiet = c
 		}
 	}
-	if quiet == nil && d.open > adminLast {
+	if quiet == nil && d.waitingConns > adminLast {
 		return oldest
 	}
 	return quiet
 }
 
-// whole marks a connection whose request has arrived. It is closed after its answer.
-func (d *adminEndpoint) whole(c net.Conn) {
+// requestArrived marks a connection whose request has arrived. It is closed after its answer.
+func (d *adminEndpoint) requestArrived(c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, waits := d.conns[c]; waits {
 		delete(d.conns, c)
-		d.open--
+		d.waitingConns--
 	}
 }
 
-// byHand takes a backend offline or back online. It answers with success once the Balancer has the change.
-func (d *adminEndpoint) byHand(w http.ResponseWriter, r *http.Request, offline bool) {
+// setOffline takes a backend offline or back online. It answers with success once the Balancer has the change.
+func (d *adminEndpoint) setOffline(w http.ResponseWriter, r *http.Request, offline bool) {
 	id := r.PathValue("id")
 	if len(id) > idMost {
-		reply1(w, http.StatusBadRequest, "backend: the id is too long\n")
+		writeText(w, http.StatusBadRequest, "backend: the id is too long\n")
 		return
 	}
 	n := d.node
@@ -154,39 +155,39 @@
 	}
 	done := make(chan bool, 1)
 	if !n.loop.PostFirst(func() {
-		n.heed(n.hand.Hear(before, n.loop.Clock()))
-		call, known := n.byHand(id, offline)
+		n.applyLines(n.hand.Hear(before, n.loop.Clock()))
+		call, known := n.setOffline(id, offline)
 		if n.place == nil || call.At == 0 {
 			done <- known
 			return
 		}
 		go func() { // file operations may be slow or fail
-			ctx, cancel := context.WithTimeout(r.Context(), adminWaits)
+			ctx, cancel := context.WithTimeout(r.Context(), adminAnswerTimeout)
 			defer cancel()
 			if n.place.Persist(ctx, []members.Call{call}) == nil {
 				done <- known
 			}
 		}()
 	}) {
-		reply1(w, http.StatusServiceUnavailable, "the node is ending\n")
+		writeText(w, http.StatusServiceUnavailable, "the node is ending\n")
 		return
 	}
-	timeout := time.NewTimer(adminWaits)
+	timeout := time.NewTimer(adminAnswerTimeout)
 	defer timeout.Stop()
 	select {
 	case known := <-done:
 		if !known {
-			reply1(w, http.StatusNotFound, "backend: discovery has named none with this id\n")
+			writeText(w, http.StatusNotFound, "backend: discovery has named none with this id\n")
 			return
 		}
-		reply1(w, http.StatusOK, "ok\n")
+		writeText(w, http.StatusOK, "ok\n")
 	case <-timeout.C:
-		reply1(w, http.StatusGatewayTimeout, "the node is busy, or can't write the call down: it still counts as soon as it gets to it\n")
+		writeText(w, http.StatusGatewayTimeout, "the node is busy, or can't write the call down: it still counts as soon as it gets to it\n")
 	}
 }
 
-// reply1 writes a short answer.
-func reply1(w http.ResponseWriter, status int, text string) {
+// writeText writes a short answer.
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
@@ -205,8 +206,8 @@
 	n.countBackends()
 }
 
-// saw records how an attempt or a probe ended. It runs on the loop.
-func (n *Node) saw(id string, res engine.Result) {
+// observeResult records how an attempt or a probe ended. It runs on the loop.
+func (n *Node) observeResult(id string, res engine.Result) {
 	switch {
 	case res.Refused:
 		n.hand.Refused(id, n.loop.Clock())
@@ -214,13 +215,13 @@
 	case res.Status == balance.Delivered, res.Status == balance.AppError, res.Status == balance.Shed:
 		if lines := n.hand.Answered(id, n.loop.Clock()); len(lines) > 0 {
 			n.log.Info("backend answers after a refused connection: treated as a new process", "id", id)
-			n.loop.Post(func() { n.heed(lines) }) // after the current event
+			n.loop.Post(func() { n.applyLines(lines) }) // after the current event
 		}
 	}
 }
 
-// byHand applies an operator's call and reports whether the backend id is known. It runs on the loop.
-func (n *Node) byHand(id string, offline bool) (members.Call, bool) {
+// setOffline applies an operator's call and reports whether the backend id is known. It runs on the loop.
+func (n *Node) setOffline(id string, offline bool) (members.Call, bool) {
 	lines, call, known := n.hand.Say(id, offline, n.loop.Clock())
 	if len(lines) > 0 {
 		action := "brought back online"
@@ -229,12 +230,12 @@
 		}
 		n.log.Info("backend "+action+" by an operator", "id", id)
 	}
-	n.heed(lines)
+	n.applyLines(lines)
 	return call, known
 }
 
-// heed passes lines that an operator's call has changed to the engine. It runs on the loop.
-func (n *Node) heed(lines []members.Line) {
+// applyLines passes lines that an operator's call has changed to the engine. It runs on the loop.
+func (n *Node) applyLines(lines []members.Line) {
 	if len(lines) > 0 {
 		n.loop.TakeList(balance.MembersChanged, engine.List{Members: lines})
 	}
@@ -244,21 +245,21 @@
 // countBackends copies the numbers of backends that the loop owns. It runs on the loop.
 func (n *Node) countBackends() {
 	listed, offline := n.hand.Counts()
-	n.figures.known.Store(int64(listed))
-	n.figures.excluded.Store(int64(offline + n.loop.Balancer.Avoided()))
+	n.figures.knownBackends.Store(int64(listed))
+	n.figures.excludedBackends.Store(int64(offline + n.loop.Balancer.Avoided()))
 }
 
-// countOften calls countBackends at intervals until ctx ends, because each answer may change which backends the
-// loop avoids.
-func (n *Node) countOften(ctx context.Context) {
-	every(ctx, figuresEvery, func() { n.loop.PostFirst(n.countBackends) })
+// countBackendsPeriodically calls countBackends at intervals until ctx ends, because each answer may change
+// which backends the loop avoids.
+func (n *Node) countBackendsPeriodically(ctx context.Context) {
+	every(ctx, countersInterval, func() { n.loop.PostFirst(n.countBackends) })
 }
 
 // canServe reports whether this process can serve. It needs a list with a backend that can receive requests,
 // and must not be shutting down.
 func (n *Node) canServe() bool {
 	if n.loop.Ready() {
-		n.listed.Store(true)
+		n.hadUsableBackend.Store(true)
 	}
-	return n.listed.Load() && n.running.Load() && !n.front.leaving.Load()
+	return n.hadUsableBackend.Load() && n.running.Load() && !n.front.leaving.Load()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,26 +28,26 @@
 
 // Node is one node. New opens its sockets and Run serves.
 type Node struct {
-	cfg      Config
-	log      *slog.Logger
-	bounds   bounds
-	hears    atomic.Int32 // messages of peers that are queued for the loop
-	listener *clients.Listener
-	peers    *peers
-	pool     *pool
-	loop     *engine.Engine
-	front    *front
-	taken    *tuning // the settings of the last accepted reload; used only by the goroutine that calls Reload
-	disco    *registry.Source
-	admin    net.Listener // for operators; nil if there is no management address
-	place    *handover.Place // the folder shared with a predecessor or successor; nil if there is none
-	hand     members.Hand // used only on the loop
-	figures  *figures
-	listed   atomic.Bool // a list has named a backend that can receive requests
-	heard    atomic.Bool // discovery has sent a list
-	running  atomic.Bool // clients are accepted
-	living   *living.Living
-	lag      living.Lag
+	cfg              Config
+	log              *slog.Logger
+	bounds           bounds
+	hears            atomic.Int32 // messages of peers that are queued for the loop
+	listener         *clients.Listener
+	peers            *peers
+	pool             *pool
+	loop             *engine.Engine
+	front            *front
+	latest           *activeSettings // the settings of the last accepted reload; used only by the goroutine that calls Reload
+	disco            *registry.Source
+	admin            net.Listener    // for operators; nil if there is no management address
+	place            *handover.Place // the folder shared with a predecessor or successor; nil if there is none
+	hand             members.Hand    // used only on the loop
+	figures          *counters
+	hadUsableBackend atomic.Bool // a list has named a backend that can receive requests
+	hasList          atomic.Bool // discovery has sent a list
+	running          atomic.Bool // clients are accepted
+	lifecycle        *living.Living
+	loopLag          living.Lag
 }
 
 // New returns a node that is ready to run. New fails if ctx ends while it still opens what the node needs.
@@ -59,9 +59,9 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, log: log, figures: &figures{}}
+	n := &Node{cfg: cfg, log: log, figures: &counters{}}
 	n.hand.WarmWithin = cfg.Settings.Config.Rules.WarmWithin
-	n.living = living.New(life.New(life.Platform, longestDeadline(cfg.Settings)), obeys{n})
+	n.lifecycle = living.New(life.New(life.Platform, longestDeadline(cfg.Settings)), lifecycleFront{n})
 	limits := cfg.Settings.Config.Limits
 	n.bounds = boundsOf(cfg.Limits, len(cfg.Peers))
 	maxClients, backends := n.bounds.clients, n.bounds.backends
@@ -70,8 +70,8 @@
 	n.loop = engine.New(engine.Config{Balancer: bal, Log: log, Origin: cfg.origin,
 		Transport: newExchanges(n.pool, cfg.Settings.Config.Reports == balance.InlineReports, log)})
 	n.front = newFront(n.loop, cfg.Settings, maxClients, backends, n.figures, log)
-	n.front.held.left.Store(n.bounds.held)
-	n.taken = n.front.tuning.Load()
+	n.front.held.left.Store(n.bounds.heldBytes)
+	n.latest = n.front.tuning.Load()
 	n.disco = registry.New(cfg.Discovery, cfg.Settings, log,
 		func(list engine.List) {
 			kind := balance.MembersChanged
@@ -80,21 +80,21 @@
 			}
 			n.loop.Post(func() {
 				n.takeList(kind, list)
-				n.heard.Store(true)
-				n.living.Tell(life.Event{Kind: life.Heard})
+				n.hasList.Store(true)
+				n.lifecycle.Tell(life.Event{Kind: life.Heard})
 			})
 		},
 		func() { n.loop.Post(func() { n.loop.Handle(balance.Event{Kind: balance.MembersRefused}) }) })
-	n.disco.Near(n.bounds.discovery)
+	n.disco.Near(n.bounds.discoveryCalls)
 	n.figures.discovery = n.disco.Stats()
-	n.loop.Ask, n.loop.Saw = n.disco.Ask, n.saw
+	n.loop.Ask, n.loop.Saw = n.disco.Ask, n.observeResult
 	if cfg.PeerListen != "" {
 		if n.peers, err = listenPeers(ctx, &cfg, n.bounds.tell, log); err != nil {
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
 		n.loop.Tell = n.peers.tell
 	}
-	n.recall(cfg)
+	n.applyCachedList(cfg)
 	if err := n.open(ctx, maxClients); err != nil {
 		n.close()
 		return nil, err
@@ -111,7 +111,7 @@
 		}
 	}
 	if n.cfg.Shared != "" {
-		if err = tryForAMoment(ctx, func(context.Context) (err error) {
+		if err = retryOpen(ctx, func(context.Context) (err error) {
 			n.place, err = handover.Open(n.cfg.Shared, n.cfg.Name, n.log)
 			return err
 		}); err != nil {
@@ -135,15 +135,15 @@
 	}
 	n.listener = clients.Limit(l, maxClients)
 	n.listener.HeadWithin = headWithin
-	n.living.Tell(life.Event{Kind: life.Opened})
+	n.lifecycle.Tell(life.Event{Kind: life.Opened})
 	if n.place != nil && n.place.Follows() {
-		n.beside(true)
+		n.shareMachine(true)
 	}
 	return nil
 }
 
-// recall applies the cached endpoint list of the configuration.
-func (n *Node) recall(cfg Config) {
+// applyCachedList applies the cached endpoint list of the configuration.
+func (n *Node) applyCachedList(cfg Config) {
 	cached := cfg.Known
 	if cfg.knownErr != nil {
 		n.log.Warn("known: the cached endpoint list can't be read: waiting for discovery", "error", cfg.knownErr)
@@ -203,14 +203,14 @@
 	if n.admin != nil {
 		admin := newAdminEndpoint(n)
 		wg.Go(func() { admin.srv.Serve(clients.Accepting(n.admin, limitedLog)) })
-		wg.Go(func() { n.countOften(work) })
+		wg.Go(func() { n.countBackendsPeriodically(work) })
 		defer admin.srv.Close()
 	}
 	if n.place != nil {
 		defer n.place.Close()
 		wg.Go(func() {
-			n.place.Run(work, n.beside, func(calls []members.Call) {
-				n.loop.PostFirst(func() { n.heed(n.hand.Hear(calls, n.loop.Clock())) })
+			n.place.Run(work, n.shareMachine, func(calls []members.Call) {
+				n.loop.PostFirst(func() { n.applyLines(n.hand.Hear(calls, n.loop.Clock())) })
 			})
 		})
 		n.awaitList(ctx)
@@ -218,14 +218,14 @@
 	n.running.Store(true)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(clients.Accepting(n.listener, limitedLog)) }()
-	wg.Go(func() { n.remember(work) })
+	wg.Go(func() { n.useCachedListInTime(work) })
 	n.log.Info("serving", "name", n.cfg.Name, "listen", sock.ListenAddr(n.listener, n.cfg.Listen))
 	select {
 	case err := <-ended:
 		return fmt.Errorf("accepting: %w", err)
 	case <-ctx.Done():
 	}
-	return n.leave(srv, ended)
+	return n.shutDown(srv, ended)
 }
 
 // longestDeadline returns the longest time for which a request may be in flight.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -16,19 +16,19 @@
 // soReusePort is SO_REUSEPORT of socket(7). Package syscall doesn't define it on every platform.
 const soReusePort = 0xf
 
-// readAgain is the pause after a failed read of a datagram.
-const readAgain = 10 * time.Millisecond
+// readRetryDelay is the pause after a failed read of a datagram.
+const readRetryDelay = 10 * time.Millisecond
 
 // datagramMost is the maximum size of a datagram between nodes, in bytes.
 const datagramMost = 256
 
 // peers exchanges datagrams with the other nodes.
 type peers struct {
-	conn  *net.UDPConn
-	addrs []netip.AddrPort // by peer number
-	all   netip.AddrPort
-	out   chan datagram
-	odd   lograte.Limited // rate-limited log of ignored datagrams
+	conn       *net.UDPConn
+	addrs      []netip.AddrPort // by peer number
+	allAddr    netip.AddrPort
+	out        chan datagram
+	limitedLog lograte.Limited // rate-limited log of ignored datagrams
 }
 
 type datagram struct {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peers{out: make(chan datagram, maxQueued), odd: lograte.Limited{Log: log}}
+	p := &peers{out: make(chan datagram, maxQueued), limitedLog: lograte.Limited{Log: log}}
 	for _, s := range cfg.Peers {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
@@ -51,7 +51,7 @@
 		p.addrs = append(p.addrs, a)
 	}
 	if cfg.PeersAll != "" {
-		if p.all, err = netip.ParseAddrPort(cfg.PeersAll); err != nil {
+		if p.allAddr, err = netip.ParseAddrPort(cfg.PeersAll); err != nil {
 			return nil, err
 		}
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	var pc net.PacketConn
-	if err := tryForAMoment(ctx, func(ctx context.Context) (err error) {
+	if err := retryOpen(ctx, func(ctx context.Context) (err error) {
 		pc, err = lc.ListenPacket(ctx, "udp", addr.String())
 		return err
 	}); err != nil {
@@ -83,7 +83,7 @@
 // tell sends a datagram to one peer or to all of them. It never blocks. If the queue is full, it drops the
 // datagram, since datagrams may be lost anyway.
 func (p *peers) tell(peer int, payload []byte) {
-	to := p.all
+	to := p.allAddr
 	if peer != balance.AllPeers {
 		if peer < 0 || peer >= len(p.addrs) {
 			return
@@ -127,13 +127,13 @@
 		if err != nil {
 			// The error is an ICMP answer of a peer's machine to an earlier datagram, or a lack of resources on
 			// this machine, which may last.
-			p.odd.Warn("peer datagrams: read failed; reading again after a pause", "error", err)
-			pause(ctx, readAgain)
+			p.limitedLog.Warn("peer datagrams: read failed; reading again after a pause", "error", err)
+			pause(ctx, readRetryDelay)
 			continue
 		}
 		i, ok := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok || n > datagramMost {
-			p.odd.Warn("datagram ignored: too long, or its sender is not in peers", "from", from, "bytes", n)
+			p.limitedLog.Warn("datagram ignored: too long, or its sender is not in peers", "from", from, "bytes", n)
 			continue
 		}
 		handle(i, append([]byte(nil), buf[:n]...))
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -16,29 +16,29 @@
 // conn is a connection to a backend. It carries one request at a time.
 type conn struct {
 	net.Conn
-	to     engine.Endpoint
-	limit  io.LimitedReader // bounds the bytes of one answer
-	read   *bufio.Reader
-	idleAt time.Time
-	age    time.Duration // idle time when it was last taken
-	kept   bool // it has carried an answer before
+	to      engine.Endpoint
+	limit   io.LimitedReader // bounds the bytes of one answer
+	read    *bufio.Reader
+	idleAt  time.Time
+	idleAge time.Duration // idle time when it was last taken
+	kept    bool          // it has carried an answer before
 }
 
 var (
-	// errNoRoom reports that the node can't open another connection now. The cause is not the backend.
-	errNoRoom = errors.New("no room for another backend connection")
-	// errSpoke reports that a new connection ended, or had bytes to read, before anything was written.
-	errSpoke = errors.New("new backend connection closed or readable before the request")
+	// errNoCapacity reports that the node can't open another connection now. The cause is not the backend.
+	errNoCapacity = errors.New("no room for another backend connection")
+	// errNewConnNotQuiet reports that a new connection ended, or had bytes to read, before anything was written.
+	errNewConnNotQuiet = errors.New("new backend connection closed or readable before the request")
 	// errEarly reports the same before the last byte of a request was written.
 	errEarly = errors.New("backend answered or closed before the last byte of the request")
 )
 
 // pool holds the idle connections to backends, and counts all connections.
 type pool struct {
-	dialer net.Dialer
-	most   int // limit on connections, idle or in use
-	keep   time.Duration // how long a connection may be idle
-	wear   wear
+	dialer     net.Dialer
+	most       int           // limit on connections, idle or in use
+	keep       time.Duration // how long a connection may be idle
+	breakRates wear
 
 	mu   sync.Mutex
 	idle map[engine.Endpoint][]*conn // the most recently used connection is last
@@ -74,8 +74,8 @@
 // between reading the clock and its write, and the written bytes need time to arrive.
 const idleMargin = 200 * time.Millisecond
 
-// retune applies changed settings. Connections that are idle for too long by the new times are not used again.
-func (p *pool) retune(connectTimeout, idleClose time.Duration) {
+// setTimes applies changed settings. Connections that are idle for too long by the new times are not used again.
+func (p *pool) setTimes(connectTimeout, idleClose time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout, p.keep = poolTimes(connectTimeout, idleClose)
@@ -90,7 +90,7 @@
 		return c, nil
 	}
 	if !p.reserve() {
-		return nil, errNoRoom
+		return nil, errNoCapacity
 	}
 	nc, err := p.dial(ctx, to.Addr)
 	if err != nil {
@@ -104,7 +104,7 @@
 }
 
 // dial connects to an address. It repeats temporary failures within the dial timeout. If the last failure is
-// for lack of resources on this machine, the error is errNoRoom.
+// for lack of resources on this machine, the error is errNoCapacity.
 func (p *pool) dial(ctx context.Context, addr string) (nc net.Conn, err error) {
 	p.mu.Lock()
 	dialer := p.dialer
@@ -116,7 +116,7 @@
 		return err
 	})
 	if sock.LocalFailure(err) {
-		err = errors.Join(errNoRoom, err)
+		err = errors.Join(errNoCapacity, err)
 	}
 	return nc, err
 }
@@ -134,12 +134,12 @@
 		if probe {
 			c = list[0]
 			copy(list, list[1:])
-		} else if p.wear.worn(time.Since(c.idleAt)) {
+		} else if p.breakRates.worn(time.Since(c.idleAt)) {
 			return nil // the others are older
 		}
 		list[last] = nil
 		p.setIdle(to, list[:last])
-		if c.age = time.Since(c.idleAt); c.age < p.keep {
+		if c.idleAge = time.Since(c.idleAt); c.idleAge < p.keep {
 			return c
 		}
 		c.Close()
@@ -164,11 +164,11 @@
 		p.open++
 		return true
 	}
-	return p.giveWay()
+	return p.closeOldestIdle()
 }
 
-// giveWay closes the connection that has been idle longest, if there is one. It stays in the count.
-func (p *pool) giveWay() bool {
+// closeOldestIdle closes the connection that has been idle longest, if there is one. It stays in the count.
+func (p *pool) closeOldestIdle() bool {
 	var oldest *conn
 	for _, list := range p.idle {
 		if oldest == nil || list[0].idleAt.Before(oldest.idleAt) {
@@ -188,7 +188,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.most = maxConns
-	for p.open > maxConns && p.giveWay() {
+	for p.open > maxConns && p.closeOldestIdle() {
 		p.open--
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -13,41 +13,42 @@
 	"glencart/life"
 )
 
-// tuning is one version of the settings that can change in service. Each request is read under one version.
-type tuning struct {
+// activeSettings is one version of the settings that can change in service. Each request is read under one
+// version.
+type activeSettings struct {
 	settings.Settings
-	counts   []*classFigures // by class number
-	vanished []time.Time // when a class was removed, by class number; zero if it is in use
+	counters  []*classCounters // by class number
+	removedAt []time.Time      // when a class was removed, by class number; zero if it is in use
 }
 
-// numberFree is how long after its removal the number of a class can go to another class. By then the loop has
-// received all requests that were read under the old name.
-const numberFree = time.Minute
+// classNumberReuseDelay is how long after its removal the number of a class can go to another class. By then
+// the loop has received all requests that were read under the old name.
+const classNumberReuseDelay = time.Minute
 
-// classNamesMost bounds how many class names configuration files may add while a process runs.
-const classNamesMost = 1024
+// maxClassNames bounds how many class names configuration files may add while a process runs.
+const maxClassNames = 1024
 
-func newTuning(s settings.Settings, counts *figures) *tuning {
-	t := &tuning{Settings: s, vanished: make([]time.Time, len(s.Classes))}
+func newActiveSettings(s settings.Settings, counts *counters) *activeSettings {
+	t := &activeSettings{Settings: s, removedAt: make([]time.Time, len(s.Classes))}
 	for _, name := range s.Classes {
-		t.counts = append(t.counts, counts.class(name))
+		t.counters = append(t.counters, counts.class(name))
 	}
 	return t
 }
 
 // adopt returns the version that replaces t.
-func (t *tuning) adopt(next settings.Settings, counts *figures, now time.Time) *tuning {
+func (t *activeSettings) adopt(next settings.Settings, counts *counters, now time.Time) *activeSettings {
 	s := t.Settings.Adopt(next, func(number int) bool {
-		return !t.vanished[number].IsZero() && now.Sub(t.vanished[number]) > numberFree
+		return !t.removedAt[number].IsZero() && now.Sub(t.removedAt[number]) > classNumberReuseDelay
 	})
-	u := newTuning(s, counts)
+	u := newActiveSettings(s, counts)
 	for i := range s.Classes {
 		switch {
 		case !s.Config.Classes[i].Gone:
-		case i < len(t.vanished) && !t.vanished[i].IsZero():
-			u.vanished[i] = t.vanished[i]
+		case i < len(t.removedAt) && !t.removedAt[i].IsZero():
+			u.removedAt[i] = t.removedAt[i]
 		default:
-			u.vanished[i] = now
+			u.removedAt[i] = now
 		}
 	}
 	return u
@@ -58,16 +59,17 @@
 // one goroutine may call Reload.
 func (n *Node) Reload(cfg Config) error {
 	if at := settings.Missing(n.cfg.keys, cfg.keys); n.cfg.keys != nil && cfg.keys != nil && at != "" {
-		return n.NotReloaded(fmt.Errorf("configuration: %s: missing: the configuration in use has this key: add it", strings.TrimPrefix(at, ".")))
+		return n.LogReloadFailure(fmt.Errorf("configuration: %s: missing: the configuration in use has this key: add it",
+			strings.TrimPrefix(at, ".")))
 	}
-	old := n.taken // the loop may not have applied the last file yet
+	old := n.latest // the loop may not have applied the last file yet
 	if err := errors.Join(cfg.check(), cfg.Settings.CheckInService(old.Settings)); err != nil {
-		return n.NotReloaded(fmt.Errorf("configuration: settings: %w", err))
+		return n.LogReloadFailure(fmt.Errorf("configuration: settings: %w", err))
 	}
-	if names := n.figures.names(cfg.Settings.Classes); names > classNamesMost {
-		return n.NotReloaded(fmt.Errorf(
+	if names := n.figures.classesWith(cfg.Settings.Classes); names > maxClassNames {
+		return n.LogReloadFailure(fmt.Errorf(
 			"configuration: settings: classes: %d names since the start, limit %d: each name keeps its counters: restart the node",
-			names, classNamesMost))
+			names, maxClassNames))
 	}
 	var fixed []string
 	for _, k := range []struct {
@@ -95,15 +97,15 @@
 	next := old.adopt(cfg.Settings, n.figures, time.Now())
 	if !reflect.DeepEqual(old.Config, next.Config) || !slices.Equal(old.Classes, next.Classes) {
 		n.log.Info("settings changed", "classes", next.inUse())
-		n.taken = next
+		n.latest = next
 		// The Balancer gets a new class before any request can use it.
 		n.loop.Post(func() {
 			n.loop.Handle(balance.Event{Kind: balance.SettingsChanged, Settings: &next.Config})
 			n.front.tuning.Store(next)
 			n.hand.WarmWithin = next.Config.Rules.WarmWithin
 			n.disco.Grace(next.Config.Rules.DrainGrace)
-			n.pool.retune(next.Config.Limits.ConnectTimeout, next.Config.Limits.IdleClose)
-			n.living.Tell(life.Event{Kind: life.Changed, Deadline: longestDeadline(next.Settings)})
+			n.pool.setTimes(next.Config.Limits.ConnectTimeout, next.Config.Limits.IdleClose)
+			n.lifecycle.Tell(life.Event{Kind: life.Changed, Deadline: longestDeadline(next.Settings)})
 		})
 	}
 	n.figures.reloadsOK.Add(1)
@@ -112,16 +114,16 @@
 	return nil
 }
 
-// holds reports whether a request that was read under t may be accepted under now. The class number must still
+// accepts reports whether a request that was read under t may be accepted under now. The class number must still
 // mean the same class, and the class must not allow more repeats than when the client sent the request. A body
 // can take longer to arrive than a file to change.
-func (t *tuning) holds(now *tuning, class int) bool {
+func (t *activeSettings) accepts(now *activeSettings, class int) bool {
 	return t == now || class < len(now.Classes) && t.Classes[class] == now.Classes[class] &&
 		t.Config.Classes[class].Effect >= now.Config.Classes[class].Effect
 }
 
 // inUse returns the names of the classes that requests may use.
-func (t *tuning) inUse() []string {
+func (t *activeSettings) inUse() []string {
 	var names []string
 	for i, name := range t.Classes {
 		if !t.Config.Classes[i].Gone {
@@ -131,8 +133,8 @@
 	return names
 }
 
-// NotReloaded logs and counts a rejected configuration. The old one stays in effect as a whole.
-func (n *Node) NotReloaded(err error) error {
+// LogReloadFailure logs and counts a rejected configuration. The old one stays in effect as a whole.
+func (n *Node) LogReloadFailure(err error) error {
 	n.figures.reloadsFailed.Add(1)
 	n.log.Error("configuration not reloaded: the old one stays in effect", "error", err)
 	return err
--- a/internal/node/successor.go
+++ b/internal/node/successor.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// listWithin is how long a process that shares its clients' socket waits for discovery. After that it
+	// listTimeout is how long a process that shares its clients' socket waits for discovery. After that it
 	// accepts clients on the cached endpoint list. It must report readiness within 6 s.
-	listWithin = 3 * time.Second
-	// learnedWithin is how long a successor waits for the learned state of its predecessor. The predecessor
+	listTimeout = 3 * time.Second
+	// learnedTimeout is how long a successor waits for the learned state of its predecessor. The predecessor
 	// writes it when it detects the successor.
-	learnedWithin = 300 * time.Millisecond
+	learnedTimeout = 300 * time.Millisecond
 )
 
 // awaitList waits until discovery has sent a list with a backend that can receive requests. Then it restores
@@ -25,27 +25,27 @@
 func (n *Node) awaitList(ctx context.Context) {
 	since, began := n.loop.Clock(), time.Now()
 	defer func() {
-		for n.place.Follows() && time.Since(began) < learnedWithin {
-			if l, ok := n.place.ReadLearned(since-learnedAgo, n.loop.Clock()); ok {
-				n.relearn(l)
+		for n.place.Follows() && time.Since(began) < learnedTimeout {
+			if l, ok := n.place.ReadLearned(since-learnedMaxLead, n.loop.Clock()); ok {
+				n.restoreLearned(l)
 				return
 			}
 			pause(ctx, living.LookEvery)
 		}
 	}()
-	ctx, cancel := context.WithTimeout(ctx, listWithin)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	for ctx.Err() == nil && !(n.heard.Load() && n.loop.Ready()) {
+	for ctx.Err() == nil && !(n.hasList.Load() && n.loop.Ready()) {
 		pause(ctx, living.LookEvery)
 	}
 }
 
-// learnedAgo is how long before this process's first look the predecessor may have written its state. The
+// learnedMaxLead is how long before this process's first look the predecessor may have written its state. The
 // predecessor can see the lock earlier.
-const learnedAgo = 200 * time.Millisecond
+const learnedMaxLead = 200 * time.Millisecond
 
-// relearn restores the predecessor's learned state into the Balancer.
-func (n *Node) relearn(l handover.Learned) {
+// restoreLearned restores the predecessor's learned state into the Balancer.
+func (n *Node) restoreLearned(l handover.Learned) {
 	done := make(chan struct{})
 	if !n.loop.PostFirst(func() {
 		defer close(done)
@@ -65,9 +65,9 @@
 	n.log.Info("restored the learned state of the previous process", "age", n.loop.Clock()-l.At)
 }
 
-// leaveLearned writes the learned state of this process to the shared folder. Only a process with a successor
+// saveLearned writes the learned state of this process to the shared folder. Only a process with a successor
 // calls it.
-func (n *Node) leaveLearned() {
+func (n *Node) saveLearned() {
 	n.loop.PostFirst(func() {
 		l := handover.Learned{At: n.loop.Clock(), Classes: n.front.tuning.Load().Classes, Balance: n.loop.Balancer.Learned()}
 		go func() {
@@ -78,21 +78,21 @@
 	})
 }
 
-// beside limits this process to half of the machine's resources while another process of the node runs, and to
-// half of the load that the node may send to cold backends. Idle connections are closed to make room,
+// shareMachine limits this process to half of the machine's resources while another process of the node runs,
+// and to half of the load that the node may send to cold backends. Idle connections are closed to make room,
 // connections in use are not.
-func (n *Node) beside(shared bool) {
+func (n *Node) shareMachine(shared bool) {
 	limits, nodes := n.cfg.Limits, max(n.cfg.Settings.Config.Instances, 1)
 	if shared {
-		limits, nodes = limits.beside(), 2*nodes
+		limits, nodes = limits.halved(), 2*nodes
 	}
 	if shared && n.place.Followed() {
-		n.leaveLearned()
+		n.saveLearned()
 	}
 	n.log.Info("share of the machine", "another process of this node runs", shared)
 	maxClients, maxBackends := limits.share()
 	n.listener.Resize(maxClients)
-	n.front.resize(maxClients, maxBackends)
+	n.front.setLimits(maxClients, maxBackends)
 	n.pool.resize(maxBackends)
 	if heap := limits.Heap(); heap > 0 {
 		debug.SetMemoryLimit(heap)
