--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -26,75 +26,77 @@
 )
 
 const (
-	// bodyMost bounds the body of a message, headMost its head.
+	// bodyMost and headMost bound the body and the head of a message, in bytes.
 	bodyMost, headMost = 64 << 10, 16 << 10
-	// answerMost bounds an answer as it comes: small chunks take several times their body.
+	// answerMost bounds the bytes read for one answer. A body in small chunks takes several times its own size
+	// on the wire.
 	answerMost = headMost + 4*bodyMost
-	// holdFor is how long an answer of no stated length is held back so that its length can be told and its end be seen.
-	holdFor = 100 * time.Millisecond
-	// informMost is how many 1xx answers may come ahead of the one that counts.
-	informMost = 8
-	// probeWithin is how long a probe may take: an answer that comes later tells of the past.
-	probeWithin = 150 * time.Millisecond
-	// reportHeader carries a load report, neverRanHeader tells that a request never ran.
+	// unknownLengthGrace is how long an answer of unknown length is held back. If it ends in this time, the
+	// client gets its length, and a broken end is seen before any of it is sent.
+	unknownLengthGrace = 100 * time.Millisecond
+	// maxInformational is how many 1xx answers may precede the final one.
+	maxInformational = 8
+	// probeTimeout is the timeout of a probe. A later answer would describe an outdated state.
+	probeTimeout = 150 * time.Millisecond
+	// reportHeader carries a load report. neverRanHeader marks a request that the backend did not run.
 	reportHeader, neverRanHeader = "Endpoint-Load-Metrics", "X-Never-Ran"
 )
 
 var errTooLongAnswer = errors.New("answer too long")
 
-// exchanges sends attempts and probes to backends. Each runs in a goroutine of its own on one connection.
+// exchanges sends attempts and probes to backends. Each runs in its own goroutine on one connection.
 //
-// The connections are not net/http's own. Its Transport sends a request again when a reused connection breaks,
-// and its ClientConn, which does not, reports a request as written (httptrace.WroteRequest) while it still
-// stands in a buffer: neither tells whether the last byte has left, which decides if an attempt may have run.
-// Here a request goes out whole in one Write. net/http still words it and reads the answer.
+// It doesn't use the connections of net/http. http.Transport sends a request again when a reused connection
+// breaks. ClientConn doesn't, but it reports a request as written (httptrace.WroteRequest) while the request is
+// still in a buffer. Neither reports whether the last byte has left, which decides whether an attempt may have
+// run. Here each request goes out in one Write. net/http is used to parse the answer.
 type exchanges struct {
-	pool     *pool
-	inline   bool // answers carry load reports
-	complain *lograte.Limited
-	jobs     chan func() // taken by goroutines that wait for more: each new one grows its stack anew
+	pool       *pool
+	inline     bool // answers carry load reports in a header
+	limitedLog *lograte.Limited
+	jobs       chan func() // jobs for idle workers; a new goroutine would have to grow its stack again
 }
 
 func newExchanges(p *pool, inline bool, log *slog.Logger) *exchanges {
-	return &exchanges{pool: p, inline: inline, complain: &lograte.Limited{Log: log}, jobs: make(chan func())}
+	return &exchanges{pool: p, inline: inline, limitedLog: &lograte.Limited{Log: log}, jobs: make(chan func())}
 }
 
-// message is what a client asked for, as it goes on to backends.
+// message is a client's request in the form in which it goes to backends.
 type message struct {
-	method string
-	uri    string // of the request line, where it is a path: net/url may word that otherwise
-	url    *url.URL
-	host   string
-	header http.Header
-	body   []byte   // at most bodyMost of it
-	more   [][]byte // and what follows, where it is longer and held
-	up     *upload  // and what is still to come, where it is not
-	probe  bool
-	tuning *tuning       // that it was read under
-	count  *classFigures // nil: nobody counts
-
-	left0  time.Duration // the request's time, from its last byte on
-	held   int64         // bytes that the budget counts
-	budget *budget
-
-	client *clients.Conn // whose it is; nil: nobody's, or it can't be looked at
-	gone   atomic.Bool   // it has left
-	went   func()        // takes that in, once
-	lost   chan struct{} // closed by that
-
-	mu      sync.Mutex
-	left    bool         // the client's goroutine is gone
-	streams chan *stream // takes an answer that is still coming; it has room for one
+	method   string
+	uri      string // request target as received, if it is a path; net/url may encode it differently
+	url      *url.URL
+	host     string
+	header   http.Header
+	body     []byte   // first part of the body, at most bodyMost bytes
+	more     [][]byte // further pieces of a longer body that is held
+	up       *upload  // rest of a longer body that is not held
+	probe    bool
+	settings *activeSettings // settings under which the request was read
+	counters *classCounters  // nil if the message isn't counted
+
+	left0         time.Duration // time budget of the request from its last byte on
+	reservedBytes int64         // bytes reserved in budget
+	budget        *budget
+
+	client           *clients.Conn // connection of the client; nil if there is none or it can't be checked
+	clientHasGone    atomic.Bool   // the client has left
+	markClientGone   func()        // records that the client has left; runs once
+	clientGoneSignal chan struct{} // closed by markClientGone
+
+	mu          sync.Mutex
+	handlerDone bool         // the client's goroutine has ended
+	streams     chan *stream // receives an answer that is still arriving; capacity 1
 }
 
-// reply is the answer of a backend that served.
+// reply is the answer of a backend that served the request.
 type reply struct {
 	body        []byte
 	contentType string
-	neverRan    bool // in place of an answer: an upload broke before its last byte
+	neverRan    bool // no answer: an upload broke before its last byte
 }
 
-// replyOf is the answer in a result; an empty one where there is none.
+// replyOf returns the reply in a result, or an empty one if there is none.
 func replyOf(body any) *reply {
 	if r, ok := body.(*reply); ok {
 		return r
@@ -102,87 +104,89 @@
 	return &reply{}
 }
 
-// call is an exchange under way.
+// call is an exchange in progress.
 type call struct {
-	cancel context.CancelFunc
-	own    *engine.Attempt // nil for a probe
-	up     *upload         // what is still to come of the body, if it is this call's
-	state  atomic.Int32
+	cancel  context.CancelFunc
+	attempt *engine.Attempt // nil for a probe
+	upload  *upload         // rest of the body, if this call sends it
+	state   atomic.Int32
 }
 
-// States of a call: its first byte has not been written, or it may have been, or it never will be.
+// States of a call: no byte is written yet, a byte may be written, or no byte will ever be written.
 const (
 	callQueued int32 = iota
 	callWriting
 	callBarred
 )
 
-// bar keeps a call that has not begun to write from ever doing so: a send counts for a drain from its first
-// byte, and a dial may outlast the grace. It tells whether it came in time.
+// bar prevents a call that has not begun to write from writing at all. For a drain a request counts as sent
+// from its first byte on, and a dial may take longer than the drain grace. bar reports whether it came before
+// the first byte.
 func (c *call) bar() bool { return c.state.CompareAndSwap(callQueued, callBarred) }
 
-// Send, Bar, GiveUp, Probe and Drop make exchanges the engine's transport.
+// Send starts an attempt. Send, Bar, GiveUp, Probe and Drop implement the engine's transport.
 func (x *exchanges) Send(a *engine.Attempt) {
 	a.State = x.begin(a, a.To, a.Request.Message.(*message), a.Deadline, a.Done)
 }
 
-// Bar is call.bar. What is barred reads nothing of the client's body: the next attempt, which follows at once, has it.
+// Bar is call.bar. A barred attempt reads nothing of the client's body, so the next attempt, which follows at
+// once, gets the body.
 func (x *exchanges) Bar(a *engine.Attempt) bool {
 	c := a.State.(*call)
 	barred := c.bar()
 	if barred {
-		c.up.giveBack(c)
+		c.upload.unclaim(c)
 	}
 	return barred
 }
 
-// GiveUp closes the attempt's connection.
+// GiveUp ends an attempt and closes its connection.
 func (x *exchanges) GiveUp(a *engine.Attempt) { a.State.(*call).cancel() }
 
-// Drop ends the idle connections to an endpoint.
+// Drop closes the idle connections to an endpoint.
 func (x *exchanges) Drop(to engine.Endpoint) { x.pool.drop(to) }
 
-// attempt sends a message to an endpoint and calls done, from another goroutine, with how it ended. What is not
-// over by the deadline is ended then, and its connection with it.
+// attempt sends a message to an endpoint. It calls done from another goroutine with the result. An attempt that
+// is not over by the deadline ends then, and its connection is closed.
 func (x *exchanges) attempt(to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
 	return x.begin(nil, to, m, deadline, done)
 }
 
-// begin is attempt for one that the engine may hand over as a stream.
+// begin is like attempt. If own is not nil, the engine can have its answer delivered as a stream.
 func (x *exchanges) begin(own *engine.Attempt, to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	if m.up != nil {
-		// Its time begins with the last byte of the body.
+		// The time budget starts with the last byte of the body.
 		cancel()
 		ctx, cancel = context.WithCancel(context.Background())
 	}
-	c := &call{cancel: cancel, own: own, up: m.up}
-	m.up.take(c)
-	x.work(func() {
+	c := &call{cancel: cancel, attempt: own, upload: m.up}
+	m.up.claim(c)
+	x.runJob(func() {
 		defer cancel()
-		if r, handed := x.exchange(ctx, c, to, m, deadline); !handed {
+		if r, handed := x.roundTrip(ctx, c, to, m, deadline); !handed {
 			done(r)
 		}
 	})
 	return c
 }
 
-// workerKeep is how long a goroutine waits for another job.
-const workerKeep = time.Second
+// workerIdleTimeout is how long an idle worker waits for another job.
+const workerIdleTimeout = time.Second
 
-// work runs a job in a goroutine of its own, at once: one that waits, or a new one.
-func (x *exchanges) work(job func()) {
+// runJob runs a job at once, in an idle worker or in a new goroutine.
+func (x *exchanges) runJob(job func()) {
 	select {
 	case x.jobs <- job:
 		return
 	default:
 	}
 	go func() {
-		keep := time.NewTimer(workerKeep)
+		keep := time.NewTimer(workerIdleTimeout)
 		defer keep.Stop()
 		for {
 			job()
-			keep.Reset(workerKeep)
+			keep.Reset(workerIdleTimeout)
 			select {
 			case job = <-x.jobs:
 			case <-keep.C:
@@ -192,78 +196,78 @@
 	}()
 }
 
-// exchange carries out one attempt on one connection, once. It reports true where it handed the answer on as a stream, and
-// told the engine.
-func (x *exchanges) exchange(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (engine.Result, bool) {
+// roundTrip carries out one attempt once, on one connection. It reports true if it handed the answer on as a
+// stream and informed the engine.
+func (x *exchanges) roundTrip(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (engine.Result, bool) {
 	ended := func(st balance.Status) (engine.Result, bool) { return engine.Result{Status: st}, false }
 	if m.up != nil && m.up.owner.Load() != c {
-		return ended(balance.Unused) // a part of the body has gone elsewhere, or another has it
+		return ended(balance.Unused) // another attempt has the body, or has sent a part of it
 	}
-	cn, text, stop, err := x.ready(ctx, c, to, m, deadline)
+	cn, text, stop, err := x.readyConn(ctx, c, to, m, deadline)
 	if err != nil {
-		m.up.giveBack(c)
+		m.up.unclaim(c)
 	}
 	switch {
-	case errors.Is(err, errNoRoom):
-		return ended(balance.Unused) // says nothing of the backend
+	case errors.Is(err, errNoCapacity):
+		return ended(balance.Unused) // the cause is not the backend
 	case err != nil:
 		return engine.Result{Status: balance.DialFailed, Refused: errors.Is(err, syscall.ECONNREFUSED)}, false
 	}
 	defer stop()
-	if ctx.Err() != nil || c.own != nil && c.own.TooLate() || m.clientGone() || !c.state.CompareAndSwap(callQueued, callWriting) {
-		m.up.giveBack(c)
+	if ctx.Err() != nil || c.attempt != nil && c.attempt.TooLate() || m.checkClientGone() || !c.state.CompareAndSwap(callQueued, callWriting) {
+		m.up.unclaim(c)
 		x.pool.discard(cn)
 		return ended(balance.Unused)
 	}
 	if n, all, err := m.send(cn, text); err != nil {
-		m.up.giveBack(c)
+		m.up.unclaim(c)
 		x.pool.discard(cn)
 		if n < all || m.up != nil {
-			return ended(balance.DialFailed) // the last byte never left
+			return ended(balance.DialFailed) // the last byte was not sent
 		}
-		return ended(x.broken(ctx, err))
+		return ended(x.brokenStatus(ctx, err))
 	}
 	if m.up != nil {
-		// From here on this attempt is the last one.
-		c.own.Started()
-		if err := m.up.pass(cn, m.up.length-m.size(), c.own.WriteBy); err != nil {
+		// This attempt is the last one, because it reads the rest of the body.
+		c.attempt.Started()
+		if err := m.up.pass(cn, m.up.length-m.size(), c.attempt.WriteBy); err != nil {
 			x.pool.discard(cn)
 			r := engine.Result{Status: balance.DialFailed, Body: &reply{neverRan: true}}
 			if errors.Is(err, errClient) {
-				r.Status = balance.Unused // says nothing of the backend
+				r.Status = balance.Unused // the cause is not the backend
 			}
 			return r, false
 		}
 		cn.SetDeadline(time.Now().Add(m.left0))
 	}
-	if m.count != nil {
-		m.count.attempts.Add(1)
+	if m.counters != nil {
+		m.counters.attempts.Add(1)
 	}
-	resp, body, err := cn.answer(m.method, c.own != nil)
+	resp, body, err := cn.readAnswer(m.method, c.attempt != nil)
 	if err != nil {
 		x.pool.discard(cn)
-		st := x.broken(ctx, err)
+		st := x.brokenStatus(ctx, err)
 		if st == balance.Dropped {
-			x.pool.wear.note(cn.age, true)
+			x.pool.breakRates.note(cn.idleAge, true)
 		}
 		return ended(st)
 	}
-	x.pool.wear.note(cn.age, false)
+	x.pool.breakRates.note(cn.idleAge, false)
 	r := engine.Result{Status: outcome(resp)}
 	if text := resp.Header.Get(reportHeader); text != "" && x.inline {
-		r.Load = x.report(text)
+		r.Load = x.parseReport(text)
 	}
 	whole := reply{body: body, contentType: resp.Header.Get("Content-Type")}
-	if resp.Body != http.NoBody { // more is to come
+	if resp.Body != http.NoBody { // the body has not ended yet
 		if r.Status == balance.Delivered {
-			return x.handOn(ctx, c.own, stop, m, &stream{reply: whole, length: resp.ContentLength, rest: resp.Body, cn: cn,
-				keep: !resp.Close, pool: x.pool}, r.Load)
+			return x.startStream(ctx, c.attempt, stop, m, &stream{reply: whole, length: resp.ContentLength, rest: resp.Body, cn: cn,
+				isReusable: !resp.Close, pool: x.pool}, r.Load)
 		}
 		x.pool.discard(cn)
 	} else if resp.Close || cn.read.Buffered() > 0 || !stop() {
 		x.pool.discard(cn)
 	} else {
-		x.pool.put(cn) // the next one sets its own deadline
+		x.pool.put(cn) // the next request sets its own deadline
 	}
 	if r.Status == balance.Delivered {
 		r.Body = &whole
@@ -271,34 +275,38 @@
 	return r, false
 }
 
-// ready returns a connection and the words to write on it. Nothing is left to do before the write, so the look at the connection
-// is the last thing: what was readable before the request is no answer to it, and one that has ended would swallow it.
-func (x *exchanges) ready(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (*conn, []byte, func() bool, error) {
+// readyConn returns a connection and the bytes to write on it. The check of the connection is the last step
+// before the write. Bytes that were readable before the request are no answer to it, and a connection that has
+// ended would lose the request.
+func (x *exchanges) readyConn(
+	ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time,
+) (*conn, []byte, func() bool, error) {
 	for {
 		cn, err := x.pool.get(ctx, to, m.probe)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		text := m.wire(to.Addr, time.Until(deadline))
+		text := m.encode(to.Addr, time.Until(deadline))
 		cn.SetDeadline(deadline)
-		if c.own != nil && !c.own.WriteBy.IsZero() && c.own.WriteBy.Before(deadline) {
-			cn.SetWriteDeadline(c.own.WriteBy) // it is sent with its last byte
+		if c.attempt != nil && !c.attempt.WriteBy.IsZero() && c.attempt.WriteBy.Before(deadline) {
+			cn.SetWriteDeadline(c.attempt.WriteBy) // the request counts as sent with its last byte
 		}
-		// Given up means closed, at once: nothing that comes later can reach anyone.
+		// A call that is given up closes its connection at once. Nothing that arrives later has a receiver.
 		stop := context.AfterFunc(ctx, func() { sock.Abort(cn.Conn) })
-		if cn.usable() || ctx.Err() != nil { // the latter closes it
+		if cn.usable() || ctx.Err() != nil { // if ctx has ended, the connection is closed already
 			return cn, text, stop, nil
 		}
 		stop()
 		x.pool.discard(cn)
 		if !cn.kept {
-			return nil, nil, nil, errSpoke
+			return nil, nil, nil, errNewConnNotQuiet
 		}
 	}
 }
 
-// broken tells how an attempt ended that was written whole and got no whole answer. It may have run.
-func (x *exchanges) broken(ctx context.Context, err error) balance.Status {
+// brokenStatus returns the status of an attempt that was written whole and got no whole answer. The backend may
+// have run it.
+func (x *exchanges) brokenStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balance.Expired
@@ -308,7 +316,7 @@
 	return balance.Dropped
 }
 
-// outcome reads a whole answer's status.
+// outcome returns the status of a whole answer.
 func outcome(resp *http.Response) balance.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -321,7 +329,7 @@
 	return balance.AppError
 }
 
-// target is what the request line asks for: path and query as they came.
+// target returns the request target, with path and query as received.
 func (m *message) target() string {
 	if strings.HasPrefix(m.uri, "/") {
 		return m.uri
@@ -329,9 +337,9 @@
 	return m.url.RequestURI()
 }
 
-// wire words the message for a backend, in one piece. http.Request.Write does the same for a tenth of the node's
-// CPU. Names and values have been read and checked by net/http: no line of theirs can end another.
-func (m *message) wire(addr string, left time.Duration) []byte {
+// encode encodes the message for a backend in one piece. http.Request.Write does the same but takes a tenth of
+// the node's CPU. net/http has parsed and checked names and values, so none of them can end a line.
+func (m *message) encode(addr string, left time.Duration) []byte {
 	host := cmp.Or(m.host, addr)
 	b := make([]byte, 0, len(m.body)+1<<10)
 	b = append(b, m.method+" "+m.target()+" HTTP/1.1\r\nHost: "+host+"\r\n"...)
@@ -360,13 +368,14 @@
 	return append(b, m.body...)
 }
 
-// answer reads one answer: whole, or, where long ones are wanted, its first bytes: of one that says that it is longer than
-// bodyMost, and of one that says nothing and is longer, or has not ended holdFor after its head. Of a whole one Body is
-// http.NoBody. One that ends with its connection is whole by that (RFC 9112, section 6.3).
-func (c *conn) answer(method string, long bool) (*http.Response, []byte, error) {
+// readAnswer reads one answer. It returns the whole answer and sets Body to http.NoBody. If long is set, it
+// returns only the first bytes of an answer whose stated length is over bodyMost, and of an answer without a
+// stated length that is over bodyMost or has not ended unknownLengthGrace after its head. An answer without a
+// length is whole when its connection ends (RFC 9112, section 6.3).
+func (c *conn) readAnswer(method string, long bool) (*http.Response, []byte, error) {
 	c.limit.N = answerMost
 	req := &http.Request{Method: method}
-	for range informMost {
+	for range maxInformational {
 		resp, err := http.ReadResponse(c.read, req)
 		if err != nil {
 			return nil, nil, err
@@ -375,7 +384,7 @@
 			continue
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, nil, errors.New("an answer that switches protocols") // nobody asked for it
+			return nil, nil, errors.New("unexpected answer: 101 Switching Protocols") // requests never ask for an upgrade
 		}
 		if resp.ContentLength > bodyMost && !long {
 			return nil, nil, errTooLongAnswer
@@ -397,14 +406,15 @@
 			var n int
 			n, err = resp.Body.Read(body[len(body):cap(body)])
 			body = body[:len(body)+n]
-			if long && (resp.ContentLength > bodyMost || !began.IsZero() && time.Since(began) > holdFor) {
+			if long && (resp.ContentLength > bodyMost || !began.IsZero() && time.Since(began) > unknownLengthGrace) {
 				break
 			}
 		}
 		switch {
 		case err != nil && !errors.Is(err, io.EOF):
 			return nil, nil, err
-		case err == nil && !long, resp.ContentLength < 0 && c.limit.N <= 0: // the bound looks like the connection's end
+		case err == nil && !long, resp.ContentLength < 0 && c.limit.N <= 0:
+			// Reaching the read limit looks like the end of the connection.
 			return nil, nil, errTooLongAnswer
 		case err == nil:
 			c.limit.N = math.MaxInt64
@@ -416,25 +426,25 @@
 	return nil, nil, errors.New("too many 1xx answers")
 }
 
-// Probe asks an endpoint for its load report.
+// Probe requests the load report of an endpoint.
 func (x *exchanges) Probe(to engine.Endpoint, done func(engine.Result)) {
 	x.attempt(to, &message{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.Addr, header: http.Header{}, probe: true},
-		time.Now().Add(probeWithin), func(r engine.Result) {
+		time.Now().Add(probeTimeout), func(r engine.Result) {
 			if r.Status == balance.Delivered && r.Load.Has == 0 {
-				r.Load = x.report(string(replyOf(r.Body).body))
+				r.Load = x.parseReport(string(replyOf(r.Body).body))
 			}
 			if r.Status == balance.AppError {
-				r.Status = balance.Shed // a probe that is turned away
+				r.Status = balance.Shed // the backend rejected the probe
 			}
 			done(r)
 		})
 }
 
-// report reads a load report and complains, at a bounded rate, of one that can't be read.
-func (x *exchanges) report(text string) balance.Load {
+// parseReport parses a load report. It logs a malformed one at a bounded rate.
+func (x *exchanges) parseReport(text string) balance.Load {
 	l, err := settings.ParseReport(text)
 	if err != nil {
-		x.complain.Warn("malformed load report", "error", err)
+		x.limitedLog.Warn("malformed load report", "error", err)
 	}
 	return l
 }
--- /dev/null
+++ b/internal/node/bodies.go
@@ -0,0 +1,423 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httputil"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"glencart/balance"
+	"glencart/internal/engine"
+)
+
+// This file handles bodies and answers of over bodyMost bytes. They are held in pieces while there is room, and
+// passed on as they arrive otherwise.
+
+const (
+	// maxUploadBytes bounds the body of a request in bytes, and so how long one client may keep sending.
+	maxUploadBytes = 40 << 20
+	// copyBufferBytes is the buffer size of a stream.
+	copyBufferBytes = 32 << 10
+	// silentMost is how long a client may send no byte of its body. backendSilenceTimeout is how long a backend
+	// may send no byte of its answer or read no byte of a request. readerSilent is how long a client may read
+	// no byte of its answer.
+	silentMost, backendSilenceTimeout, readerSilent = stalledRequestTimeout, 10 * time.Second, 20 * time.Second
+	// minUploadRate is the minimum rate of a body in bytes per second, after an initial silentMost. Without it a
+	// client that sends a byte now and then would hold its place. Clients at 64 kB per second must be served.
+	minUploadRate = 16 << 10
+)
+
+var (
+	errTooLong        = errors.New("body too long")
+	errIncompleteBody = errors.New("body cut short")
+	errClient         = errors.New("client connection failed")
+)
+
+// budget bounds the bytes of all bodies that are held beyond their first bodyMost bytes.
+type budget struct{ left atomic.Int64 }
+
+// take reserves n bytes. It reports whether so many are left.
+func (b *budget) take(n int64) bool {
+	if b.left.Add(-n) >= 0 {
+		return true
+	}
+	b.left.Add(n)
+	return false
+}
+
+// patient reads a client's body. Its timeout is on silence and on a low rate, because a slow client has not
+// left.
+type patient struct {
+	body      io.Reader
+	rc        *http.ResponseController
+	beganAt   time.Time
+	bytesRead int64
+}
+
+func (p *patient) Read(b []byte) (int, error) {
+	now := time.Now()
+	pace := p.beganAt.Add(silentMost + time.Duration(p.bytesRead)*time.Second/minUploadRate)
+	if silent := now.Add(silentMost); silent.Before(pace) {
+		pace = silent
+	}
+	p.rc.SetReadDeadline(pace)
+	n, err := p.body.Read(b)
+	p.bytesRead += int64(n)
+	if errors.Is(err, io.EOF) {
+		p.rc.SetReadDeadline(time.Time{}) // a deadline that passes later would look as if the client had left
+	}
+	return n, err
+}
+
+// readBody reads the body of a request. It reads the whole body if it is short or there is room to hold it.
+// Otherwise it reads the first part and leaves the rest in m.up.
+func (f *front) readBody(w http.ResponseWriter, hr *http.Request, m *message) error {
+	if hr.ContentLength == 0 {
+		return nil
+	}
+	maxBytes := f.bodyMost.Load()
+	if hr.ContentLength > maxBytes {
+		return errTooLong
+	}
+	rc := http.NewResponseController(w)
+	from := &patient{body: hr.Body, rc: rc, beganAt: time.Now()}
+	size := int64(bodyMost)
+	if hr.ContentLength > 0 {
+		size = min(size, hr.ContentLength)
+	}
+	whole, err := m.readPiece(from, size)
+	if err != nil {
+		return errIncompleteBody
+	}
+	if hr.ContentLength > 0 && hr.ContentLength <= bodyMost {
+		whole = true
+	}
+	total := size
+	fits := !whole && f.held.take(max(hr.ContentLength-total, 0)) // without room for the whole body, holding a part is of no use
+	if fits {
+		m.reservedBytes, m.budget = max(hr.ContentLength-total, 0), &f.held
+	}
+	for !whole && fits {
+		piece := int64(bodyMost)
+		if hr.ContentLength > 0 {
+			piece = min(piece, hr.ContentLength-total)
+		} else if fits = f.held.take(piece); !fits {
+			break
+		} else {
+			m.reservedBytes += piece
+		}
+		if whole, err = m.readPiece(from, piece); err != nil {
+			return errIncompleteBody
+		}
+		total += piece
+		whole = whole || total == hr.ContentLength
+		if total > maxBytes {
+			return errTooLong
+		}
+	}
+	if !whole {
+		m.up = &upload{from: from, length: hr.ContentLength, rc: rc, within: maxBytes - total}
+	}
+	return nil
+}
+
+// readPiece reads size bytes or up to the end of the body. It reports whether it reached the end.
+func (m *message) readPiece(from io.Reader, size int64) (end bool, err error) {
+	var piece []byte
+	if m.body == nil && size == bodyMost {
+		piece = make([]byte, 0, 4<<10) // most bodies of unknown length are short
+	} else {
+		piece = make([]byte, 0, size)
+	}
+	for int64(len(piece)) < size && err == nil {
+		if len(piece) == cap(piece) {
+			grown := make([]byte, len(piece), min(int64(4*cap(piece)), size))
+			copy(grown, piece)
+			piece = grown
+		}
+		var n int
+		n, err = from.Read(piece[len(piece):cap(piece)])
+		piece = piece[:len(piece)+n]
+	}
+	if m.body == nil {
+		m.body = piece
+	} else if len(piece) > 0 {
+		m.more = append(m.more, piece)
+	}
+	if errors.Is(err, io.EOF) {
+		return true, nil
+	}
+	return false, err
+}
+
+// release returns the message's bytes to the budget.
+func (m *message) release() {
+	if m.budget != nil {
+		m.budget.left.Add(m.reservedBytes)
+		m.budget = nil
+	}
+}
+
+// size returns the length of the held part of the body.
+func (m *message) size() int64 {
+	n := int64(len(m.body))
+	for _, piece := range m.more {
+		n += int64(len(piece))
+	}
+	return n
+}
+
+// upload is the rest of a body that is passed on as it arrives. Only one attempt may send it, once.
+type upload struct {
+	from   *patient
+	rc     *http.ResponseController
+	length int64 // of the whole body; -1 if unknown
+	within int64 // how many more bytes may arrive
+
+	owner      atomic.Pointer[call] // attempt that may read the body; set on the engine's loop, cleared by the attempt or its Bar
+	hasBegun   atomic.Bool          // a part has been read
+	clientGone atomic.Bool          // the client has left, or was silent for too long
+
+	mu      sync.Mutex // held during a read
+	stopped atomic.Bool
+	ended   bool
+}
+
+// errStopped reports that the client already has its answer.
+var errStopped = errors.New("request already answered")
+
+// read reads the next piece for the attempt that owns the upload.
+func (u *upload) read(b []byte) (int, error) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.stopped.Load() {
+		return 0, errStopped
+	}
+	u.hasBegun.Store(true)
+	n, err := u.from.Read(b)
+	if u.within -= int64(n); u.within < 0 {
+		return 0, errTooLong
+	}
+	u.ended = u.ended || err == io.EOF
+	return n, err
+}
+
+// claim makes an attempt the owner if the upload has no owner and nothing of it has been read.
+func (u *upload) claim(c *call) {
+	if u != nil && !u.hasBegun.Load() {
+		u.owner.CompareAndSwap(nil, c)
+	}
+}
+
+// unclaim lets another attempt own the upload, if c owns it and nothing of it has been read. A nil upload is
+// allowed.
+func (u *upload) unclaim(c *call) {
+	if u != nil && !u.hasBegun.Load() {
+		u.owner.CompareAndSwap(c, nil)
+	}
+}
+
+// stop ends the reading for the attempt. It discards the rest of the body, so that a client that writes
+// everything before it reads still gets its answer.
+func (u *upload) stop() {
+	u.stopped.Store(true)
+	if !u.mu.TryLock() {
+		u.rc.SetReadDeadline(time.Now()) // interrupts a read in progress
+		u.mu.Lock()
+	}
+	defer u.mu.Unlock()
+	if !u.ended && u.within > 0 && !u.clientGone.Load() { // if the client has left, a flush would send an empty 200
+		u.rc.Flush()
+		io.CopyN(io.Discard, u.from, u.within)
+	}
+	u.rc.SetReadDeadline(time.Time{})
+}
+
+// pass writes the rest of an upload to a backend as it arrives. left counts its bytes if the length is known.
+// pass wraps an error on the client's side in errClient. An error means that the last byte has not been
+// written. If by is not zero, pass doesn't write the last byte after by.
+func (u *upload) pass(cn *conn, left int64, by time.Time) error {
+	chunked := u.length < 0
+	var to io.WriteCloser = plainWriter{cn}
+	if chunked {
+		to = httputil.NewChunkedWriter(cn)
+	}
+	buf := make([]byte, copyBufferBytes)
+	for {
+		n, err := u.read(buf)
+		if n > 0 {
+			end := time.Now().Add(backendSilenceTimeout)
+			if !by.IsZero() && by.Before(end) {
+				end = by
+			}
+			cn.SetWriteDeadline(end)
+			if !chunked && left == int64(n) && !cn.usable() {
+				return errEarly
+			}
+			if _, err := to.Write(buf[:n]); err != nil {
+				return err
+			}
+			if left -= int64(n); !chunked && left == 0 {
+				return nil // the backend has the whole body; an error of the client no longer matters
+			}
+		}
+		switch {
+		case errors.Is(err, io.EOF) && chunked:
+			if !cn.usable() {
+				return errEarly
+			}
+			if err := to.Close(); err != nil {
+				return err
+			}
+			_, err := io.WriteString(cn, "\r\n") // no trailers
+			return err
+		case errors.Is(err, io.EOF):
+			return nil
+		case err != nil:
+			return errors.Join(errClient, err)
+		}
+	}
+}
+
+type plainWriter struct{ io.Writer }
+
+func (plainWriter) Close() error { return nil }
+
+// stream is an answer of which the backend is still sending the rest.
+type stream struct {
+	reply
+	length     int64 // of the whole answer; -1 if unknown
+	rest       io.ReadCloser
+	cn         *conn
+	isReusable bool // the connection can be reused afterwards
+	pool       *pool
+}
+
+// end returns the connection to the pool, or closes it.
+func (s *stream) end(whole bool) {
+	if whole && s.isReusable && s.cn.read.Buffered() == 0 {
+		s.pool.put(s.cn)
+		return
+	}
+	s.pool.discard(s.cn)
+}
+
+// deliver passes a stream to the client's goroutine. It reports whether that goroutine still runs.
+func (m *message) deliver(s *stream) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.handlerDone {
+		return false
+	}
+	m.streams <- s
+	return true
+}
+
+// closeStreams records that no stream will be received any more.
+func (m *message) closeStreams() {
+	m.mu.Lock()
+	m.handlerDone = true
+	m.mu.Unlock()
+	select {
+	case s := <-m.streams:
+		s.end(false)
+	default:
+	}
+}
+
+// startStream hands an answer that has begun to the client's goroutine as a stream, if the request may have it.
+// It returns the result of the attempt if it doesn't.
+func (x *exchanges) startStream(
+	ctx context.Context, own *engine.Attempt, stop func() bool, m *message, s *stream, load balance.Load,
+) (engine.Result, bool) {
+	if !stop() {
+		x.pool.discard(s.cn)
+		return engine.Result{Status: x.brokenStatus(ctx, context.Canceled)}, false
+	}
+	s.cn.SetDeadline(time.Time{})
+	if !own.Deliver(engine.Result{Status: balance.Delivered, Load: load}) || !m.deliver(s) {
+		x.pool.discard(s.cn)
+	}
+	return engine.Result{}, true
+}
+
+// writeStream writes a stream to its client as it arrives. If the stream breaks, the client's connection is
+// closed without the last chunk.
+func (f *front) writeStream(w http.ResponseWriter, s *stream, count *classCounters) {
+	whole := false
+	defer func() {
+		s.end(whole)
+		if whole {
+			count.served.Add(1)
+		} else {
+			count.failed.Add(1)
+		}
+	}()
+	if s.contentType != "" {
+		w.Header().Set("Content-Type", s.contentType)
+	} else {
+		w.Header()["Content-Type"] = nil
+	}
+	if s.length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(s.length, 10))
+	}
+	w.WriteHeader(http.StatusOK)
+	rc := http.NewResponseController(w)
+	rc.SetWriteDeadline(time.Now().Add(readerSilent))
+	if _, err := w.Write(s.body); err != nil || rc.Flush() != nil {
+		panic(http.ErrAbortHandler)
+	}
+	s.body = nil
+	buf := make([]byte, copyBufferBytes)
+	for {
+		s.cn.SetReadDeadline(time.Now().Add(backendSilenceTimeout))
+		n, err := s.rest.Read(buf)
+		if n > 0 {
+			rc.SetWriteDeadline(time.Now().Add(readerSilent))
+			if _, err := w.Write(buf[:n]); err != nil {
+				panic(http.ErrAbortHandler)
+			}
+			if rc.Flush() != nil {
+				panic(http.ErrAbortHandler)
+			}
+		}
+		if errors.Is(err, io.EOF) {
+			s.cn.SetDeadline(time.Time{})
+			whole = true
+			return
+		}
+		if err != nil {
+			panic(http.ErrAbortHandler)
+		}
+	}
+}
+
+// send writes a message and its held body to a backend. It returns how many of the held bytes are written, and
+// how many there are. Writing them may take long, so bytes that the backend sends before the last piece are no
+// answer.
+func (m *message) send(cn *conn, text []byte) (n, all int64, err error) {
+	if len(m.more) == 0 || m.up != nil && m.up.length < 0 { // the first chunk contains the whole held part
+		k, err := cn.Write(text)
+		return int64(k), int64(len(text)), err
+	}
+	pieces := append([][]byte{text}, m.more...)
+	for _, p := range pieces {
+		all += int64(len(p))
+	}
+	for i, p := range pieces {
+		if i == len(pieces)-1 && !cn.usable() {
+			return n, all, errEarly
+		}
+		k, err := cn.Write(p)
+		n += int64(k)
+		if err != nil {
+			return n, all, err
+		}
+	}
+	return n, all, nil
+}
--- a/internal/node/wording.go
+++ b/internal/node/compare.go
@@ -9,8 +9,8 @@
 	"glencart/internal/settings"
 )
 
-// What follows words and reads the protocol's messages for tests that compare fronts; the node itself calls what
-// stands behind it.
+// This file exports the parsing of protocol messages for tests that compare front ends. The node itself calls
+// the unexported functions.
 
 // Early is how much sooner than the client's deadline a request ends (see early).
 const Early = early
@@ -18,20 +18,20 @@
 // Decode reads a client's request as the node does.
 func Decode(names settings.Settings, hr *http.Request, received time.Time) (*engine.Request, error) {
 	f := &front{}
-	f.bodyMost.Store(uploadMost)
-	f.held.left.Store(boundsOf(Limits{}, 0).held)
-	f.tuning.Store(newTuning(names, &figures{}))
-	r, _, err := f.read(discard{}, hr, received)
+	f.bodyMost.Store(maxUploadBytes)
+	f.held.left.Store(boundsOf(Limits{}, 0).heldBytes)
+	f.tuning.Store(newActiveSettings(names, &counters{}))
+	r, _, err := f.readRequest(discard{}, hr, received)
 	return r, err
 }
 
-// Outcome reads a whole answer's status.
+// Outcome returns the status of a whole answer.
 func Outcome(resp *http.Response) balance.Status { return outcome(resp) }
 
-// Report reads a load report.
+// Report parses a load report.
 func Report(text string) (balance.Load, error) { return settings.ParseReport(text) }
 
-// discard is a response that nobody reads.
+// discard is a response writer that discards everything.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
