--- a/schema/book.go
+++ b/schema/book.go
@@ -1,4 +1,5 @@
-// The forms that a release knows, and the ways between them.
+// This file has the forms that a release knows, and the conversions between them.
+
 package schema
 
 import (
@@ -7,19 +8,19 @@
 	"slices"
 )
 
-// Errors of a Book, for errors.Is.
+// Errors of a Book, for use with errors.Is.
 var (
 	ErrNoForm   = errors.New("no such form")    // this release does not know the kind or the schema
-	ErrOneWay   = errors.New("no step down")    // the form before cannot hold such a record
-	ErrTooLarge = errors.New("over its bounds") // see MaxRecord and its neighbours
+	ErrOneWay   = errors.New("no step down")    // the previous form cannot represent the record
+	ErrTooLarge = errors.New("over its bounds") // see MaxRecord and the other limits
 )
 
-// Book has the forms of one release. Once they are registered it is only read: any number of goroutines may use it.
+// Book holds the forms of one release. It is read-only after registration, so any number of goroutines may use it.
 type Book struct {
-	forms map[Kind][]Form // without a gap, by Number
+	forms map[Kind][]Form // sorted by Number, without a gap
 }
 
-// Register takes up a form: the first of its kind, or the one after the last. An error is a mistake in the program.
+// Register adds a form: the first of its kind, or the one after the last. An error is a programming mistake.
 func (b *Book) Register(f Form) error {
 	where := fmt.Sprintf("schema: %s form %d (%s)", f.Kind, f.Number, f.Name)
 	have := b.forms[f.Kind]
@@ -30,14 +31,14 @@
 		return fmt.Errorf("%s: comes after %d: register forms in order, without a gap", where, have[n-1].Number)
 	}
 	if f.Up.Loss.Never {
-		return fmt.Errorf("%s: has no step up: nobody could ever be upgraded to it", where)
+		return fmt.Errorf("%s: has no step up: no record could be upgraded to it", where)
 	}
 	for i, d := range f.Fields {
 		if d.Num == 0 {
 			return fmt.Errorf("%s: field %q: Nums begin with 1", where, d.Name)
 		}
 		if d.Join != JoinOf(d.Num) {
-			return fmt.Errorf("%s: field %q: Num %d is joined by %s, not by %s: take a Num of its thousand", where, d.Name, d.Num, JoinOf(d.Num), d.Join)
+			return fmt.Errorf("%s: field %q: Num %d is joined by %s, not by %s: use a Num in the range of its join", where, d.Name, d.Num, JoinOf(d.Num), d.Join)
 		}
 		if i > 0 && f.Fields[i-1].Num >= d.Num {
 			return fmt.Errorf("%s: field %q: Num %d after %d: list fields by rising Num", where, d.Name, d.Num, f.Fields[i-1].Num)
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// Reads tells the lowest and the highest schema of a kind that this release reads; 0, 0: none.
+// Reads returns the lowest and the highest schema of a kind that this release reads, or 0, 0 if it reads none.
 func (b *Book) Reads(k Kind) (lo, hi uint16) {
 	f := b.forms[k]
 	if len(f) == 0 {
@@ -59,7 +60,7 @@
 	return f[0].Number, f[len(f)-1].Number
 }
 
-// Only is the book of a release that knows no more than lo..hi of a kind, and all that this one knows of others.
+// Only returns the book of a release that knows only the schemas lo to hi of a kind, and all schemas of other kinds.
 func (b *Book) Only(k Kind, lo, hi uint16) *Book {
 	out := &Book{forms: map[Kind][]Form{}}
 	for kind, forms := range b.forms {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// Form finds a form.
+// Form returns the form of a kind with this number.
 func (b *Book) Form(k Kind, schema uint16) (Form, bool) {
 	f := b.form(k, schema)
 	if f == nil {
@@ -86,7 +87,7 @@
 	return &forms[schema-forms[0].Number]
 }
 
-// known is nil when this release reads the schema.
+// known returns nil if this release reads the schema.
 func (b *Book) known(k Kind, schema uint16) error {
 	if b.form(k, schema) != nil {
 		return nil
@@ -96,7 +97,7 @@
 		ErrNoForm, k, schema, lo, hi)
 }
 
-// Way is nil when there is a way from one schema of a kind to another; else the error says which step is not there and why.
+// Way returns nil if there is a path from one schema of a kind to another. Otherwise the error names the missing step and the reason.
 func (b *Book) Way(k Kind, from, to uint16) error {
 	if err := b.known(k, from); err != nil {
 		return err
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// To moves a record to another schema, step by step. The record that goes in is not changed. An error says which step is not there
-// (ErrOneWay), or that this release does not know one of the two schemas (ErrNoForm).
+// To converts a record to another schema, step by step. The given record is not changed. An error names a missing step (ErrOneWay), or
+// a schema that this release does not know (ErrNoForm).
 func (b *Book) To(r Record, schema uint16) (Record, error) {
 	if r.Schema == schema && b.form(r.Kind, schema) != nil {
 		return r, nil
@@ -139,7 +140,7 @@
 	return out, nil
 }
 
-// step takes one step; the record's Fields are its own.
+// step applies one step. The record owns its Fields.
 func (b *Book) step(r Record, s Step, to uint16) (Record, error) {
 	out := r
 	if s.Do != nil {
@@ -155,8 +156,8 @@
 	return out, nil
 }
 
-// Keep is what is kept when a record comes in: merged with the one that is held (nil: none is), at the schema that is written, or,
-// where a step down is not there, at the lowest that there is a way to.
+// Keep returns the record to store after one is received. It merges the stored record (nil: none) with the received one, and converts the
+// result to the written schema. Where a step down does not exist, the result stays at the lowest schema that it can reach.
 func (b *Book) Keep(held *Record, got Record, written uint16) (Record, error) {
 	r := got
 	if held != nil {
@@ -168,8 +169,8 @@
 	return b.Near(r, written)
 }
 
-// Near moves a record to a schema, or, where a step down is not there, to the lowest that there is a way to. A schema that this
-// release does not read is an error.
+// Near converts a record to a schema, or to the lowest one above it that the record can reach, where a step down does not exist. A schema
+// that this release does not read is an error.
 func (b *Book) Near(r Record, schema uint16) (Record, error) {
 	if err := b.known(r.Kind, schema); err != nil {
 		return r, err
@@ -180,8 +181,8 @@
 	return b.To(r, schema)
 }
 
-// Within is the record as it goes to one that reads no more than most, at schema `at` where there is a way to it; an error when
-// it cannot go at all. Levels.Link tells both.
+// Within returns the record for a receiver that reads at most the schema `most`. It converts to schema `at` where there is a path to it,
+// and returns an error if the record cannot be sent at all. Levels.Link returns both numbers.
 func (b *Book) Within(r Record, at, most uint16) (Record, error) {
 	out, err := b.Near(r, at)
 	if err == nil && out.Schema > most {
--- a/schema/example_test.go
+++ b/schema/example_test.go
@@ -6,8 +6,8 @@
 	"glencart/schema"
 )
 
-// Two releases keep what one tenant has used. The later one counts work beside requests; the earlier one, which does not know work,
-// merges it all the same.
+// Two releases count the usage of one tenant. The later one counts work in addition to requests. The earlier one does not know the work
+// field, but merges it all the same.
 func Example() {
 	later := &schema.Book{}
 	for _, f := range []schema.Form{
@@ -24,7 +24,7 @@
 	a := schema.Record{Kind: schema.Use, Schema: 2, Key: "tenant-7"}
 	a.Set(schema.Field{Num: 1000, Sub: "a", Int: 12})
 	a.Set(schema.Field{Num: 1001, Sub: "a", Int: 340})
-	sent, err := later.To(a, 1) // the other end reads no more
+	sent, err := later.To(a, 1) // the receiver reads no higher schema
 	fmt.Println(sent.Schema, err)
 
 	got, err := schema.ParseRecord(schema.AppendRecord(nil, sent))
--- a/schema/fleet_test.go
+++ b/schema/fleet_test.go
@@ -10,20 +10,20 @@
 )
 
 var (
-	campaign = flag.Int("upgrades", 500, "how many seeded rolling upgrades and rollbacks TestFleets plays")
-	oneSeed  = flag.Uint64("upgrade", 0, "play this seed alone, with its script")
+	campaign = flag.Int("upgrades", 500, "number of seeded rolling upgrades and rollbacks that TestFleets runs")
+	oneSeed  = flag.Uint64("upgrade", 0, "run only this seed and print its script")
 )
 
-// Rounds of a fleet. A word takes some rounds to reach all: each process sends to two others a round.
+// Durations in rounds of the simulated fleet. Each process sends to two others per round, so a state takes several rounds to reach all.
 const (
-	forgetAfter = 30 // rounds of silence after which a process is forgotten
-	settleAfter = 3  // after it has heard somebody
-	levelWithin = 25 // rounds after the last fault within which the same is written at all
+	forgetAfter = 30 // rounds without a message after which a process is forgotten
+	settleAfter = 3  // rounds after the first message from another process
+	levelWithin = 25 // rounds after the last fault within which all processes write the same level
 	sameWithin  = 120
 )
 
-// fleetBook has three forms of use and of sessions with the changes that hurt: a field that is renamed and scaled, one that has no
-// step down, a register that old releases keep without knowing it.
+// fleetBook has three forms of usage and of sessions with the changes that are prone to errors: a field that is renamed and scaled, a
+// missing step down, and a register that old releases keep without knowing it.
 func fleetBook(oneway bool) *Book {
 	b := &Book{}
 	tells := func(nums map[string]uint32) func(Record) map[string]uint64 {
@@ -67,20 +67,20 @@
 	return b
 }
 
-// A proc is a process: what it keeps outlives it, as bytes.
+// A proc is a process. The records that it stores survive it in encoded form.
 type proc struct {
 	id      ID
-	release uint16 // it reads 1 to this, of both kinds
+	release uint16 // it reads schemas 1 to release, of both kinds
 	book    *Book
 	levels  *Levels
 	shelf   map[Kind]*Table
 	sweep   map[Kind]*Sweep
-	unread  [][]byte // of a snapshot that this release cannot read: kept for a later one
+	unread  [][]byte // records of a snapshot that this release can't read, kept for a later one
 	seen    map[string]sight
 	view    []ID
 	born    int
-	heardAt int // when it first heard another; -1: not yet
-	asleep  int // until this round
+	heardAt int // round of the first message from another process; -1: none yet
+	asleep  int // paused until this round
 	cleared map[Kind]bool
 }
 
@@ -103,17 +103,17 @@
 	rng     *rand.Rand
 	oneway  bool
 	round   int
-	calm    bool // nothing is spent nor marked any more
+	calm    bool // no request is counted and no call marked any more
 	procs   []*proc
 	letters []letter
 	loss    float64
 	cut     func(from, to int) bool
 	spent   map[string][2]uint64 // by key: requests, ms
-	marked  map[string]uint64    // by key: the last call that was marked at two
+	marked  map[string]uint64    // by key: the last call that was marked at two processes
 	calls   map[string]uint64
 	script  []string
 	rose    int
-	told    int // unfit
+	told    int // TooOld actions
 }
 
 func (f *fleet) note(format string, args ...any) {
@@ -128,7 +128,7 @@
 	f.t.Fatalf("seed %d, round %d: %s", f.seed, f.round, fmt.Sprintf(format, args...))
 }
 
-// start puts a process in the place of one, with what that one kept.
+// start replaces a process by a new one that takes over the stored records.
 func (f *fleet) start(at int, release uint16) {
 	p := &proc{release: release, born: f.round, heardAt: -1, seen: map[string]sight{}, cleared: map[Kind]bool{}, shelf: map[Kind]*Table{Use: {}, Session: {}}, sweep: map[Kind]*Sweep{}}
 	p.id = ID{Name: string(rune('a' + at)), Start: uint64(f.round)*10 + uint64(release)}
@@ -157,10 +157,10 @@
 	}
 	p.levels = NewLevels(p.id, p.book, written)
 	f.procs[at] = p
-	f.note("%s starts with release %d, %d records not read", p.id.Name, release, len(p.unread))
+	f.note("%s starts with release %d, %d records unreadable", p.id.Name, release, len(p.unread))
 }
 
-// take keeps a record at what is written.
+// take stores a received record at the written schema.
 func (f *fleet) take(p *proc, r Record) {
 	var held *Record
 	if h, ok := p.shelf[r.Kind].Get(r.Key); ok {
@@ -183,7 +183,7 @@
 		case Rose, Fell:
 			f.rose++
 			if a.To.Turn == a.From.Turn && a.To.Schema < a.From.Schema {
-				f.fail("%s: fell by itself: %v", p.id.Name, a)
+				f.fail("%s: written schema fell within one turn: %v", p.id.Name, a)
 			}
 		case TooOld:
 			f.told++
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// spend counts one request of a tenant, in the form that is written.
+// spend counts one request of a tenant, in the written form.
 func (f *fleet) spend(p *proc) {
 	key := fmt.Sprintf("t%d", f.rng.IntN(3))
 	r, ok := p.shelf[Use].Get(key)
@@ -233,7 +233,7 @@
 	p.shelf[Use].Put(r)
 }
 
-// mark says at two owners that a session's call may have run.
+// mark stores at two owners that a call of a session may have run.
 func (f *fleet) mark(p *proc) {
 	other := f.procs[f.rng.IntN(len(f.procs))]
 	at, most, ok := p.levels.Link(other.id, Session)
@@ -247,7 +247,7 @@
 	f.take(p, r)
 	sent, err := p.book.Within(r, at, most)
 	if err != nil || sent.Schema > other.release {
-		return // other cannot be told: the call is made without a mark there, and counted as such
+		return // other can't receive the mark: the call is made without it and is not counted as marked
 	}
 	f.take(other, sent)
 	f.marked[key] = max(f.marked[key], call)
@@ -255,7 +255,7 @@
 
 func (f *fleet) index(p *proc) int { return slices.Index(f.procs, p) }
 
-// turn is one round of one process.
+// turn runs one round of one process.
 func (f *fleet) turn(i int) {
 	p := f.procs[i]
 	if p.heardAt >= 0 && f.round >= p.heardAt+settleAfter || f.round > p.born+forgetAfter {
@@ -286,7 +286,7 @@
 		if s := p.sweep[k]; s == nil || s.To != to {
 			p.sweep[k] = &Sweep{Kind: k, To: to}
 		}
-		s := *p.sweep[k] // a step that is broken off leaves the shelf half done and the position where it was
+		s := *p.sweep[k] // an interrupted step leaves the shelf partly updated and the position unchanged
 		s.Step(p.book, p.shelf[k], Bound{Records: 2, Fields: 20})
 		if f.rng.IntN(4) > 0 {
 			p.sweep[k] = &s
@@ -321,7 +321,7 @@
 			})
 		}
 		f.letters = append(f.letters, l)
-		if f.rng.IntN(10) == 0 { // once more, later
+		if f.rng.IntN(10) == 0 { // delivered a second time, later
 			l.at += f.rng.IntN(40)
 			f.letters = append(f.letters, l)
 		}
@@ -331,7 +331,7 @@
 func (f *fleet) deliver(l letter) {
 	p := f.at(l.to)
 	if p == nil {
-		return // another process has its address now
+		return // another process has this address now
 	}
 	p.saw(sight{l.from, l.sent})
 	for _, s := range l.seen {
@@ -349,13 +349,13 @@
 			f.fail("%v", err)
 		}
 		if r.Schema > p.release {
-			f.fail("%s reads %d and gets %v from %s", p.id.Name, p.release, r, l.from.Name)
+			f.fail("%s reads up to schema %d and received %v from %s", p.id.Name, p.release, r, l.from.Name)
 		}
 		f.take(p, r)
 	}
 }
 
-// saw keeps the later start of a name, and the later sight of it.
+// saw keeps the later start of a name, and the latest round in which it was seen.
 func (p *proc) saw(s sight) {
 	have, ok := p.seen[s.id.Name]
 	if s.id.Name == p.id.Name || ok && (s.id.Start < have.id.Start || s.id == have.id && s.at <= have.at) {
@@ -385,7 +385,7 @@
 	}
 }
 
-// trouble changes what is broken.
+// injectFault replaces the current fault by a random one.
 func (f *fleet) trouble() {
 	n := len(f.procs)
 	f.cut = func(int, int) bool { return false }
@@ -393,25 +393,25 @@
 	case 0:
 		side := f.rng.Uint64()
 		f.cut = func(i, j int) bool { return (side>>i)&1 != (side>>j)&1 }
-		f.note("a partition: %b", side&(1<<n-1))
+		f.note("partition: %b", side&(1<<n-1))
 	case 1:
 		a := f.rng.IntN(n)
 		f.cut = func(i, _ int) bool { return i == a }
-		f.note("nobody hears %c", 'a'+a)
+		f.note("no process receives from %c", 'a'+a)
 	case 2:
 		p := f.procs[f.rng.IntN(n)]
 		long := 5 + f.rng.IntN(2*forgetAfter)
 		p.asleep = f.round + long
-		for name, s := range p.seen { // it knows that it was stopped
+		for name, s := range p.seen { // a process detects that it was paused
 			s.at += long
 			p.seen[name] = s
 		}
-		f.note("%s sleeps for %d", p.id.Name, long)
+		f.note("%s is paused for %d rounds", p.id.Name, long)
 	}
 	f.loss = f.rng.Float64() * 0.4
 }
 
-// top is the highest schema that is written of any kind.
+// top returns the highest written schema of all kinds.
 func (l *Levels) top() uint16 {
 	top := uint16(0)
 	for _, s := range l.self.Stands {
@@ -427,7 +427,7 @@
 	}
 }
 
-// settle heals everything and waits until the same is written at all. It tells how many rounds that took.
+// settle ends all faults and waits until all processes write the same level. It returns the number of rounds.
 func (f *fleet) settle(want uint16) int {
 	f.cut, f.loss = func(int, int) bool { return false }, 0.2
 	for _, p := range f.procs {
@@ -443,11 +443,11 @@
 		}
 		f.run(1)
 	}
-	f.fail("schema %d is not written at all after %d rounds", want, sameWithin)
+	f.fail("not all processes write schema %d after %d rounds", want, sameWithin)
 	return 0
 }
 
-// play is one seeded upgrade: to release 2 or 3, perhaps with a rollback half-way, perhaps taken back whole, and up again.
+// play runs one seeded upgrade to release 2 or 3. It may roll back half-way, take the level back entirely, and upgrade again.
 func (f *fleet) play() (longest int) {
 	n := 3 + f.rng.IntN(5)
 	f.procs = make([]*proc, n)
@@ -465,31 +465,32 @@
 	}
 	first := uint16(2 + f.rng.IntN(2))
 	roll(first, n)
-	if f.rng.IntN(2) == 0 { // rolled back half-way through the next; whoever is too old by then serves alone
+	if f.rng.IntN(2) == 0 { // roll back half-way through the next upgrade; a process that is too old by then serves alone
 		roll(3, f.rng.IntN(n))
 		roll(first, n)
 	}
 	if highest := slices.MaxFunc(f.procs, func(p, q *proc) int { return int(p.levels.top()) - int(q.levels.top()) }).levels.top(); highest > first {
-		f.note("written is %d already: the operator goes on", highest) // whoever slept was forgotten, and all others read it
+		// A paused process was forgotten, and all others read the schema.
+		f.note("schema %d is already written: the operator continues the upgrade", highest)
 		first = 3
 		roll(first, n)
 	}
 	longest = f.settle(first)
-	if f.rng.IntN(2) == 0 && !(f.oneway && first == 3) { // taken back, swept, replaced by release 1
+	if f.rng.IntN(2) == 0 && !(f.oneway && first == 3) { // take the level back, sweep, replace all by release 1
 		f.hold(1)
 		longest = max(longest, f.settle(1))
 		for k := 0; slices.ContainsFunc(Kinds[:], func(kind Kind) bool {
 			return !slices.ContainsFunc(f.procs, func(p *proc) bool { return p.cleared[kind] })
 		}); k++ {
 			if k > sameWithin {
-				f.fail("taken back, and never cleared")
+				f.fail("level taken back, but no Cleared action")
 			}
 			f.run(1)
 		}
 		for i := range n {
 			f.start(i, 1)
 			if len(f.procs[i].unread) > 0 {
-				f.fail("cleared, and %s cannot read %d records", f.procs[i].id.Name, len(f.procs[i].unread))
+				f.fail("%s cannot read %d records after Cleared", f.procs[i].id.Name, len(f.procs[i].unread))
 			}
 		}
 		f.run(10)
@@ -510,23 +511,23 @@
 	}
 }
 
-// wrong says what a process does not know of what was spent and marked.
+// wrong returns the first difference between the records of a process and the requests and calls that were counted, or "".
 func (f *fleet) wrong() string {
 	for _, p := range f.procs {
 		for key, s := range f.spent {
 			r, _ := p.shelf[Use].Get(key)
 			tells := p.book.Tells(r)
 			if tells["requests"] > s[0] || tells["ms"] > s[1] {
-				f.fail("%s: %s: %v is more than was spent, %v", p.id.Name, key, tells, s)
+				f.fail("%s: %s: totals %v are above those counted, %v", p.id.Name, key, tells, s)
 			}
 			if r.Schema != 3 || tells["requests"] != s[0] || tells["ms"] != s[1] {
-				return fmt.Sprintf("%s: %s: %v at schema %d, spent %v", p.id.Name, key, tells, r.Schema, s)
+				return fmt.Sprintf("%s: %s: totals %v at schema %d, counted %v", p.id.Name, key, tells, r.Schema, s)
 			}
 		}
 		for key, call := range f.marked {
 			r, _ := p.shelf[Session].Get(key)
 			if r.Int(4000, "") < call || r.Schema != 3 {
-				return fmt.Sprintf("%s: %s: call %d at schema %d, %d was marked", p.id.Name, key, r.Int(4000, ""), r.Schema, call)
+				return fmt.Sprintf("%s: %s: call %d at schema %d, want at least marked call %d", p.id.Name, key, r.Int(4000, ""), r.Schema, call)
 			}
 			text, _ := r.Get(4002, "")
 			if string(text.Text) != fmt.Sprint(r.Int(4000, "")) {
@@ -537,8 +538,9 @@
 	return ""
 }
 
-// Rolling upgrades and rollbacks with loss, partitions, sleepers and broken-off sweeps: no count lost or doubled, no mark lost, nobody
-// gets what it cannot read, and the same is written at all within the time that is stated.
+// TestFleets runs rolling upgrades and rollbacks with message loss, partitions, paused processes and interrupted sweeps. It guards against
+// lost or doubled counts, lost marks, records sent to a process that can't read them, and processes that write different levels after the
+// stated time.
 func TestFleets(t *testing.T) {
 	var longest, rose, told, marks atomic.Int64
 	play := func(t *testing.T, seed uint64) {
@@ -558,7 +560,7 @@
 			marks.Add(int64(c))
 		}
 		if took > levelWithin {
-			f.fail("the same was written at all after %d rounds, stated are %d", took, levelWithin)
+			f.fail("all processes write the same level after %d rounds, limit %d", took, levelWithin)
 		}
 	}
 	if *oneSeed != 0 {
@@ -575,9 +577,9 @@
 			})
 		}
 	})
-	t.Logf("%d fleets: levels changed %d times, %d times a process was too old, %d calls marked; the same written at all after %d rounds at most",
+	t.Logf("%d fleets: %d level changes, %d times a process was too old, %d calls marked; all write the same level after at most %d rounds",
 		*campaign, rose.Load(), told.Load(), marks.Load(), longest.Load())
 	if *campaign >= 500 && (rose.Load() == 0 || told.Load() == 0 || marks.Load() == 0) {
-		t.Error("the fleets did not try what they are to try")
+		t.Error("the fleets had no level change, no process that was too old or no marked call")
 	}
 }
--- a/schema/law.go
+++ b/schema/law.go
@@ -1,4 +1,5 @@
-// The law of forms, as a check that the tests of every form call with records of their own.
+// This file checks the laws that forms must satisfy. The tests of each form call it with records of their own.
+
 package schema
 
 import (
@@ -7,7 +8,7 @@
 	"slices"
 )
 
-// strangers are fields that no form knows: one of each join. A step and a merge keep them.
+// strangers are fields that no form defines, one of each join. Steps and merges must preserve them.
 var strangers = []Field{
 	{Num: MaxNum - 1, Sub: "strange", Int: 7, Text: []byte("x"), Rest: []byte{0x28, 1}},
 	{Num: MinNum - 1, Sub: "strange", Int: 8},
@@ -17,17 +18,18 @@
 	{Num: afterNum - 1, Sub: "strange", Text: []byte("y")},
 }
 
-// Law checks two records of one kind and key against all that forms promise. It is nil, or says which law they break:
+// Law checks the laws of forms on two records of one kind and key. It returns nil, or an error that names the violated law:
 //
-//   - a merge is commutative and idempotent, and keeps what it was given;
-//   - up(merge(x, y)) = merge(up x, up y), for each step and all of them;
-//   - a step down then up, and up then down, change only Nums that are declared lost; over several without loss nothing changes;
-//   - what a form does not know passes through it unchanged;
-//   - what Tells tells falls by no migration, rises by none without loss, and a record that meets itself come back from another
-//     form tells what it told;
-//   - no step changes the record that it was given.
+//   - A merge is commutative and idempotent, and preserves its inputs.
+//   - up(merge(x, y)) = merge(up x, up y), for each step and for all of them together.
+//   - A step down then up, and up then down, changes only Nums that are declared lost. A path without loss changes nothing.
+//   - Fields that a form does not define pass through it unchanged.
+//   - No migration lowers a total that Tells returns, and none without loss raises one. If a record is merged with a copy that went to
+//     another form and back, the totals stay the same.
+//   - No step changes the record that it was given.
 //
-// The two need not be of one schema. Draw them as a fleet could hold them: of one writer's counter, say, one is the later.
+// The two records may have different schemas. They must be a pair that can coexist in a fleet: of two values of one writer's counter, for
+// example, one is the later.
 func (b *Book) Law(x, y Record) error {
 	at := max(x.Schema, y.Schema)
 	met, err := b.Merge(x, y)
@@ -41,7 +43,7 @@
 		return err
 	}
 	if first, err := b.Merge(x, y); err != nil || !Equal(met, first) {
-		return broken(fmt.Sprintf("a merge is at the higher schema, %d, as if both had gone there first (%v)", at, err), met, first, x, y)
+		return broken(fmt.Sprintf("a merge equals that of both records converted to the higher schema %d first (%v)", at, err), met, first, x, y)
 	}
 	if err := b.lawOfMerge(x, y); err != nil {
 		return err
@@ -84,7 +86,7 @@
 			return broken("merge is idempotent", again, xy, x, y)
 		}
 		if name, was, is, ok := b.fell(r, xy); !ok {
-			return fmt.Errorf("schema: law: no count falls by a merge: %q from %d to %d: %v", name, was, is, []Record{x, y})
+			return fmt.Errorf("schema: law: a merge lowers no total: %q from %d to %d: %v", name, was, is, []Record{x, y})
 		}
 	}
 	return nil
@@ -114,13 +116,13 @@
 			return err
 		}
 		if !Equal(up, ups) {
-			return broken(fmt.Sprintf("up to %d of a merge is the merge of ups", s), up, ups, x, y)
+			return broken(fmt.Sprintf("up to %d of a merge is the merge of both records taken up", s), up, ups, x, y)
 		}
 	}
 	return nil
 }
 
-// lawOfWay checks one record's way to another schema and back.
+// lawOfWay checks the conversion of one record to another schema and back.
 func (b *Book) lawOfWay(r Record, s uint16) error {
 	own := r.Clone()
 	for _, f := range strangers {
@@ -137,11 +139,11 @@
 		return err
 	}
 	if !Equal(own, sure) {
-		return broken("a step leaves what it was given as it is", own, sure, r)
+		return broken("a step does not change its input", own, sure, r)
 	}
 	back, err := b.To(there, r.Schema)
 	if b.Way(r.Kind, s, r.Schema) != nil {
-		back, err = there, nil // up a way that does not lead down again
+		back, err = there, nil // the path up has no path back down
 	}
 	if err != nil {
 		return err
@@ -149,40 +151,40 @@
 	for _, f := range strangers {
 		for _, o := range []Record{there, back} {
 			if have, ok := o.Get(f.Num, f.Sub); !ok || compareValue(&have, &f) != 0 {
-				return broken(fmt.Sprintf("what is not known (Num %d) passes through schema %d", f.Num, s), o, own, r)
+				return broken(fmt.Sprintf("an unknown field (Num %d) passes unchanged through schema %d", f.Num, s), o, own, r)
 			}
 		}
 	}
 	lost := b.lost(r.Kind, r.Schema, s)
 	if name, was, is, ok := b.fell(own, there); !ok {
-		return fmt.Errorf("schema: law: nothing that is told falls from schema %d to %d: %q from %d to %d: %v", r.Schema, s, name, was, is, r)
+		return fmt.Errorf("schema: law: no total falls from schema %d to %d: %q from %d to %d: %v", r.Schema, s, name, was, is, r)
 	}
 	if len(lost) == 0 {
 		if name, was, is, ok := b.fell(there, own); !ok {
-			return fmt.Errorf("schema: law: nothing that is told rises from schema %d to %d: %q from %d to %d: %v", r.Schema, s, name, is, was, r)
+			return fmt.Errorf("schema: law: no total rises from schema %d to %d: %q from %d to %d: %v", r.Schema, s, name, is, was, r)
 		}
 	}
 	if back.Schema != r.Schema {
 		return nil
 	}
-	// Over several steps a lost Num may stand under another in between: what is lost is looked at step by step.
+	// Over several steps a lost Num may have another number in between, so losses are compared only across a single step.
 	if a, c := without(own, lost), without(back, lost); !Equal(a, c) && (len(lost) == 0 || s+1 == r.Schema || s == r.Schema+1) {
-		return broken(fmt.Sprintf("to schema %d and back changes only what is declared lost %v", s, lost), c, a, r)
+		return broken(fmt.Sprintf("to schema %d and back changes only what is declared as lost %v", s, lost), c, a, r)
 	}
-	// One member has moved the record there and back, another never has: they meet.
+	// One member has converted the record there and back, another has not. Their records are merged.
 	met, err := b.Merge(own, back)
 	if err != nil {
 		return err
 	}
 	for _, o := range [][2]Record{{own, met}, {met, own}} {
 		if name, was, is, ok := b.fell(o[0], o[1]); !ok {
-			return fmt.Errorf("schema: law: a record that meets itself back from schema %d tells the same: %q: %d and %d: %v", s, name, was, is, r)
+			return fmt.Errorf("schema: law: a merge with a copy back from schema %d keeps the totals: %q: %d and %d: %v", s, name, was, is, r)
 		}
 	}
 	return nil
 }
 
-// lost are the Nums that the steps between two schemas, there and back, declare lost.
+// lost returns the Nums that the steps between two schemas declare lost, in both directions.
 func (b *Book) lost(k Kind, s, t uint16) []uint32 {
 	var nums []uint32
 	for n := min(s, t) + 1; n <= max(s, t); n++ {
@@ -192,7 +194,7 @@
 	return nums
 }
 
-// Tells is what a record says by the form that it is in.
+// Tells returns the totals of a record by the form that it is in.
 func (b *Book) Tells(r Record) map[string]uint64 {
 	f := b.form(r.Kind, r.Schema)
 	if f == nil {
@@ -212,7 +214,7 @@
 	return out
 }
 
-// fell finds something that one record tells more of than the other, where both forms tell it.
+// fell returns a total that is lower in the second record than in the first, where both forms return it; ok is false if there is one.
 func (b *Book) fell(from, to Record) (name string, was, is uint64, ok bool) {
 	after := b.Tells(to)
 	for name, was := range b.Tells(from) {
@@ -229,7 +231,7 @@
 	return out
 }
 
-// Equal tells whether two records are the same.
+// Equal reports whether two records are the same.
 func Equal(a, c Record) bool {
 	return a.Kind == c.Kind && a.Schema == c.Schema && a.Key == c.Key && bytes.Equal(a.Rest, c.Rest) &&
 		slices.EqualFunc(a.Fields, c.Fields, func(f, g Field) bool { return compareAt(f, g) == 0 && compareValue(&f, &g) == 0 })
--- a/schema/law_test.go
+++ b/schema/law_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// A chain is a random history of one kind: what a record of each form may hold.
+// A chain is a random sequence of forms of one kind, with the Nums that a record of each form may have.
 type chain struct {
 	book *Book
-	live [][]uint32 // by form, from 1 on
+	live [][]uint32 // Nums by form, starting with form 1
 }
 
-// rename moves all fields of one Num, joining what already stands there.
+// rename returns a step that moves all fields of one Num to another Num and joins them with fields that are already there.
 func rename(from, to uint32, change func(uint64) uint64) func(Record) (Record, error) {
 	return func(r Record) (Record, error) {
 		for _, f := range append([]Field(nil), r.All(from)...) {
@@ -32,7 +32,7 @@
 
 func same(v uint64) uint64 { return v }
 
-// drawChain draws forms, each made of the one before by one of the changes that releases make.
+// drawChain draws a sequence of forms. Each results from the previous one by a change that releases typically make.
 func drawChain(t *rapid.T) chain {
 	c := chain{book: &Book{}}
 	next := map[Join]uint32{Keep: 1, Max: MaxNum, Min: MinNum, Or: OrNum, Register: RegisterNum}
@@ -52,7 +52,7 @@
 			switch rapid.SampledFrom([]string{"add", "least", "rename", "register", "scale", "forget", "oneway"}).Draw(t, "change") {
 			case "add":
 				live = append(live, fresh(rapid.SampledFrom(joins).Draw(t, "join")))
-			case "least": // a new field has the least value of its join
+			case "least": // a new field with the smallest value of its join
 				num := fresh(Max)
 				f.Up.Do = func(r Record) (Record, error) {
 					if _, ok := r.Get(num, ""); !ok {
@@ -70,7 +70,7 @@
 					live = append(append([]uint32(nil), live[:at]...), live[at+1:]...)
 					live = append(live, to)
 				}
-			case "register": // a hundred of registers is moved as a whole
+			case "register": // a block of registers is moved as a whole
 				next[Register] = (next[Register]/RegisterSize + 1) * RegisterSize
 				delta := next[Register] - RegisterNum
 				move := func(from, to uint32) func(Record) (Record, error) {
@@ -126,12 +126,13 @@
 
 func (c chain) draw(t *rapid.T, what string) Record {
 	s := rapid.IntRange(1, len(c.live)).Draw(t, "schema of "+what)
-	r := drawRecord(t, append([]uint32{997, 1997, 3997, 8001}, c.live[s-1]...), what) // some that no form knows
+	r := drawRecord(t, append([]uint32{997, 1997, 3997, 8001}, c.live[s-1]...), what) // some Nums that no form defines
 	r.Schema = uint16(s)
 	return r
 }
 
-// The law holds over random histories of forms, and over each way between them.
+// The laws hold for random sequences of forms, and for each path between two forms. Otherwise a merge of records of different releases
+// would depend on where each was converted.
 func TestLaw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawChain(t)
@@ -141,10 +142,10 @@
 	})
 }
 
-// The law sees the forms that are easily written wrong.
+// Law detects forms with typical mistakes. Without this test a check in Law that never fails would stay unnoticed.
 func TestLawSees(t *testing.T) {
 	count := func(sub string, n uint64) Field { return Field{Num: 1000, Sub: sub, Int: n} }
-	// As a release does it that counts by class: it takes the total apart, and adds it up again on the way down.
+	// A release that counts by class splits the total on the way up and sums it again on the way down.
 	apart := func(r Record) (Record, error) { return rename(1000, 1002, same)(r) }
 	addUp := func(r Record) (Record, error) {
 		var n uint64
@@ -176,30 +177,30 @@
 		up, down Step
 		law      string
 	}{
-		"a default that is not the least": {up: Step{Do: add(5), Loss: Named("five", 1001)}, law: "up to 2 of a merge"},
-		"the unknown is dropped": {down: Step{Do: func(r Record) (Record, error) {
+		"a default that is not the smallest value": {up: Step{Do: add(5), Loss: Named("five", 1001)}, law: "up to 2 of a merge"},
+		"an unknown field is dropped": {down: Step{Do: func(r Record) (Record, error) {
 			return Record{Fields: append([]Field(nil), r.All(1000)...)}, nil
-		}}, law: "is not known"},
-		"a loss that is not declared": {down: Step{Do: func(r Record) (Record, error) { r.Drop(1001); return r, nil }}, law: "only what is declared"},
-		"a count that falls":          {up: Step{Do: change(func(v uint64) uint64 { return v / 2 }), Loss: Named("half", 1000)}, law: "falls"},
-		"a count that rises":          {up: Step{Do: change(func(v uint64) uint64 { return v * 2 })}, law: "rises"},
-		"a total that is counted twice": {up: Step{Do: apart, Loss: Named("of no class", 1000, 1002)},
-			down: Step{Do: addUp, Loss: Named("of all classes", 1000, 1002)}, law: "tells the same"},
+		}}, law: "an unknown field"},
+		"a loss that is not declared": {down: Step{Do: func(r Record) (Record, error) { r.Drop(1001); return r, nil }}, law: "only what is declared as lost"},
+		"a count that falls":          {up: Step{Do: change(func(v uint64) uint64 { return v / 2 }), Loss: Named("half", 1000)}, law: "total falls"},
+		"a count that rises":          {up: Step{Do: change(func(v uint64) uint64 { return v * 2 })}, law: "total rises"},
+		"a total counted twice": {up: Step{Do: apart, Loss: Named("of no class", 1000, 1002)},
+			down: Step{Do: addUp, Loss: Named("of all classes", 1000, 1002)}, law: "keeps the totals"},
 		"a step that is not monotone": {up: Step{Do: change(func(v uint64) uint64 { return v ^ 1 }), Loss: Named("", 1000)}, law: "up to 2 of a merge"},
-		"a step that writes where it reads": {up: Step{Do: func(r Record) (Record, error) {
+		"a step that changes its input": {up: Step{Do: func(r Record) (Record, error) {
 			for _, f := range r.Fields {
 				if len(f.Text) > 0 {
 					f.Text[0]++
 				}
 			}
 			return r, nil
-		}}, law: "leaves what it was given"},
+		}}, law: "does not change its input"},
 	} {
 		b := &Book{}
-		tells := func(r Record) map[string]uint64 { // totals, by the form's own idea of them
+		tells := func(r Record) map[string]uint64 { // totals, by the form's own definition
 			var n uint64
 			for _, f := range r.Fields {
-				if f.Num == 1000 || f.Num == 1002 && name == "a total that is counted twice" {
+				if f.Num == 1000 || f.Num == 1002 && name == "a total counted twice" {
 					n += f.Int
 				}
 			}
@@ -221,12 +222,13 @@
 			}
 		}
 		if !strings.Contains(strings.Join(seen, "\n"), c.law) {
-			t.Errorf("%s: it is to break %q: %q", name, c.law, seen)
+			t.Errorf("%s: Law does not report %q: %q", name, c.law, seen)
 		}
 	}
 }
 
-// A step that is not there is named, by To, by Within, and at Register when it is one up.
+// A missing step is named in the error of To and Within, and a missing step up is rejected by Register. A record without a path down
+// stays at the lowest schema that it can reach, so that no part of it is lost.
 func TestOneWay(t *testing.T) {
 	b := &Book{}
 	for n := uint16(1); n <= 3; n++ {
@@ -243,19 +245,19 @@
 		t.Errorf("%v", err)
 	}
 	if got, err := b.Keep(nil, r, 1); err != nil || got.Schema != 2 {
-		t.Errorf("kept at %d, %v; it can go down to 2", got.Schema, err)
+		t.Errorf("stored at schema %d, error %v; the record can go down to 2", got.Schema, err)
 	}
 	if got, err := b.Within(r, 1, 2); err != nil || got.Schema != 2 {
-		t.Errorf("sent at %d, %v", got.Schema, err)
+		t.Errorf("sent at schema %d, error %v, want schema 2", got.Schema, err)
 	}
 	if _, err := b.Within(r, 1, 1); !errors.Is(err, ErrOneWay) {
-		t.Errorf("sent to one that reads 1: %v", err)
+		t.Errorf("sent to a receiver that reads only schema 1: got error %v, want ErrOneWay", err)
 	}
 	table := &Table{}
 	table.Put(r)
 	sweep := Sweep{Kind: Session, To: 1}
 	if sweep.Step(b, table, DefaultBound); !sweep.Done || sweep.Moved != 1 || sweep.Kept != 1 || sweep.Highest != 2 {
-		t.Errorf("swept: %+v", sweep)
+		t.Errorf("sweep to a schema without a path: %+v", sweep)
 	}
 	old := b.Only(Session, 1, 2)
 	if _, err := old.Merge(Record{Kind: Session, Schema: 1, Key: "k"}, r); !errors.Is(err, ErrNoForm) || !strings.Contains(err.Error(), "reads 1 to 2") {
@@ -269,7 +271,7 @@
 		"numbers begin with": {Kind: Session},
 	} {
 		if err := b.Register(f); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%v; it is to say %q", err, says)
+			t.Errorf("got error %v, want one with %q", err, says)
 		}
 	}
 }
--- a/schema/levels.go
+++ b/schema/levels.go
@@ -1,18 +1,22 @@
-// Which schema is written: what one member knows of the others, and what it says itself.
+// This file decides which schema is written, from the states that the members exchange.
 //
-// What is written is a Level, (turn, schema). A member takes over the highest Level that it hears of a member, so they all come to
-// the same one, whatever is lost, late or repeated. A Level comes to be in one of two ways, each in two steps, with no leader:
+// The written schema is part of a Level (turn, schema). A member adopts the highest Level that any member reports, so all members
+// converge to the same Level even if messages are lost, late or repeated. A Level changes in one of two ways, each in two phases and
+// without a leader:
 //
-//   - up, in the same turn: a member agrees to the highest schema that all members read and nobody holds back; it writes it once all
-//     members have said that they agree. All: that are not forgotten, be they dead; one that has said nothing yet counts as reading
-//     nothing. So who writes L knows that everybody whom any of its members knew read L.
-//   - down, with the next turn: only when all members hold it back (the operator has said so at each). A member agrees to the schema
-//     that all of them hold to or more, and writes it once all have said so. A release that reads no more may be started only after
-//     Cleared: nobody holds a record above it any more.
+//   - Up, within the same turn. A member agrees to the highest schema that all members read and that no operator holds back. It writes
+//     this schema once all members have reported that they agree. "All" covers every member that is not forgotten, including dead ones.
+//     A member that has reported nothing yet counts as one that reads nothing. So if a member writes schema L, every process that any
+//     of its members knew reads L.
+//   - Down, with the next turn. This requires that the operator has set a lower limit (Held) at every member. A member agrees to the
+//     highest of these limits, and writes it once all members have agreed. A release that reads no more than this schema may be started
+//     only after Cleared, when no member holds a record above it any more.
 //
-// A member that does not read what is written is unfit: it is told, takes no part (nobody sends it records, nor waits for it), and
-// serves as one that is cut off until it is upgraded or the level is taken back. One that has not Settled agrees to nothing, and a
-// process alone raises nothing: so one that came up alone, with a newer release, does not make the fleet that it then meets unfit.
+// A member that does not read the written schema is unfit. It gets a TooOld or TooNew action and takes no part: no member sends it
+// records or waits for it. It serves like an isolated instance until it is upgraded or the level is taken back. A member that has not
+// Settled agrees to nothing, and a process alone never raises the level. So a process that starts alone with a newer release does not
+// make the fleet that it joins later unfit.
+
 package schema
 
 import (
@@ -23,7 +27,7 @@
 	"slices"
 )
 
-// ID is a process: a name and its start.
+// ID identifies a process by its name and its start time.
 type ID struct {
 	Name  string
 	Start uint64
@@ -36,7 +40,7 @@
 	return cmp.Compare(id.Start, o.Start)
 }
 
-// Level is what is written: a schema, and how often it was taken back before. Schema 0: nothing yet.
+// Level is the written schema, with the number of times that it was taken back before. Schema 0 means that none is set yet.
 type Level struct {
 	Turn   uint32
 	Schema uint16
@@ -48,22 +52,22 @@
 
 func (l Level) String() string { return fmt.Sprintf("%d.%d", l.Turn, l.Schema) }
 
-// Stand is what a member says of one kind.
+// Stand is the state of a member for one kind, as it reports it to others.
 type Stand struct {
 	Kind    Kind
-	Lo, Hi  uint16 // it reads these
-	Held    uint16 // its operator wants no more than this written; 0: any
-	Holds   uint16 // no record that it keeps is above this; its highest while it has not swept since Written changed
-	Agreed  Level  // it knows that this may be written, or is
-	Written Level  // it writes this, or would if it read it
+	Lo, Hi  uint16 // the lowest and highest schema that it reads
+	Held    uint16 // the operator's upper limit for the written schema; 0: none
+	Holds   uint16 // no record that it stores is above this schema; equal to Hi until a sweep has ended after Written changed
+	Agreed  Level  // the level that it agrees to, or already writes
+	Written Level  // the level that it writes, or would write if it read it
 }
 
-// Said is all that a process says. Seq rises with each change, so an older word never takes the place of a newer one, whoever
-// brought it: words may be passed on.
+// Said is the reported state of a process. Seq rises with each change, so an older state never replaces a newer one, whichever member
+// forwards it.
 type Said struct {
 	ID
 	Seq    uint64
-	Stands []Stand // by rising Kind
+	Stands []Stand // sorted by Kind
 }
 
 func (s *Said) stand(k Kind) *Stand {
@@ -80,14 +84,14 @@
 
 // Kinds of events.
 const (
-	Heard   EventKind = iota // Said: of any process, from whoever passed it on
-	Members                  // Members: all that are not forgotten, dead and left ones too; this process need not be among them
-	Settled                  // it has joined others, or has waited for as long as a member is remembered and found nobody
-	Held                     // Of, At: the operator wants no more than At written; 0: any
-	Swept                    // Of, At: a Sweep to what is written now is done at all shards, and At is its Highest
+	Heard   EventKind = iota // Said: the state of any process, sent by itself or forwarded
+	Members                  // Members: all members that are not forgotten, including dead and left ones; this process may be absent
+	Settled                  // the process has joined others, or has found nobody for as long as a member is remembered
+	Held                     // Of, At: the operator's upper limit for the written schema; 0: none
+	Swept                    // Of, At: a Sweep to the written schema has ended at all shards, and At is its Highest
 )
 
-// Event is what Levels are told.
+// Event is an input of Levels.
 type Event struct {
 	Kind    EventKind
 	Said    Said
@@ -101,46 +105,46 @@
 
 // Kinds of actions.
 const (
-	Tell    ActionKind = iota // what Say says has changed: let others know
-	Rose                      // To is written now instead of From; begin a Sweep
-	Fell                      // the same, taken back
-	TooOld                    // what is written is above what this release reads: take no part, serve as one cut off
-	TooNew                    // it is below
-	Fit                       // neither any more: take part again
-	Refused                   // the operator's Held cannot be followed, Why says what is to be done
-	Cleared                   // after Fell: nobody keeps a record above To: releases that read no more than To may be started
+	Tell    ActionKind = iota // the state that Say returns has changed and has to be sent to others
+	Rose                      // the written level has risen from From to To; begin a Sweep
+	Fell                      // the written level was taken back from From to To; begin a Sweep
+	TooOld                    // the written schema is above those that this release reads: take no part, serve like an isolated instance
+	TooNew                    // the written schema is below them
+	Fit                       // the process reads the written schema again: take part
+	Refused                   // the operator's Held cannot be followed; Why names the remedy
+	Cleared                   // after Fell: no member stores a record above To, so releases that read no more than To may be started
 )
 
 func (k ActionKind) String() string {
 	return [...]string{"tell", "rose", "fell", "too-old", "too-new", "fit", "refused", "cleared"}[k]
 }
 
-// Action is what Levels answer.
+// Action is an output of Levels.
 type Action struct {
 	Kind     ActionKind
 	Of       Kind
 	From, To Level
-	By       ID // whose word it was, where it was another's
+	By       ID // the member whose state caused the action, if it was another one
 	Why      string
 }
 
-// maxMembers bounds the words that are kept: some of a fleet's, and as many of processes that are not members yet.
+// maxMembers limits the stored states: those of members, and as many of processes that are not members yet.
 const maxMembers = 4096
 
-// Levels is one member's view. It asks no clock: nothing that it decides depends on how long something lasts.
+// Levels is one member's view of the written levels. It reads no clock, and no decision depends on a duration.
 type Levels struct {
 	book    *Book
 	self    Said
 	members []ID // without this process
 	heard   map[ID]Said
 	settled bool
-	unfit   map[Kind]bool   // and it was told
-	refused map[Kind]string // what was answered last
+	unfit   map[Kind]bool   // kinds for which TooOld or TooNew was returned
+	refused map[Kind]string // the last reason returned with Refused
 	cleared map[Kind]Level
-	fell    map[Kind]bool // since the last rise: Cleared is due
+	fell    map[Kind]bool // the last change was a fall, so Cleared is due
 }
 
-// NewLevels returns the levels of a process that reads what the book reads. Written is what a snapshot remembers, may be nil.
+// NewLevels returns the levels of a process that reads the schemas of the book. Written comes from a snapshot and may be nil.
 func NewLevels(id ID, book *Book, written map[Kind]Level) *Levels {
 	l := &Levels{book: book, self: Said{ID: id, Seq: 1}, heard: map[ID]Said{},
 		unfit: map[Kind]bool{}, refused: map[Kind]string{}, cleared: map[Kind]Level{}, fell: map[Kind]bool{}}
@@ -150,20 +154,20 @@
 		s.Holds = s.Hi
 		l.self.Stands = append(l.self.Stands, s)
 		if written[k].Schema != 0 {
-			l.settled = true // it was a member before
+			l.settled = true // the process was a member before
 		}
 	}
 	return l
 }
 
-// Say is what this process says now. Its Stands are a copy.
+// Say returns the current state of this process. Its Stands are a copy.
 func (l *Levels) Say() Said {
 	s := l.self
 	s.Stands = slices.Clone(s.Stands)
 	return s
 }
 
-// Known are the words of the others that are kept, by ID, to be passed on. They are not to be changed.
+// Known yields the stored states of other processes, sorted by ID, so that they can be forwarded. They must not be changed.
 func (l *Levels) Known(yield func(Said) bool) {
 	for _, id := range slices.SortedFunc(maps.Keys(l.heard), ID.compare) {
 		if !yield(l.heard[id]) {
@@ -172,10 +176,10 @@
 	}
 }
 
-// Handle takes an event in and appends what is to be done.
+// Handle processes an event and appends the resulting actions to out.
 func (l *Levels) Handle(ev Event, out []Action) []Action {
 	if ev.Kind == Heard && !l.hear(ev.Said) {
-		return out // most words have been heard before, from somebody else
+		return out // most states have already arrived from another member
 	}
 	before := l.Say()
 	switch ev.Kind {
@@ -200,7 +204,7 @@
 	}
 	for i := range l.self.Stands {
 		s := &l.self.Stands[i]
-		for was, more := *s, true; more; was = *s { // a step may be followed by the next; each raises Written or ends it
+		for was, more := *s, true; more; was = *s { // one decision may enable the next; each raises Written or ends the loop
 			out = l.decide(s, out)
 			more = *s != was
 		}
@@ -212,7 +216,7 @@
 	return out
 }
 
-// hear keeps a word, if it is a newer one of another process, and tells whether it did.
+// hear stores the state of another process if it is newer than the stored one, and reports whether it did.
 func (l *Levels) hear(s Said) bool {
 	have, known := l.heard[s.ID]
 	if s.ID == l.self.ID || known && have.Seq >= s.Seq {
@@ -259,7 +263,7 @@
 	return l.fitness(s, by, out)
 }
 
-// write takes over a level.
+// write sets the written level.
 func (l *Levels) write(s *Stand, to Level, by ID, why string, out []Action) []Action {
 	kind := Rose
 	if to.Turn > s.Written.Turn && to.Schema < s.Written.Schema {
@@ -274,7 +278,7 @@
 	return out
 }
 
-// fitness tells once when what is written leaves what this release reads, and when it is back.
+// fitness appends one action when the written schema leaves the range that this release reads, and one when it is back in range.
 func (l *Levels) fitness(s *Stand, by ID, out []Action) []Action {
 	fit := reads(s, s.Written)
 	if fit == !l.unfit[s.Kind] {
@@ -301,8 +305,8 @@
 	return written.Schema == 0 || s.Lo <= written.Schema && written.Schema <= s.Hi
 }
 
-// counted are the stands that have a say, this process's first: those of members that read what is written. False: somebody has
-// not said anything yet.
+// counted returns the stands that take part in a decision, this process's first: those of members that read the written schema. It returns
+// false if a member has not reported a state yet.
 func (l *Levels) counted(s *Stand) ([]*Stand, bool) {
 	all := append(make([]*Stand, 0, len(l.members)+1), s)
 	for _, id := range l.members {
@@ -318,7 +322,7 @@
 	return all, true
 }
 
-// target is what this member agrees to, by what it knows now.
+// target returns the level that this member agrees to, given the states that it has.
 func (l *Levels) target(s *Stand, all []*Stand, out *[]Action) (Level, bool) {
 	lo, hi, top, held := uint16(0), ^uint16(0), ^uint16(0), uint16(0)
 	for _, o := range all {
@@ -327,7 +331,7 @@
 			top = min(top, o.Held)
 		}
 		if o.Held == 0 || o.Held >= s.Written.Schema {
-			held = ^uint16(0) // not all hold it back
+			held = ^uint16(0) // not all members hold it back
 		}
 		held = max(held, o.Held)
 	}
@@ -337,7 +341,7 @@
 	if s.Held == 0 || s.Held >= s.Written.Schema {
 		return Level{}, false
 	}
-	// This one is to go down. It says so when it can't; when only others have not been told yet, it waits.
+	// This member is to go down. It reports why if it can't, and waits while the limit is not yet set at all other members.
 	if err := l.book.Way(s.Kind, s.Written.Schema, s.Held); err != nil {
 		*out = l.refuse(s, err.Error(), *out)
 		return Level{}, false
@@ -352,7 +356,7 @@
 	return Level{s.Written.Turn + 1, held}, true
 }
 
-// refuse says once why the operator's Held is not followed.
+// refuse appends one action that gives the reason why the operator's Held is not followed.
 func (l *Levels) refuse(s *Stand, why string, out []Action) []Action {
 	if l.refused[s.Kind] == why {
 		return out
@@ -361,7 +365,7 @@
 	return append(out, Action{Kind: Refused, Of: s.Kind, From: s.Written, To: Level{s.Written.Turn, s.Held}, Why: why})
 }
 
-// agreedBy is what all have agreed to, if it is more than what is written.
+// agreedBy returns the level that all members have agreed to, if it is above the written one.
 func agreedBy(s *Stand, all []*Stand) (Level, bool) {
 	to := s.Agreed
 	for _, o := range all {
@@ -369,7 +373,7 @@
 			return Level{}, false
 		}
 		if to.Turn > s.Written.Turn && o.Agreed.Schema != to.Schema {
-			return Level{}, false // going down, all have to mean the same
+			return Level{}, false // on the way down all members must agree to the same schema
 		}
 		to.Schema = min(to.Schema, o.Agreed.Schema)
 	}
@@ -381,7 +385,7 @@
 	return to, s.Written.less(to)
 }
 
-// clear tells, once after a fall, that nobody keeps anything above it.
+// clear appends one action after a fall when no member stores a record above the written schema.
 func (l *Levels) clear(s *Stand, all []*Stand, out []Action) []Action {
 	if !l.fell[s.Kind] || l.cleared[s.Kind] == s.Written {
 		return out
@@ -396,13 +400,13 @@
 		Why: fmt.Sprintf("no member keeps %s above schema %d: releases that read no more may be started", s.Kind, s.Written.Schema)})
 }
 
-// Fit tells whether this process takes part: it reads what is written, of each kind.
+// Fit reports whether this process takes part: it reads the written schema of each kind.
 func (l *Levels) Fit() bool {
 	return !slices.ContainsFunc(l.self.Stands, func(s Stand) bool { return !reads(&s, s.Written) })
 }
 
-// Written is the schema at which this process writes records of its own. While none is written by the fleet it is the lowest that
-// it reads, as others may read no more; alone it is its highest.
+// Written returns the schema at which this process writes its own records. Until the fleet has a written schema it is the lowest that the
+// process reads, because others may read no more. A process alone uses its highest.
 func (l *Levels) Written(k Kind) uint16 {
 	s := l.self.stand(k)
 	switch {
@@ -419,9 +423,9 @@
 	return s.Written.Schema
 }
 
-// Link tells at which schema a record goes to another process: the lower of what both read, and no more than what is written. A
-// record that has no way down to At may go as it stands up to Most. False: it gets none, as it has not said what it reads, is no
-// member, one of the two is unfit, or there is no schema that both read.
+// Link returns the schema at which a record is sent to another process: the highest that both read, but not above the written one. A record
+// without a path down to `at` may be sent at up to `most`. Link returns false if the other process gets no records: it has not reported
+// what it reads, it is not a member, one of the two is unfit, or there is no schema that both read.
 func (l *Levels) Link(to ID, k Kind) (at, most uint16, ok bool) {
 	s := l.self.stand(k)
 	said := l.heard[to]
--- a/schema/levels_test.go
+++ b/schema/levels_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// bookOf is a release that reads lo..hi of sessions; the steps down from `oneway` are not there.
+// bookOf returns the book of a release that reads session schemas lo to hi. The form `oneway` has no step down.
 func bookOf(lo, hi, oneway uint16) *Book {
 	b := &Book{}
 	for n := lo; n <= hi; n++ {
@@ -25,12 +25,13 @@
 	return b
 }
 
-// TestLevels runs scripts of members that hear each other:
+// TestLevels runs the scripts under testdata/levels. They guard against a fleet whose members write different schemas, or one that a
+// member can't read, after states arrive late, in part or during a partition. The commands are:
 //
 //	start NAME START reads=LO..HI [oneway=N] [written=TURN.SCHEMA] [settled]
-//	members NAME: OTHER...      what NAME remembers, each by its last start
-//	hear NAME OTHER...          NAME hears what OTHER says now
-//	all NAME...                 each hears each until nobody has anything new to say
+//	members NAME: OTHER...      the members that NAME remembers, each by its last start
+//	hear NAME OTHER...          NAME receives the current state of each OTHER
+//	all NAME...                 each receives the state of each until no state changes
 //	hold NAME N / swept NAME N / settled NAME
 //	link NAME OTHER
 func TestLevels(t *testing.T) {
@@ -119,7 +120,7 @@
 					at, most, ok := levels[name].Link(levels[w[2]].self.ID, Session)
 					fmt.Fprintf(&out, "%s to %s: at %d, most %d, %t\n", name, w[2], at, most, ok)
 				default:
-					t.Fatalf("no such word: %q", line)
+					t.Fatalf("unknown command: %q", line)
 				}
 			}
 			if d.Cmd == "state" {
--- a/schema/main_test.go
+++ b/schema/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The same draws every time; -rapid.seed=0 draws others.
+// The fixed seed makes rapid draw the same values in every run; -rapid.seed=0 draws different ones.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
--- a/schema/merge.go
+++ b/schema/merge.go
@@ -1,4 +1,5 @@
-// How two records of one key become one.
+// This file merges two records of one key.
+
 package schema
 
 import (
@@ -7,11 +8,11 @@
 	"slices"
 )
 
-// Merge joins two records of one kind and key, at the higher schema of the two. It is associative, commutative and idempotent, for
-// fields that this release does not know as well. Neither of the two is changed. On an error the first is given back.
+// Merge merges two records of one kind and key, at the higher schema of the two. It is associative, commutative and idempotent, also for
+// fields that this release does not know. Neither record is changed. On an error it returns the first one.
 func (b *Book) Merge(x, y Record) (Record, error) {
 	if x.Kind != y.Kind || x.Key != y.Key {
-		return x, fmt.Errorf("schema: merge: %s %q with %s %q: they are not of one key", x.Kind, x.Key, y.Kind, y.Key)
+		return x, fmt.Errorf("schema: merge: %s %q with %s %q: kind and key have to be the same", x.Kind, x.Key, y.Kind, y.Key)
 	}
 	at := max(x.Schema, y.Schema)
 	xs, err := b.To(x, at)
@@ -64,7 +65,7 @@
 	return out
 }
 
-// register is a number that all fields of one register have, and no other field.
+// register returns a number that is common to all fields of one register and that no other field has.
 func register(num uint32) uint32 {
 	if JoinOf(num) == Register {
 		return num - num%RegisterSize
@@ -72,7 +73,7 @@
 	return num
 }
 
-// run is how many fields at the head belong to one hundred of registers, or are one field of another join.
+// run returns how many leading fields belong to one block of registers, or 1 for a field with another join.
 func run(f []Field) int {
 	if JoinOf(f[0].Num) != Register {
 		return 1
@@ -107,7 +108,7 @@
 	return a
 }
 
-// joinRegisters takes, for each Sub of one hundred of registers, the fields of the side whose list is the larger.
+// joinRegisters takes, for each Sub of one block of registers, the fields of the side with the larger list.
 func joinRegisters(out []Field, a, c []Field) []Field {
 	from := len(out)
 	for _, f := range a {
@@ -124,7 +125,7 @@
 	return out
 }
 
-// compareRegister compares the fields with one Sub as lists.
+// compareRegister compares the fields of one Sub as lists.
 func compareRegister(a, c []Field, sub string) int {
 	for {
 		a, c = skip(a, sub), skip(c, sub)
@@ -136,7 +137,7 @@
 		case len(a) == 0:
 			return -1
 		case a[0].Num != c[0].Num:
-			if a[0].Num < c[0].Num { // the one that has the lower field: absent is less than any value
+			if a[0].Num < c[0].Num { // the side with the lower Num is larger: an absent field is less than any value
 				return 1
 			}
 			return -1
--- a/schema/record_test.go
+++ b/schema/record_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawRecord draws a record with fields of every join, known to no form: what is so kept is what an old release keeps.
+// drawRecord draws a record with fields of every join that no form defines, so a release keeps them as an old release keeps newer fields.
 func drawRecord(t *rapid.T, nums []uint32, what string) Record {
 	r := Record{Kind: Use, Schema: 1, Key: "k"}
 	for range rapid.IntRange(0, 8).Draw(t, what) {
@@ -32,7 +32,8 @@
 
 var everyJoin = []uint32{1, 2, 999, 1000, 1001, 2000, 2001, 3000, 3001, 4000, 4001, 4099, 4100, 4102, 7999, 8000, 1 << 31}
 
-// A merge is the same in any order and however often, for fields of every join, and bytes give back what was written.
+// TestMerge checks that merges are independent of order and repetition for fields of every join, and that decoding returns what was
+// encoded. Otherwise reordered or repeated messages would leave instances with different records.
 func TestMerge(t *testing.T) {
 	b := &Book{}
 	if err := b.Register(Form{Kind: Use, Number: 1}); err != nil {
@@ -50,7 +51,7 @@
 	}
 	for num, want := range map[uint32]uint64{1: 6, 1000: 6, 2000: 5, 3000: 7, 4000: 6, 8000: 6} {
 		if r, err := b.Merge(one(num, 5), one(num, 6)); err != nil || r.Int(num, "") != want {
-			t.Errorf("%d: 5 and 6 by %s are %v, not %d; %v", num, JoinOf(num), r, want, err)
+			t.Errorf("Num %d: merge of 5 and 6 by %s: got %v, want %d; error %v", num, JoinOf(num), r, want, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,9 +65,9 @@
 		wire := AppendRecord([]byte("head"), x)
 		got, err := ParseRecord(wire[4:])
 		if err != nil || !Equal(got, x) || x.Size() != len(wire)-4 {
-			t.Fatalf("%v, %v: %d bytes, said to be %d, came back as %v", err, x, len(wire)-4, x.Size(), got)
+			t.Fatalf("error %v, record %v: encoded to %d bytes, Size %d, decoded as %v", err, x, len(wire)-4, x.Size(), got)
 		}
-		// A register comes from one side as a whole, by its lowest Nums first.
+		// A register is taken from one side as a whole, ordered by its lowest Nums first.
 		xy := merge(t, x, y)
 		for _, sub := range []string{"", "a", "b"} {
 			part := func(r Record) []Field {
@@ -75,26 +76,27 @@
 			same := func(f, g Field) bool { return compareAt(f, g) == 0 && compareValue(&f, &g) == 0 }
 			px, py, pxy := part(x), part(y), part(xy)
 			if !slices.EqualFunc(pxy, px, same) && !slices.EqualFunc(pxy, py, same) {
-				t.Fatalf("register %q of\n%v and\n%v is\n%v", sub, px, py, pxy)
+				t.Fatalf("register %q merged from\n%v and\n%v is\n%v", sub, px, py, pxy)
 			}
 			if x, y := x.Int(4000, sub), y.Int(4000, sub); xy.Int(4000, sub) != max(x, y) {
-				t.Fatalf("register %q: stamps %d and %d, kept %d", sub, x, y, xy.Int(4000, sub))
+				t.Fatalf("register %q: versions %d and %d, merged %d", sub, x, y, xy.Int(4000, sub))
 			}
 		}
 	})
 }
 
-// What cannot be a record says where and what to do.
+// TestParseErrors checks that invalid bytes are rejected with an error that names the place and the remedy. Without the limits a sender
+// could make others hold more.
 func TestParseErrors(t *testing.T) {
 	good := Record{Kind: Use, Schema: 1, Key: "k", Fields: []Field{{Num: 1, Int: 300}, {Num: 2}}}
 	for name, c := range map[string]struct {
 		wire []byte
 		says string
 	}{
-		"cut":          {AppendRecord(nil, good)[:10], "byte 7: part 4: unexpected EOF: it was cut short"},
+		"cut":          {AppendRecord(nil, good)[:10], "byte 7: part 4: unexpected EOF: truncated"},
 		"cut within":   {append(AppendRecord(nil, Record{Kind: 1, Schema: 1, Key: "k"}), 0x22, 2, 0x18, 0x80), "byte 9: part 3: unexpected EOF"},
-		"empty":        {nil, "each has to be there"},
-		"double":       {AppendRecord(nil, Record{Kind: 1, Schema: 1, Key: "k", Fields: []Field{{Num: 1}, {Num: 1}}}), "out of order, or double"},
+		"empty":        {nil, "each is required"},
+		"double":       {AppendRecord(nil, Record{Kind: 1, Schema: 1, Key: "k", Fields: []Field{{Num: 1}, {Num: 1}}}), "out of order or duplicate"},
 		"no Num":       {AppendRecord(nil, Record{Kind: 1, Schema: 1, Key: "k", Fields: []Field{{Int: 1}}}), "no Num"},
 		"type":         {[]byte{0x09, 0, 0, 0, 0, 0, 0, 0, 0}, "byte 0: part 1 has protobuf type 1"},
 		"key":          {AppendRecord(nil, Record{Kind: 1, Schema: 1, Key: strings.Repeat("k", MaxKey+1)}), "512 at most"},
@@ -106,7 +108,7 @@
 		"field's type": {[]byte{0x22, 5, 0x15, 0, 0, 0, 0}, "byte 2: field's part 2 has protobuf type 5"},
 	} {
 		if _, err := ParseRecord(c.wire); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v; it is to say %q", name, err, c.says)
+			t.Errorf("%s: got error %v, want one with %q", name, err, c.says)
 		}
 	}
 	b := &Book{}
@@ -118,10 +120,11 @@
 		other.Fields = append(other.Fields, Field{Num: 1001, Sub: string([]byte{byte(i >> 8), byte(i)})})
 	}
 	if kept, err := b.Merge(large, other); !errors.Is(err, ErrTooLarge) || !Equal(kept, large) {
-		t.Errorf("a merge over the bounds: %v", err)
+		t.Errorf("merge over the limit of fields: got error %v, want ErrTooLarge and the first record", err)
 	}
 }
 
+// FuzzParseRecord checks that every accepted record survives encoding and decoding, and is unchanged when it is merged with itself.
 func FuzzParseRecord(f *testing.F) {
 	f.Add(AppendRecord(nil, Record{Kind: Session, Schema: 3, Key: "k", Rest: []byte{0x48, 1},
 		Fields: []Field{{Num: 1, Sub: "s", Int: 1 << 40, Text: []byte("t"), Rest: []byte{0x48, 1}}, {Num: 4000}}}))
@@ -137,10 +140,10 @@
 		out := AppendRecord(nil, r)
 		again, err := ParseRecord(out)
 		if err != nil || !Equal(r, again) || r.Size() != len(out) {
-			t.Fatalf("%v: %v came back as %v", err, r, again)
+			t.Fatalf("error %v: %v decoded again as %v", err, r, again)
 		}
 		if m, err := b.Merge(r, again); err == nil && !Equal(m, r) {
-			t.Fatalf("%v with itself is %v", r, m)
+			t.Fatalf("%v merged with itself is %v", r, m)
 		}
 	})
 }
--- a/schema/sweep.go
+++ b/schema/sweep.go
@@ -1,41 +1,41 @@
-// The migration of a whole shard in the background.
+// This file migrates a whole shard in the background.
+
 package schema
 
-// Shelf is where a shard's records stand. The caller holds the shard's lock over a Step.
+// Shelf is the store of a shard's records. The caller holds the shard's lock during a Step.
 type Shelf interface {
-	// After visits records by rising key, from the first whose key is greater than this one, until visit says false. Nothing is
-	// put while it runs.
+	// After visits records by rising key, starting after the given key, until visit returns false. Put is not called during After.
 	After(key string, visit func(Record) bool)
-	// Put puts a record in the place of the one of its key.
+	// Put inserts a record, or replaces the one with the same key.
 	Put(Record)
 }
 
-// Bound is how much one step of a sweep may do: so many records are looked at, and so many fields of those that are moved. What
-// stands over one bound alone is still moved, else the sweep would never end.
+// Bound limits one step of a sweep: the number of records visited, and the number of fields of the records that are moved. A single record
+// over the limit is still moved, because the sweep would never end otherwise.
 type Bound struct {
 	Records, Fields int
 }
 
-// DefaultBound holds a shard for a fraction of a millisecond; see BenchmarkSweep.
+// DefaultBound blocks a shard for a fraction of a millisecond; see BenchmarkSweep.
 var DefaultBound = Bound{Records: 64, Fields: 512}
 
-// Sweep moves the records of one kind in a shard to one schema. All that it is stands in its fields: it may be written down after
-// any step and goes on from there. A step that was broken off is done again: what it had moved is not moved twice.
+// Sweep moves the records of one kind in a shard to one schema. Its fields are its whole state, so it may be stored after any step and
+// continued later. A step that was interrupted is repeated. Records that it had already moved are not moved twice.
 type Sweep struct {
 	Kind Kind
 	To   uint16
-	At   string // the last key that was looked at
+	At   string // the last key visited
 	Done bool
 
-	Moved   int    // records that changed their schema
-	Kept    int    // that have no way to To, and stand as near to it as there is one
-	Unread  int    // that this release does not read, or whose step failed: left as they are
-	Highest uint16 // the highest schema of what was looked at, as it stands now
-	Err     error  // the last one of Unread
+	Moved   int    // records whose schema changed
+	Kept    int    // records without a path to To, left at the nearest schema that they can reach
+	Unread  int    // records that this release does not read or whose step failed, left unchanged
+	Highest uint16 // the highest schema among the visited records, after the move
+	Err     error  // the last error counted in Unread
 }
 
-// Step looks at the next records and moves them. It tells how many it looked at. What is put behind its position meanwhile has to
-// be at To already, or as near to it as Near brings it: that is what Keep does.
+// Step visits the next records, moves them and returns the number of records visited. A record that is stored behind the position of the
+// sweep meanwhile must already be at To, or at the schema that Near reaches. Keep ensures this.
 func (s *Sweep) Step(b *Book, shelf Shelf, bound Bound) int {
 	if s.Done {
 		return 0
--- a/schema/sweep_test.go
+++ b/schema/sweep_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// halves is a shelf that dies in the middle of a step.
+// crashingShelf panics in the middle of a step, after a number of Puts.
 type halves struct {
 	*Table
 	left int
@@ -25,7 +25,8 @@
 	h.Table.Put(r)
 }
 
-// A sweep that is broken off anywhere, even within a step, goes on from its last position, moves all, and none twice.
+// A sweep that is interrupted, even within a step, continues from its last stored position, moves all records and moves none twice. After a
+// crash between two Puts some records of the step are already moved, and a second conversion would scale their values again.
 func TestSweepBrokenOff(t *testing.T) {
 	b := fleetBook(true)
 	for seed := range uint64(200) {
@@ -41,7 +42,7 @@
 		bound := Bound{Records: 1 + rng.IntN(9), Fields: 1 + rng.IntN(9)}
 		for steps := 0; !sweep.Done; steps++ {
 			if steps > 20*n+200 {
-				t.Fatalf("seed %d: no end: %+v", seed, sweep)
+				t.Fatalf("seed %d: the sweep does not end: %+v", seed, sweep)
 			}
 			next := sweep
 			func() {
@@ -50,7 +51,7 @@
 						if _, mine := got.(*halves); !mine {
 							panic(got)
 						}
-						next = sweep // the position is where it was, the shelf is half done
+						next = sweep // the position is unchanged, the shelf is partly updated
 					}
 				}()
 				left := 1 << 30
@@ -58,11 +59,11 @@
 					left = rng.IntN(3)
 				}
 				if looked := next.Step(b, &halves{table, left}, bound); looked > bound.Records {
-					t.Fatalf("seed %d: looked at %d, %d at most", seed, looked, bound.Records)
+					t.Fatalf("seed %d: visited %d records, limit %d", seed, looked, bound.Records)
 				}
 			}()
 			sweep = next
-			if k := fmt.Sprintf("%03d", rng.IntN(n)); k <= sweep.At { // what is touched behind the position stays moved
+			if k := fmt.Sprintf("%03d", rng.IntN(n)); k <= sweep.At { // a record that is updated behind the position stays at the new schema
 				r, _ := table.Get(k)
 				got, err := b.Keep(&r, Record{Kind: Use, Schema: 1, Key: k}, 3)
 				if err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// cpu is what this thread has worked: unlike the wall clock it does not count the time in which another program had the processor.
+// cpu returns the CPU time of this thread. Unlike the wall clock it does not include time in which other programs ran on the processor.
 func cpu(b *testing.B) time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts); err != nil {
@@ -94,7 +95,7 @@
 	return time.Duration(ts.Nano())
 }
 
-// A million records, as a shard could hold them: how long a step holds it, by the wall clock and in work.
+// BenchmarkSweep sweeps a shard of a million records. It measures how long a step blocks the shard, in wall-clock time and in CPU time.
 func BenchmarkSweep(b *testing.B) {
 	book := fleetBook(false)
 	for _, bound := range []Bound{DefaultBound, {128, 1024}, {2048, 1 << 14}} {
@@ -134,7 +135,7 @@
 	}
 }
 
-// What a record costs on its way: 24 counters, as of one tenant in a fleet of eight.
+// BenchmarkRecord measures the operations on one record of 24 counters, as of one tenant in a fleet of eight.
 func BenchmarkRecord(b *testing.B) {
 	book := fleetBook(false)
 	x := Record{Kind: Use, Schema: 3, Key: "tenant-0000007"}
--- a/schema/table.go
+++ b/schema/table.go
@@ -1,26 +1,27 @@
-// A shard's records in order of their keys.
+// This file has an in-memory store of a shard's records, ordered by key.
+
 package schema
 
 import "github.com/tidwall/btree"
 
-// Table is a Shelf of one kind, in memory. It has no lock of its own. The zero value is empty.
+// Table is an in-memory Shelf for records of one kind. It does no locking. The zero value is empty.
 type Table struct {
 	records btree.Map[string, Record]
 }
 
-// Get finds a record.
+// Get returns the record with this key.
 func (t *Table) Get(key string) (Record, bool) { return t.records.Get(key) }
 
-// Put puts a record in the place of the one of its key.
+// Put inserts a record, or replaces the one with the same key.
 func (t *Table) Put(r Record) { t.records.Set(r.Key, r) }
 
-// Delete takes one out.
+// Delete removes the record with this key.
 func (t *Table) Delete(key string) { t.records.Delete(key) }
 
-// Len is how many there are.
+// Len returns the number of records.
 func (t *Table) Len() int { return t.records.Len() }
 
-// After visits by rising key, from the first that is greater.
+// After visits records by rising key, starting after the given key, until visit returns false.
 func (t *Table) After(key string, visit func(Record) bool) {
 	t.records.Ascend(key, func(k string, r Record) bool {
 		return k == key || visit(r)
--- a/schema/types.go
+++ b/schema/types.go
@@ -1,9 +1,7 @@
-// Package schema is about state that outlives its form. What instances tell each other and keep are records; each kind of record
-// has numbered forms (schemas), with a pure step up and a pure step down between neighbours, whose loss is declared. The package
-// moves records between forms, merges them, says which form is written while a fleet is upgraded or rolled back, and migrates a
-// shard in steps of bounded size. It is pure: no I/O, no clock, no goroutine, no log.
-//
-// This file has the types of records and forms.
+// Package schema versions the records that instances exchange and store. Each kind of record has numbered forms (schemas). A pure step up
+// and a pure step down lead between neighbouring forms, and each step declares what it loses. The package converts records between forms,
+// merges them, decides which form is written during a rolling upgrade or a rollback, and migrates a shard in steps of bounded size.
+// It does no I/O, reads no clock, starts no goroutine and writes no log.
 package schema
 
 import (
@@ -13,16 +11,16 @@
 	"strconv"
 )
 
-// Kind is what a record is about. Its numbers are on the wire and in snapshots: none is ever given to something else.
+// Kind is the kind of a record. Its numbers are on the wire and in snapshots, so a number is never reused.
 type Kind uint8
 
 // Kinds of records.
 const (
-	Use     Kind = 1 // what a tenant has used
-	Session Kind = 2 // what is known of a client's session
+	Use     Kind = 1 // the usage of a tenant
+	Session Kind = 2 // the state of a client's session
 )
 
-// Kinds are all of them, in order.
+// Kinds lists all kinds, in order.
 var Kinds = [...]Kind{Use, Session}
 
 func (k Kind) String() string {
@@ -35,45 +33,47 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Bounds of a record. What is over them is refused when it is parsed, merged and moved, so nobody can make others hold more.
+// Limits of a record. A record over them is rejected when it is parsed, merged or converted, so that no sender can make other instances
+// hold more.
 const (
 	MaxKey    = 512       // bytes of a key
 	MaxSub    = 256       // bytes of a field's Sub
-	MaxText   = 64 << 10  // bytes of a field's Text, and of what is kept unread of it
+	MaxText   = 64 << 10  // bytes of a field's Text, and of its Rest
 	MaxFields = 1 << 14   // fields of a record
-	MaxRecord = 512 << 10 // bytes of a record as it is written
+	MaxRecord = 512 << 10 // bytes of an encoded record
 )
 
-// Field is one value of a record: Num says which, Sub which of several (an instance and its start, a class, a window). Rest is
-// what a later release has written into this field that this one does not know: it is kept as it came.
+// Field is one value of a record. Num identifies the field. Sub separates several values of one Num, such as those of an instance with
+// its start time, a class or a window. Rest holds the bytes that a later release has written into the field and that this release can't
+// decode. They are kept unchanged.
 type Field struct {
 	Num  uint32
 	Sub  string
 	Int  uint64
-	Text []byte // not changed once it is in a record: copies share it
+	Text []byte // immutable once it is in a record, because copies share it
 	Rest []byte
 }
 
-// Record is a value of one kind under one key, in the form with the number Schema. Fields are sorted by (Num, Sub), one of each.
-// Fields whose Num the form does not know are kept and merged like all others.
+// Record is a value of one kind under one key, in the form with the number Schema. Fields are sorted by (Num, Sub), and each pair occurs
+// once. Fields whose Num the form does not define are kept and merged like all others.
 type Record struct {
 	Kind   Kind
 	Schema uint16
 	Key    string
 	Fields []Field
-	Rest   []byte // what a later release has written beside the fields, as it came
+	Rest   []byte // unknown parts beside the fields, written by a later release, unchanged
 }
 
-// Join is how two values of a field become one. Each is associative, commutative and idempotent, so no order, loss or repeat of
-// messages spoils a merge.
+// Join is the rule that merges two values of a field. Each is associative, commutative and idempotent, so messages may be reordered, lost
+// or repeated without affecting the result of a merge.
 type Join uint8
 
-// Joins. A field's number says its join (see JoinOf): so a release that does not know a field joins it as one that does.
+// Joins. The number of a field determines its join (see JoinOf), so a release that does not know a field merges it like one that does.
 const (
-	Keep     Join = iota // no order of its own: the larger of (Int, Text, Rest), so that all keep the same
-	Max                  // the larger of (Int, Text, Rest): counters, ends that are put off
-	Min                  // the lesser of (Int, Text, Rest)
-	Or                   // the bits of both Ints, the larger Text
+	Keep     Join = iota // for values without an order: the larger of (Int, Text, Rest), so that all instances keep the same one
+	Max                  // the larger of (Int, Text, Rest), for counters and for deadlines that are extended
+	Min                  // the smaller of (Int, Text, Rest)
+	Or                   // the bitwise OR of both Ints, and the larger Text
 	Register             // part of a register, which is taken from one side as a whole
 )
 
@@ -86,10 +86,12 @@
 
 var joinNames = [...]string{"keep", "max", "min", "or", "register"}
 
-// Numbers of fields. The thousands of a Num say its join for ever: 1..999 Keep, 1000..1999 Max, 2000..2999 Min, 3000..3999 Or,
-// 4000..7999 Register; from 8000 on Keep. A register is a hundred of Nums (4000..4099, 4100..4199, ...) under one Sub: its fields
-// are compared as a list, by rising Num, each by (Int, Text, Rest), a field that is there before one that is not; the larger
-// list holds as a whole. So the lowest Nums of a register are its stamp: "ordered by call, then by state" is call 4000, state 4001.
+// Numbers of fields. The range of a Num determines its join, and this never changes: 1 to 999 Keep, 1000 to 1999 Max, 2000 to 2999 Min,
+// 3000 to 3999 Or, 4000 to 7999 Register, from 8000 on Keep.
+//
+// A register is a block of a hundred Nums (4000 to 4099, 4100 to 4199, ...) under one Sub. The fields of two registers are compared as
+// lists, by rising Num, each by (Int, Text, Rest). A present field is larger than an absent one. The larger list wins as a whole. So the
+// lowest Nums of a register are its version: for the order "by call, then by state" the call is 4000 and the state 4001.
 const (
 	KeepNum      = 1
 	MaxNum       = 1000
@@ -97,10 +99,10 @@
 	OrNum        = 3000
 	RegisterNum  = 4000
 	RegisterSize = 100
-	afterNum     = 8000 // not given out yet: a later release may say its own join, and writes them only where all know it
+	afterNum     = 8000 // reserved: a later release may define a join for these numbers and write them only where all instances know it
 )
 
-// JoinOf tells the join of a field's number.
+// JoinOf returns the join of a field's number.
 func JoinOf(num uint32) Join {
 	switch {
 	case num < MaxNum || num >= afterNum:
@@ -115,52 +117,54 @@
 	return Register
 }
 
-// FieldDef is a field that a form knows.
+// FieldDef describes a field that a form defines.
 type FieldDef struct {
 	Num  uint32
-	Name string // in words, for errors and pages
-	Join Join   // the one that JoinOf tells: said once more so that a reader of the form sees it
+	Name string // descriptive, for errors and documentation
+	Join Join   // equal to JoinOf(Num), repeated so that a reader of the form sees it
 }
 
-// Loss is what a step does not keep. The zero value: nothing.
+// Loss declares what a step does not preserve. The zero value means that nothing is lost.
 type Loss struct {
-	Never   bool     // there is no such step; What of the step says why
-	Of      []uint32 // Nums that may come back otherwise from this step and the one against it
-	Default string   // in words: what stands in their place
+	Never   bool     // the step does not exist; the step's What gives the reason
+	Of      []uint32 // Nums that may differ after this step and the opposite one
+	Default string   // describes the values that replace the lost ones
 }
 
-// None is a step that keeps all.
+// None is the Loss of a step that preserves everything.
 var None = Loss{}
 
-// Impossible is a step that there is not.
+// Impossible is the Loss of a step that does not exist.
 var Impossible = Loss{Never: true}
 
-// Named is a step after which these Nums have a default, which is named in words.
+// Named returns the Loss of a step after which these Nums have the described default.
 func Named(byDefault string, nums ...uint32) Loss { return Loss{Of: nums, Default: byDefault} }
 
-// Step turns a record of one form into one of its neighbour's. Do is pure. It gets a record whose Fields are its own (Texts are
-// shared and not to be changed), may change them in place and return them in any order; the Book sorts them and sets the Schema.
-// It keeps every Num that it does not know. A nil Do changes no field: that is all there is to do for a field that is new, as the
-// form before keeps it without knowing it. The law (see Book.Law) forbids more than it seems: a default has to be the least value
-// of its join, and a total that is taken apart on the way up, or added up on the way down, is counted twice when it meets itself.
-// So a total keeps one Num through all forms, and what it is made of stands beside it.
+// Step converts a record of one form into a neighbouring form. Do is pure. It gets a record that owns its Fields. It may change them in
+// place and return them in any order, but the Texts are shared and must not be changed. The Book sorts the fields and sets the Schema.
+// Do keeps every Num that it does not know. A nil Do changes no field. That is enough for a step that only adds a field, because the
+// earlier form keeps the field without knowing it.
+//
+// The laws (see Book.Law) have two consequences. A default has to be the smallest value of its join. A total that is split on the way up,
+// or summed on the way down, is counted twice when the converted record is merged with the original. So a total keeps one Num in all
+// forms, and its parts are stored beside it.
 type Step struct {
 	Do   func(Record) (Record, error)
 	Loss Loss
-	What string // in words: what it does, or why there is none
+	What string // describes the conversion, or why it does not exist
 }
 
-// Form is one schema of a kind. Forms of a kind are numbered without a gap. Up leads here from the form before, Down from here to
-// the form before; the first form that a release knows has neither.
+// Form is one schema of a kind. The forms of a kind are numbered without a gap. Up converts from the previous form to this one, Down from
+// this form to the previous one. The first form that a release knows has neither.
 type Form struct {
 	Kind     Kind
 	Number   uint16
 	Name     string
 	Fields   []FieldDef
 	Up, Down Step
-	// Tells says what of a record may not change with its form: counts and marks by name, the names alike in all forms that tell
-	// them, each told by 0 when there is none. By no migration does one fall; by one without loss none rises. Nil: the sum of each
-	// Max field's Ints by its Name.
+	// Tells returns the totals of a record that a change of form must preserve, by name. A name means the same in all forms that return
+	// it, and a form returns 0 for an absent value. No migration lowers a total, and a migration without loss does not raise one. If nil, the
+	// totals are the sums of the Ints of each Max field, by the field's Name.
 	Tells func(Record) map[string]uint64
 }
 
@@ -171,7 +175,7 @@
 	return cmp.Compare(a.Sub, b.Sub)
 }
 
-// compareValue orders what two fields hold.
+// compareValue orders two fields by their contents.
 func compareValue(a, b *Field) int {
 	if c := cmp.Compare(a.Int, b.Int); c != 0 {
 		return c
@@ -182,7 +186,7 @@
 	return bytes.Compare(a.Rest, b.Rest)
 }
 
-// Get finds a field.
+// Get returns the field with this Num and Sub.
 func (r Record) Get(num uint32, sub string) (Field, bool) {
 	at, found := slices.BinarySearchFunc(r.Fields, Field{Num: num, Sub: sub}, compareAt)
 	if !found {
@@ -191,13 +195,13 @@
 	return r.Fields[at], true
 }
 
-// Int is a field's Int, 0 when it is not there.
+// Int returns the Int of a field, or 0 if the field is absent.
 func (r Record) Int(num uint32, sub string) uint64 {
 	f, _ := r.Get(num, sub)
 	return f.Int
 }
 
-// All are the fields of one Num, by Sub. They are the record's own.
+// All returns the fields of one Num, sorted by Sub. The slice is part of the record.
 func (r Record) All(num uint32) []Field {
 	from, _ := slices.BinarySearchFunc(r.Fields, Field{Num: num}, compareAt)
 	to := from
@@ -207,7 +211,7 @@
 	return r.Fields[from:to]
 }
 
-// Set puts a field in its place, instead of the one that stands there.
+// Set inserts a field, or replaces the one with the same Num and Sub.
 func (r *Record) Set(f Field) {
 	at, found := slices.BinarySearchFunc(r.Fields, f, compareAt)
 	if found {
@@ -217,12 +221,12 @@
 	r.Fields = slices.Insert(r.Fields, at, f)
 }
 
-// Drop takes out all fields of these Nums.
+// Drop removes all fields of these Nums.
 func (r *Record) Drop(nums ...uint32) {
 	r.Fields = slices.DeleteFunc(r.Fields, func(f Field) bool { return slices.Contains(nums, f.Num) })
 }
 
-// Clone is a record with Fields of its own. Texts and Rests are shared.
+// Clone returns a copy of the record that owns its Fields. Texts and Rests are shared.
 func (r Record) Clone() Record {
 	r.Fields = slices.Clone(r.Fields)
 	return r
--- a/schema/wire.go
+++ b/schema/wire.go
@@ -1,9 +1,10 @@
-// Records as bytes, in protobuf's encoding:
+// This file encodes records in the protobuf wire format:
 //
 //	message Record { uint32 kind = 1; uint32 schema = 2; bytes key = 3; repeated Field fields = 4; }
 //	message Field  { uint32 num = 1; bytes sub = 2; uint64 int = 3; bytes text = 4; }
 //
-// Zero values are not written. What has another number is kept in Rest as it came, and written again behind what is known.
+// Zero values are not written. Parts with other numbers are kept in Rest unchanged, and are written again after the known ones.
+
 package schema
 
 import (
@@ -13,10 +14,10 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Check tells what of a record cannot be written: fields out of order or double, or something over its bounds.
+// Check returns an error if a record cannot be encoded: its fields are out of order or duplicated, or it exceeds a limit.
 func (r Record) Check() error {
 	if r.Kind == 0 || r.Schema == 0 || r.Key == "" {
-		return fmt.Errorf("record: kind %d, schema %d, key %q: each has to be there", r.Kind, r.Schema, r.Key)
+		return fmt.Errorf("record: kind %d, schema %d, key %q: each is required", r.Kind, r.Schema, r.Key)
 	}
 	if len(r.Key) > MaxKey {
 		return fmt.Errorf("record: key: %d bytes, %d at most: %w: shorten or hash the key", len(r.Key), MaxKey, ErrTooLarge)
@@ -31,7 +32,7 @@
 			return fmt.Errorf("record %q: field %d: no Num", r.Key, i)
 		}
 		if i > 0 && compareAt(r.Fields[i-1], *f) >= 0 {
-			return fmt.Errorf("record %q: field %d (%d %q): out of order, or double: sort by Num and Sub, one of each", r.Key, i, f.Num, f.Sub)
+			return fmt.Errorf("record %q: field %d (%d %q): out of order or duplicate: sort by Num and Sub, each pair once", r.Key, i, f.Num, f.Sub)
 		}
 		if len(f.Sub) > MaxSub || len(f.Text) > MaxText || len(f.Rest) > MaxText {
 			return fmt.Errorf("record %q: field %d (%d): Sub, Text and Rest of %d, %d and %d bytes, %d, %d and %d at most: %w",
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// frame is the size of all but the fields.
+// frame returns the encoded size of everything except the fields.
 func (r *Record) frame() int {
 	return 1 + protowire.SizeVarint(uint64(r.Kind)) + 1 + protowire.SizeVarint(uint64(r.Schema)) + 1 + protowire.SizeBytes(len(r.Key)) + len(r.Rest)
 }
@@ -64,7 +65,7 @@
 	return n
 }
 
-// Size is how many bytes AppendRecord writes.
+// Size returns the number of bytes that AppendRecord writes.
 func (r Record) Size() int {
 	n := r.frame()
 	for i := range r.Fields {
@@ -73,7 +74,7 @@
 	return n
 }
 
-// AppendRecord writes a record that Check finds nothing wrong with.
+// AppendRecord appends the encoding of a record. Check must return nil for the record.
 func AppendRecord(dst []byte, r Record) []byte {
 	dst = protowire.AppendVarint(protowire.AppendTag(dst, 1, protowire.VarintType), uint64(r.Kind))
 	dst = protowire.AppendVarint(protowire.AppendTag(dst, 2, protowire.VarintType), uint64(r.Schema))
@@ -96,7 +97,7 @@
 	return append(dst, r.Rest...)
 }
 
-// ParseRecord reads one record that fills all of b. Texts and Rests are copies. An error says at which byte and what is to be done.
+// ParseRecord decodes one record that fills all of b. Texts and Rests are copies. An error names the byte offset and the remedy.
 func ParseRecord(b []byte) (Record, error) {
 	if len(b) > MaxRecord {
 		return Record{}, fmt.Errorf("record: %d bytes, %d at most: %w", len(b), MaxRecord, ErrTooLarge)
@@ -126,7 +127,7 @@
 			}
 			r.Fields = append(r.Fields, f)
 		case p.num <= 4:
-			return fmt.Errorf("record: byte %d: part %d has protobuf type %d, which it never has: drop it, its sender is broken", at, p.num, p.typ)
+			return fmt.Errorf("record: byte %d: part %d has protobuf type %d, which is not valid: drop the record, its sender is faulty", at, p.num, p.typ)
 		default:
 			r.Rest = append(r.Rest, p.raw...)
 		}
@@ -160,7 +161,7 @@
 				f.Text = append([]byte(nil), p.bytes...)
 			}
 		case p.num <= 4:
-			return fmt.Errorf("record: byte %d: field's part %d has protobuf type %d, which it never has: drop it, its sender is broken", at, p.num, p.typ)
+			return fmt.Errorf("record: byte %d: field's part %d has protobuf type %d, which is not valid: drop the record, its sender is faulty", at, p.num, p.typ)
 		default:
 			f.Rest = append(f.Rest, p.raw...)
 		}
@@ -169,21 +170,21 @@
 	return f, err
 }
 
-// part is one numbered part of a message.
+// part is one numbered part of a protobuf message.
 type part struct {
 	num   protowire.Number
 	typ   protowire.Type
-	int   uint64 // varints
-	bytes []byte // length-delimited
-	raw   []byte // with its tag
+	int   uint64 // value of a varint
+	bytes []byte // value of a length-delimited part
+	raw   []byte // the whole part, including its tag
 }
 
-// eachPart calls for each part of a message that begins at byte from of the record.
+// eachPart calls do for each part of a message. The message begins at byte from of the record.
 func eachPart(b []byte, from int, do func(at int, p part) error) error {
 	for at := 0; at < len(b); {
 		num, typ, n := protowire.ConsumeTag(b[at:])
 		if n < 0 {
-			return fmt.Errorf("record: byte %d: %w: it was cut short or is not a record: drop it", from+at, protowire.ParseError(n))
+			return fmt.Errorf("record: byte %d: %w: truncated or not a record: drop it", from+at, protowire.ParseError(n))
 		}
 		p := part{num: num, typ: typ}
 		m := 0
@@ -196,7 +197,7 @@
 			m = protowire.ConsumeFieldValue(num, typ, b[at+n:])
 		}
 		if m < 0 {
-			return fmt.Errorf("record: byte %d: part %d: %w: it was cut short or is not a record: drop it", from+at, num, protowire.ParseError(m))
+			return fmt.Errorf("record: byte %d: part %d: %w: truncated or not a record: drop it", from+at, num, protowire.ParseError(m))
 		}
 		p.raw = b[at : at+n+m]
 		if err := do(from+at, p); err != nil {
