--- a/schema/book.go
+++ b/schema/book.go
@@ -181,12 +181,12 @@
 	return b.To(r, schema)
 }
 
-// Within returns the record for a receiver that reads at most the schema `most`. It converts to schema `at` where there is a path to it,
-// and returns an error if the record cannot be sent at all. Levels.Link returns both numbers.
-func (b *Book) Within(r Record, at, most uint16) (Record, error) {
+// Within returns the record for a receiver that reads at most maxSchema. It converts to schema `at` where there is a path to it, and
+// returns an error if the record cannot be sent at all. Levels.Link returns both numbers.
+func (b *Book) Within(r Record, at, maxSchema uint16) (Record, error) {
 	out, err := b.Near(r, at)
-	if err == nil && out.Schema > most {
-		err = b.Way(r.Kind, r.Schema, most)
+	if err == nil && out.Schema > maxSchema {
+		err = b.Way(r.Kind, r.Schema, maxSchema)
 	}
 	if err != nil {
 		return r, fmt.Errorf("schema: %s %q: not sent: %w", r.Kind, r.Key, err)
--- a/schema/law.go
+++ b/schema/law.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// strangers are fields that no form defines, one of each join. Steps and merges must preserve them.
-var strangers = []Field{
+// unknownFields are fields that no form defines, one of each join. Steps and merges must preserve them.
+var unknownFields = []Field{
 	{Num: MaxNum - 1, Sub: "strange", Int: 7, Text: []byte("x"), Rest: []byte{0x28, 1}},
 	{Num: MinNum - 1, Sub: "strange", Int: 8},
 	{Num: OrNum - 1, Sub: "strange", Int: 9},
@@ -32,7 +32,7 @@
 // example, one is the later.
 func (b *Book) Law(x, y Record) error {
 	at := max(x.Schema, y.Schema)
-	met, err := b.Merge(x, y)
+	merged, err := b.Merge(x, y)
 	if err != nil {
 		return err
 	}
@@ -42,13 +42,13 @@
 	if y, err = b.To(y, at); err != nil {
 		return err
 	}
-	if first, err := b.Merge(x, y); err != nil || !Equal(met, first) {
-		return broken(fmt.Sprintf("a merge equals that of both records converted to the higher schema %d first (%v)", at, err), met, first, x, y)
+	if first, err := b.Merge(x, y); err != nil || !Equal(merged, first) {
+		return violation(fmt.Sprintf("a merge equals that of both records converted to the higher schema %d first (%v)", at, err), merged, first, x, y)
 	}
-	if err := b.lawOfMerge(x, y); err != nil {
+	if err := b.checkMerge(x, y); err != nil {
 		return err
 	}
-	if err := b.lawOfUp(x, y); err != nil {
+	if err := b.checkUpOfMerge(x, y); err != nil {
 		return err
 	}
 	for _, r := range []Record{x, y} {
@@ -57,7 +57,7 @@
 			if b.Way(r.Kind, at, s) != nil || s == at {
 				continue
 			}
-			if err := b.lawOfWay(r, s); err != nil {
+			if err := b.checkRoundTrip(r, s); err != nil {
 				return err
 			}
 		}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func (b *Book) lawOfMerge(x, y Record) error {
+func (b *Book) checkMerge(x, y Record) error {
 	xy, err := b.Merge(x, y)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 		return err
 	}
 	if !Equal(xy, yx) {
-		return broken("merge is commutative", xy, yx, x, y)
+		return violation("merge is commutative", xy, yx, x, y)
 	}
 	for _, r := range []Record{x, y} {
 		again, err := b.Merge(xy, r)
@@ -83,16 +83,16 @@
 			return err
 		}
 		if !Equal(again, xy) {
-			return broken("merge is idempotent", again, xy, x, y)
+			return violation("merge is idempotent", again, xy, x, y)
 		}
-		if name, was, is, ok := b.fell(r, xy); !ok {
+		if name, was, is, ok := b.loweredTotal(r, xy); !ok {
 			return fmt.Errorf("schema: law: a merge lowers no total: %q from %d to %d: %v", name, was, is, []Record{x, y})
 		}
 	}
 	return nil
 }
 
-func (b *Book) lawOfUp(x, y Record) error {
+func (b *Book) checkUpOfMerge(x, y Record) error {
 	xy, err := b.Merge(x, y)
 	if err != nil {
 		return err
@@ -116,51 +116,51 @@
 			return err
 		}
 		if !Equal(up, ups) {
-			return broken(fmt.Sprintf("up to %d of a merge is the merge of both records taken up", s), up, ups, x, y)
+			return violation(fmt.Sprintf("up to %d of a merge is the merge of both records taken up", s), up, ups, x, y)
 		}
 	}
 	return nil
 }
 
-// lawOfWay checks the conversion of one record to another schema and back.
-func (b *Book) lawOfWay(r Record, s uint16) error {
-	own := r.Clone()
-	for _, f := range strangers {
-		if _, known := own.Get(f.Num, f.Sub); !known {
-			own.Set(f)
+// checkRoundTrip checks the conversion of one record to another schema and back.
+func (b *Book) checkRoundTrip(r Record, s uint16) error {
+	original := r.Clone()
+	for _, f := range unknownFields {
+		if _, known := original.Get(f.Num, f.Sub); !known {
+			original.Set(f)
 		}
 	}
-	sure := own.Clone()
-	for i := range sure.Fields {
-		sure.Fields[i].Text = bytes.Clone(sure.Fields[i].Text)
+	before := original.Clone()
+	for i := range before.Fields {
+		before.Fields[i].Text = bytes.Clone(before.Fields[i].Text)
 	}
-	there, err := b.To(own, s)
+	converted, err := b.To(original, s)
 	if err != nil {
 		return err
 	}
-	if !Equal(own, sure) {
-		return broken("a step does not change its input", own, sure, r)
+	if !Equal(original, before) {
+		return violation("a step does not change its input", original, before, r)
 	}
-	back, err := b.To(there, r.Schema)
+	back, err := b.To(converted, r.Schema)
 	if b.Way(r.Kind, s, r.Schema) != nil {
-		back, err = there, nil // the path up has no path back down
+		back, err = converted, nil // the path up has no path back down
 	}
 	if err != nil {
 		return err
 	}
-	for _, f := range strangers {
-		for _, o := range []Record{there, back} {
+	for _, f := range unknownFields {
+		for _, o := range []Record{converted, back} {
 			if have, ok := o.Get(f.Num, f.Sub); !ok || compareValue(&have, &f) != 0 {
-				return broken(fmt.Sprintf("an unknown field (Num %d) passes unchanged through schema %d", f.Num, s), o, own, r)
+				return violation(fmt.Sprintf("an unknown field (Num %d) passes unchanged through schema %d", f.Num, s), o, original, r)
 			}
 		}
 	}
-	lost := b.lost(r.Kind, r.Schema, s)
-	if name, was, is, ok := b.fell(own, there); !ok {
+	lost := b.lostNums(r.Kind, r.Schema, s)
+	if name, was, is, ok := b.loweredTotal(original, converted); !ok {
 		return fmt.Errorf("schema: law: no total falls from schema %d to %d: %q from %d to %d: %v", r.Schema, s, name, was, is, r)
 	}
 	if len(lost) == 0 {
-		if name, was, is, ok := b.fell(there, own); !ok {
+		if name, was, is, ok := b.loweredTotal(converted, original); !ok {
 			return fmt.Errorf("schema: law: no total rises from schema %d to %d: %q from %d to %d: %v", r.Schema, s, name, is, was, r)
 		}
 	}
@@ -168,24 +168,24 @@
 		return nil
 	}
 	// Over several steps a lost Num may have another number in between, so losses are compared only across a single step.
-	if a, c := without(own, lost), without(back, lost); !Equal(a, c) && (len(lost) == 0 || s+1 == r.Schema || s == r.Schema+1) {
-		return broken(fmt.Sprintf("to schema %d and back changes only what is declared as lost %v", s, lost), c, a, r)
+	if a, c := without(original, lost), without(back, lost); !Equal(a, c) && (len(lost) == 0 || s+1 == r.Schema || s == r.Schema+1) {
+		return violation(fmt.Sprintf("to schema %d and back changes only what is declared as lost %v", s, lost), c, a, r)
 	}
 	// One member has converted the record there and back, another has not. Their records are merged.
-	met, err := b.Merge(own, back)
+	merged, err := b.Merge(original, back)
 	if err != nil {
 		return err
 	}
-	for _, o := range [][2]Record{{own, met}, {met, own}} {
-		if name, was, is, ok := b.fell(o[0], o[1]); !ok {
+	for _, o := range [][2]Record{{original, merged}, {merged, original}} {
+		if name, was, is, ok := b.loweredTotal(o[0], o[1]); !ok {
 			return fmt.Errorf("schema: law: a merge with a copy back from schema %d keeps the totals: %q: %d and %d: %v", s, name, was, is, r)
 		}
 	}
 	return nil
 }
 
-// lost returns the Nums that the steps between two schemas declare lost, in both directions.
-func (b *Book) lost(k Kind, s, t uint16) []uint32 {
+// lostNums returns the Nums that the steps between two schemas declare lostNums, in both directions.
+func (b *Book) lostNums(k Kind, s, t uint16) []uint32 {
 	var nums []uint32
 	for n := min(s, t) + 1; n <= max(s, t); n++ {
 		f := b.form(k, n)
@@ -214,8 +214,9 @@
 	return out
 }
 
-// fell returns a total that is lower in the second record than in the first, where both forms return it; ok is false if there is one.
-func (b *Book) fell(from, to Record) (name string, was, is uint64, ok bool) {
+// loweredTotal returns a total that is lower in the second record than in the first, where both forms return it; ok is false if there is
+// one.
+func (b *Book) loweredTotal(from, to Record) (name string, was, is uint64, ok bool) {
 	after := b.Tells(to)
 	for name, was := range b.Tells(from) {
 		if is, told := after[name]; (told || from.Schema == to.Schema) && is < was {
@@ -237,6 +238,6 @@
 		slices.EqualFunc(a.Fields, c.Fields, func(f, g Field) bool { return compareAt(f, g) == 0 && compareValue(&f, &g) == 0 })
 }
 
-func broken(law string, got, want Record, of ...Record) error {
+func violation(law string, got, want Record, of ...Record) error {
 	return fmt.Errorf("schema: law: %s:\n got %v\nwant %v\n  of %v", law, got, want, of)
 }
--- a/schema/levels.go
+++ b/schema/levels.go
@@ -8,9 +8,9 @@
 //     this schema once all members have reported that they agree. "All" covers every member that is not forgotten, including dead ones.
 //     A member that has reported nothing yet counts as one that reads nothing. So if a member writes schema L, every process that any
 //     of its members knew reads L.
-//   - Down, with the next turn. This requires that the operator has set a lower limit (Held) at every member. A member agrees to the
-//     highest of these limits, and writes it once all members have agreed. A release that reads no more than this schema may be started
-//     only after Cleared, when no member holds a record above it any more.
+//   - Down, with the next turn. This requires that the operator has set an upper limit (Held) below the written schema at every member. A
+//     member agrees to the highest of these limits, and writes it once all members have agreed. A release that reads no more than this
+//     schema may be started only after Cleared, when no member holds a record above it any more.
 //
 // A member that does not read the written schema is unfit. It gets a TooOld or TooNew action and takes no part: no member sends it
 // records or waits for it. It serves like an isolated instance until it is upgraded or the level is taken back. A member that has not
@@ -128,33 +128,34 @@
 	Why      string
 }
 
-// maxMembers limits the stored states: those of members, and as many of processes that are not members yet.
+// maxMembers limits the states of processes that are not members yet: such a state is stored only while fewer than maxMembers states
+// are stored in all. States of members are always stored.
 const maxMembers = 4096
 
 // Levels is one member's view of the written levels. It reads no clock, and no decision depends on a duration.
 type Levels struct {
-	book    *Book
-	self    Said
-	members []ID // without this process
-	heard   map[ID]Said
-	settled bool
-	unfit   map[Kind]bool   // kinds for which TooOld or TooNew was returned
-	refused map[Kind]string // the last reason returned with Refused
-	cleared map[Kind]Level
-	fell    map[Kind]bool // the last change was a fall, so Cleared is due
+	book       *Book
+	self       Said
+	members    []ID // without this process
+	states     map[ID]Said
+	isSettled  bool
+	isUnfit    map[Kind]bool   // kinds for which TooOld or TooNew was returned
+	refusedWhy map[Kind]string // the last reason returned with Refused
+	cleared    map[Kind]Level
+	hasFallen  map[Kind]bool // the last change was a fall, so Cleared is due
 }
 
 // NewLevels returns the levels of a process that reads the schemas of the book. Written comes from a snapshot and may be nil.
 func NewLevels(id ID, book *Book, written map[Kind]Level) *Levels {
-	l := &Levels{book: book, self: Said{ID: id, Seq: 1}, heard: map[ID]Said{},
-		unfit: map[Kind]bool{}, refused: map[Kind]string{}, cleared: map[Kind]Level{}, fell: map[Kind]bool{}}
+	l := &Levels{book: book, self: Said{ID: id, Seq: 1}, states: map[ID]Said{},
+		isUnfit: map[Kind]bool{}, refusedWhy: map[Kind]string{}, cleared: map[Kind]Level{}, hasFallen: map[Kind]bool{}}
 	for _, k := range slices.Sorted(maps.Keys(book.forms)) {
 		s := Stand{Kind: k, Written: written[k], Agreed: written[k]}
 		s.Lo, s.Hi = book.Reads(k)
 		s.Holds = s.Hi
 		l.self.Stands = append(l.self.Stands, s)
 		if written[k].Schema != 0 {
-			l.settled = true // the process was a member before
+			l.isSettled = true // the process was a member before
 		}
 	}
 	return l
@@ -169,8 +170,8 @@
 
 // Known yields the stored states of other processes, sorted by ID, so that they can be forwarded. They must not be changed.
 func (l *Levels) Known(yield func(Said) bool) {
-	for _, id := range slices.SortedFunc(maps.Keys(l.heard), ID.compare) {
-		if !yield(l.heard[id]) {
+	for _, id := range slices.SortedFunc(maps.Keys(l.states), ID.compare) {
+		if !yield(l.states[id]) {
 			return
 		}
 	}
@@ -178,7 +179,7 @@
 
 // Handle processes an event and appends the resulting actions to out.
 func (l *Levels) Handle(ev Event, out []Action) []Action {
-	if ev.Kind == Heard && !l.hear(ev.Said) {
+	if ev.Kind == Heard && !l.storeState(ev.Said) {
 		return out // most states have already arrived from another member
 	}
 	before := l.Say()
@@ -186,16 +187,16 @@
 	case Members:
 		l.members = slices.DeleteFunc(slices.Clone(ev.Members), func(id ID) bool { return id == l.self.ID })
 		slices.SortFunc(l.members, ID.compare)
-		maps.DeleteFunc(l.heard, func(id ID, _ Said) bool {
+		maps.DeleteFunc(l.states, func(id ID, _ Said) bool {
 			_, found := slices.BinarySearchFunc(l.members, id, ID.compare)
 			return !found
 		})
 	case Settled:
-		l.settled = true
+		l.isSettled = true
 	case Held:
 		if s := l.self.stand(ev.Of); s != nil {
 			s.Held = ev.At
-			delete(l.refused, ev.Of)
+			delete(l.refusedWhy, ev.Of)
 		}
 	case Swept:
 		if s := l.self.stand(ev.Of); s != nil {
@@ -216,32 +217,32 @@
 	return out
 }
 
-// hear stores the state of another process if it is newer than the stored one, and reports whether it did.
-func (l *Levels) hear(s Said) bool {
-	have, known := l.heard[s.ID]
+// storeState stores the state of another process if it is newer than the stored one, and reports whether it did.
+func (l *Levels) storeState(s Said) bool {
+	have, known := l.states[s.ID]
 	if s.ID == l.self.ID || known && have.Seq >= s.Seq {
 		return false
 	}
-	if _, member := slices.BinarySearchFunc(l.members, s.ID, ID.compare); !member && len(l.heard) >= maxMembers {
+	if _, member := slices.BinarySearchFunc(l.members, s.ID, ID.compare); !member && len(l.states) >= maxMembers {
 		return false
 	}
 	s.Stands = slices.Clone(s.Stands)
-	l.heard[s.ID] = s
+	l.states[s.ID] = s
 	return true
 }
 
 func (l *Levels) decide(s *Stand, out []Action) []Action {
 	out = l.adopt(s, out)
-	all, complete := l.counted(s)
+	all, complete := l.participants(s)
 	if !complete || !reads(s, s.Written) {
 		s.Agreed = s.Written
 		return out
 	}
 	s.Agreed = s.Written
-	if to, ok := l.target(s, all, &out); ok && l.settled {
+	if to, ok := l.agreeableLevel(s, all, &out); ok && l.isSettled {
 		s.Agreed = to
 	}
-	if to, ok := agreedBy(s, all); ok && len(all) > 1 && l.settled {
+	if to, ok := agreedBy(s, all); ok && len(all) > 1 && l.isSettled {
 		out = l.write(s, to, ID{}, "all members have agreed", out)
 	}
 	return l.clear(s, all, out)
@@ -251,16 +252,16 @@
 func (l *Levels) adopt(s *Stand, out []Action) []Action {
 	by, best := ID{}, s.Written
 	for _, id := range l.members {
-		said := l.heard[id]
+		said := l.states[id]
 		if o := said.stand(s.Kind); o != nil && best.less(o.Written) {
 			by, best = id, o.Written
 		}
 	}
 	if s.Written.less(best) {
-		l.settled = true
+		l.isSettled = true
 		out = l.write(s, best, by, "it is written by "+by.Name, out)
 	}
-	return l.fitness(s, by, out)
+	return l.reportFitness(s, by, out)
 }
 
 // write sets the written level.
@@ -274,17 +275,17 @@
 	}
 	out = append(out, Action{Kind: kind, Of: s.Kind, From: s.Written, To: to, By: by, Why: why})
 	s.Written, s.Agreed, s.Holds = to, to, s.Hi
-	l.fell[s.Kind] = kind == Fell
+	l.hasFallen[s.Kind] = kind == Fell
 	return out
 }
 
-// fitness appends one action when the written schema leaves the range that this release reads, and one when it is back in range.
-func (l *Levels) fitness(s *Stand, by ID, out []Action) []Action {
+// reportFitness appends one action when the written schema leaves the range that this release reads, and one when it is back in range.
+func (l *Levels) reportFitness(s *Stand, by ID, out []Action) []Action {
 	fit := reads(s, s.Written)
-	if fit == !l.unfit[s.Kind] {
+	if fit == !l.isUnfit[s.Kind] {
 		return out
 	}
-	l.unfit[s.Kind] = !fit
+	l.isUnfit[s.Kind] = !fit
 	a := Action{Kind: Fit, Of: s.Kind, To: s.Written, By: by}
 	switch {
 	case fit:
@@ -305,12 +306,12 @@
 	return written.Schema == 0 || s.Lo <= written.Schema && written.Schema <= s.Hi
 }
 
-// counted returns the stands that take part in a decision, this process's first: those of members that read the written schema. It returns
-// false if a member has not reported a state yet.
-func (l *Levels) counted(s *Stand) ([]*Stand, bool) {
+// participants returns the stands that take part in a decision, starting with that of this process: those of members that read the
+// written schema. It returns false if a member has not reported a state yet.
+func (l *Levels) participants(s *Stand) ([]*Stand, bool) {
 	all := append(make([]*Stand, 0, len(l.members)+1), s)
 	for _, id := range l.members {
-		said := l.heard[id]
+		said := l.states[id]
 		o := said.stand(s.Kind)
 		if o == nil {
 			return all, false
@@ -322,20 +323,20 @@
 	return all, true
 }
 
-// target returns the level that this member agrees to, given the states that it has.
-func (l *Levels) target(s *Stand, all []*Stand, out *[]Action) (Level, bool) {
-	lo, hi, top, held := uint16(0), ^uint16(0), ^uint16(0), uint16(0)
+// agreeableLevel returns the level that this member agrees to, given the states that it has.
+func (l *Levels) agreeableLevel(s *Stand, all []*Stand, out *[]Action) (Level, bool) {
+	lo, hi, limit, held := uint16(0), ^uint16(0), ^uint16(0), uint16(0)
 	for _, o := range all {
 		lo, hi = max(lo, o.Lo), min(hi, o.Hi)
 		if o.Held != 0 {
-			top = min(top, o.Held)
+			limit = min(limit, o.Held)
 		}
 		if o.Held == 0 || o.Held >= s.Written.Schema {
 			held = ^uint16(0) // not all members hold it back
 		}
 		held = max(held, o.Held)
 	}
-	if to := min(hi, top); to > s.Written.Schema && to >= lo {
+	if to := min(hi, limit); to > s.Written.Schema && to >= lo {
 		return Level{s.Written.Turn, to}, true
 	}
 	if s.Held == 0 || s.Held >= s.Written.Schema {
@@ -358,10 +359,10 @@
 
 // refuse appends one action that gives the reason why the operator's Held is not followed.
 func (l *Levels) refuse(s *Stand, why string, out []Action) []Action {
-	if l.refused[s.Kind] == why {
+	if l.refusedWhy[s.Kind] == why {
 		return out
 	}
-	l.refused[s.Kind] = why
+	l.refusedWhy[s.Kind] = why
 	return append(out, Action{Kind: Refused, Of: s.Kind, From: s.Written, To: Level{s.Written.Turn, s.Held}, Why: why})
 }
 
@@ -387,7 +388,7 @@
 
 // clear appends one action after a fall when no member stores a record above the written schema.
 func (l *Levels) clear(s *Stand, all []*Stand, out []Action) []Action {
-	if !l.fell[s.Kind] || l.cleared[s.Kind] == s.Written {
+	if !l.hasFallen[s.Kind] || l.cleared[s.Kind] == s.Written {
 		return out
 	}
 	for _, o := range all {
@@ -412,7 +413,7 @@
 	switch {
 	case s == nil:
 		return 0
-	case !reads(s, s.Written), s.Written.Schema == 0 && l.settled && len(l.members) == 0:
+	case !reads(s, s.Written), s.Written.Schema == 0 && l.isSettled && len(l.members) == 0:
 		if s.Held != 0 {
 			return max(s.Lo, min(s.Hi, s.Held))
 		}
@@ -424,11 +425,11 @@
 }
 
 // Link returns the schema at which a record is sent to another process: the highest that both read, but not above the written one. A record
-// without a path down to `at` may be sent at up to `most`. Link returns false if the other process gets no records: it has not reported
+// without a path down to `at` may be sent at up to maxSchema. Link returns false if the other process gets no records: it has not reported
 // what it reads, it is not a member, one of the two is unfit, or there is no schema that both read.
-func (l *Levels) Link(to ID, k Kind) (at, most uint16, ok bool) {
+func (l *Levels) Link(to ID, k Kind) (at, maxSchema uint16, ok bool) {
 	s := l.self.stand(k)
-	said := l.heard[to]
+	said := l.states[to]
 	o := said.stand(k)
 	if s == nil || o == nil || !reads(s, s.Written) || !reads(o, s.Written) {
 		return 0, 0, false
--- a/schema/merge.go
+++ b/schema/merge.go
@@ -40,14 +40,14 @@
 	a, c := x.Fields, y.Fields
 	for len(a) > 0 || len(c) > 0 {
 		switch {
-		case len(c) == 0 || len(a) > 0 && register(a[0].Num) < register(c[0].Num):
-			n := run(a)
+		case len(c) == 0 || len(a) > 0 && registerBase(a[0].Num) < registerBase(c[0].Num):
+			n := registerLength(a)
 			out.Fields, a = append(out.Fields, a[:n]...), a[n:]
-		case len(a) == 0 || register(c[0].Num) < register(a[0].Num):
-			n := run(c)
+		case len(a) == 0 || registerBase(c[0].Num) < registerBase(a[0].Num):
+			n := registerLength(c)
 			out.Fields, c = append(out.Fields, c[:n]...), c[n:]
 		case JoinOf(a[0].Num) == Register:
-			n, m := run(a), run(c)
+			n, m := registerLength(a), registerLength(c)
 			out.Fields = joinRegisters(out.Fields, a[:n], c[:m])
 			a, c = a[n:], c[m:]
 		default:
@@ -65,21 +65,21 @@
 	return out
 }
 
-// register returns a number that is common to all fields of one register and that no other field has.
-func register(num uint32) uint32 {
+// registerBase returns a number that is common to all fields of one registerBase and that no other field has.
+func registerBase(num uint32) uint32 {
 	if JoinOf(num) == Register {
 		return num - num%RegisterSize
 	}
 	return num
 }
 
-// run returns how many leading fields belong to one block of registers, or 1 for a field with another join.
-func run(f []Field) int {
+// registerLength returns how many leading fields belong to one block of registers, or 1 for a field with another join.
+func registerLength(f []Field) int {
 	if JoinOf(f[0].Num) != Register {
 		return 1
 	}
 	n := 1
-	for n < len(f) && register(f[n].Num) == register(f[0].Num) {
+	for n < len(f) && registerBase(f[n].Num) == registerBase(f[0].Num) {
 		n++
 	}
 	return n
@@ -128,7 +128,7 @@
 // compareRegister compares the fields of one Sub as lists.
 func compareRegister(a, c []Field, sub string) int {
 	for {
-		a, c = skip(a, sub), skip(c, sub)
+		a, c = skipToSub(a, sub), skipToSub(c, sub)
 		switch {
 		case len(a) == 0 && len(c) == 0:
 			return 0
@@ -149,7 +149,7 @@
 	}
 }
 
-func skip(f []Field, sub string) []Field {
+func skipToSub(f []Field, sub string) []Field {
 	for len(f) > 0 && f[0].Sub != sub {
 		f = f[1:]
 	}
--- a/schema/sweep.go
+++ b/schema/sweep.go
@@ -41,15 +41,15 @@
 		return 0
 	}
 	var move []Record
-	looked, fields := 0, 0
+	visited, fields := 0, 0
 	s.Done = true
 	shelf.After(s.At, func(r Record) bool {
 		moves := r.Kind == s.Kind && r.Schema != s.To
-		if looked > 0 && (looked >= bound.Records || moves && fields+len(r.Fields) > bound.Fields) {
+		if visited > 0 && (visited >= bound.Records || moves && fields+len(r.Fields) > bound.Fields) {
 			s.Done = false
 			return false
 		}
-		looked++
+		visited++
 		s.At = r.Key
 		if moves {
 			fields += len(r.Fields)
@@ -76,5 +76,5 @@
 		}
 		s.Highest = max(s.Highest, to.Schema)
 	}
-	return looked
+	return visited
 }
--- a/schema/wire.go
+++ b/schema/wire.go
@@ -25,7 +25,7 @@
 	if len(r.Fields) > MaxFields {
 		return fmt.Errorf("record %q: %d fields, %d at most: %w: split the record", r.Key, len(r.Fields), MaxFields, ErrTooLarge)
 	}
-	size := r.frame()
+	size := r.frameSize()
 	for i := range r.Fields {
 		f := &r.Fields[i]
 		if f.Num == 0 {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// frame returns the encoded size of everything except the fields.
-func (r *Record) frame() int {
+// frameSize returns the encoded size of everything except the fields.
+func (r *Record) frameSize() int {
 	return 1 + protowire.SizeVarint(uint64(r.Kind)) + 1 + protowire.SizeVarint(uint64(r.Schema)) + 1 + protowire.SizeBytes(len(r.Key)) + len(r.Rest)
 }
 
@@ -67,7 +67,7 @@
 
 // Size returns the number of bytes that AppendRecord writes.
 func (r Record) Size() int {
-	n := r.frame()
+	n := r.frameSize()
 	for i := range r.Fields {
 		n += 1 + protowire.SizeBytes(r.Fields[i].size())
 	}
