--- a/balance/avoided.go
+++ b/balance/avoided.go
@@ -2,9 +2,9 @@
 
 package balance
 
-// Avoided returns the number of ready backends in the list that this node sends nothing, or next to nothing, by choice:
+// AvoidedBackends returns the number of ready backends in the list that this node sends nothing, or next to nothing, by choice:
 // those outside its subset and those that fail.
-func (b *Balancer) Avoided() int {
+func (b *Balancer) AvoidedBackends() int {
 	n := -len(b.ready)
 	for _, s := range b.backends {
 		if s.Phase == Ready {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -242,7 +242,7 @@
 func meanAim(classes []Class) float64 {
 	var aim mean
 	for i := range classes {
-		if !classes[i].Gone {
+		if !classes[i].IsRemoved {
 			aim.add(classes[i].Aim.Seconds())
 		}
 	}
@@ -257,7 +257,7 @@
 	b.cfg.Limits.MaxAttempts = max(cfg.Limits.MaxAttempts, 1)
 	b.meanAim, b.classes = meanAim(cfg.Classes), make([]classStats, len(cfg.Classes))
 	for i := range min(len(oldStats), len(b.classes)) {
-		if !oldConfig.Classes[i].Gone { // another class may have its number now
+		if !oldConfig.Classes[i].IsRemoved { // another class may have its number now
 			b.classes[i] = oldStats[i]
 		}
 	}
@@ -272,7 +272,7 @@
 	b.now, b.actions = max(b.now, now), out // time must not go back
 	b.closeWindow()
 	switch ev.Kind {
-	case MembersRemembered, MembersAll, MembersChanged, MembersRefused:
+	case MembersCached, MembersAll, MembersChanged, DiscoveryFailed:
 		b.onMembers(&ev)
 	case RequestArrived:
 		b.onRequest(&ev)
@@ -287,7 +287,7 @@
 	case BudgetChanged:
 		b.setDeadline(b.requests[ev.Request], ev.Budget)
 	case Timer:
-		b.onTimer(ev.Mark)
+		b.onTimer(ev.TimerID)
 	case Probed:
 		if s := b.backends[ev.Backend]; s != nil {
 			b.applyReport(s, ev.Load)
@@ -309,7 +309,7 @@
 		b.onPeerMessage(&ev)
 	case SettingsChanged:
 		b.applySettings(ev.Settings)
-	case InstancesCounted: // the warm-up budget and the shares of tenants are divided by the new count
+	case InstancesChanged: // the warm-up budget and the shares of tenants are divided by the new count
 		b.warmRate *= float64(b.cfg.Instances) / float64(max(ev.Instances, 1))
 		b.cfg.Instances = max(ev.Instances, 1)
 	}
@@ -335,7 +335,7 @@
 func (b *Balancer) setTimer(in time.Duration, t timer) {
 	b.lastMark++
 	b.timers[b.lastMark] = t
-	b.emit(Action{Kind: SetTimer, In: in, Mark: b.lastMark})
+	b.emit(Action{Kind: SetTimer, In: in, TimerID: b.lastMark})
 }
 
 func (b *Balancer) onTimer(mark uint64) {
@@ -449,7 +449,7 @@
 		}
 		// Own attempts count twice. Otherwise each node settles on backends of its own.
 		score := cost + s.inFlight*serviceTime + b.leadCost(s, meanWeight, minSends)
-		if s.Returned && !s.wasUsed {
+		if s.IsReinstated && !s.wasUsed {
 			score = -1 // operators soon see it in use, within its warm-up budget
 		}
 		if best == nil || score < lowest {
@@ -484,7 +484,7 @@
 	s.warmUpBudget -= b.work(r) / max(b.meanBaseTime(), 1e-6)
 	r.pendingAttempts++
 	b.emit(Action{Kind: Send, Request: r.id, Backend: s.Backend, Attempt: len(r.attempts) - 1,
-		Within: within})
+		WriteTimeout: within})
 }
 
 // pendingAttempt returns the attempt that an event refers to, or nil if it isn't pending.
@@ -529,11 +529,11 @@
 	b.compareFailureRate(a.backend)
 	b.applyReport(a.backend, ev.Load)
 	if ev.Status == Delivered {
-		b.learnBaseTime(r, a, ev.Spent.Seconds())
+		b.learnBaseTime(r, a, ev.Elapsed.Seconds())
 		a.backend.servedWork += b.work(r) / max(b.meanBaseTime(), 1e-6)
-		b.learnServiceTime(a.backend, r, a, ev.Spent)
+		b.learnServiceTime(a.backend, r, a, ev.Elapsed)
 	}
-	r.ended = r.ended || ev.NoMore
+	r.ended = r.ended || ev.RequestEnded
 	switch {
 	case r.ended:
 		b.finish(r)
@@ -551,9 +551,9 @@
 	}
 	kind, after := Fail, b.retryAfter()
 	if b.mayReject(r, after) {
-		kind = Refuse
+		kind = Reject
 	}
-	b.emit(Action{Kind: kind, Request: r.id, RetryIn: after})
+	b.emit(Action{Kind: kind, Request: r.id, RetryAfter: after})
 	b.finish(r)
 }
 
@@ -862,7 +862,7 @@
 func (b *Balancer) meanBaseTime() float64 {
 	var m mean
 	for i := range b.classes {
-		if b.classes[i].baseTime > 0 && !b.cfg.Classes[i].Gone {
+		if b.classes[i].baseTime > 0 && !b.cfg.Classes[i].IsRemoved {
 			m.add(b.classes[i].baseTime)
 		}
 	}
--- a/balance/balancing_test.go
+++ b/balance/balancing_test.go
@@ -24,7 +24,7 @@
 			ev := Event{Kind: Outcome, Request: id, Attempt: a.Attempt, Backend: a.Backend}
 			switch d := took(a.Backend); {
 			case d > 0:
-				ev.Spent, ev.NoMore = d, true
+				ev.Elapsed, ev.RequestEnded = d, true
 			case d == 0:
 				ev.Status = AppError
 			default:
@@ -362,7 +362,7 @@
 	for i := range 200 {
 		r.arrive(fmt.Sprint("flood", i), unsafe)
 		sent += len(ofKind(Send, r.last))
-		refused += len(ofKind(Refuse, r.last))
+		refused += len(ofKind(Reject, r.last))
 	}
 	if sent+refused != 200 || refused < 100 || sent < 8 {
 		t.Errorf("%d sent, %d rejected of a flood of 200", sent, refused)
@@ -380,7 +380,7 @@
 		to := r.sentTo()
 		r.b.requests[id].attempts[0].queueTime = 0.4 // the queue made it late
 		r.wait(400 * ms)
-		r.collectLogs(r.do(Event{Kind: Outcome, Request: id, Backend: to, Spent: 400 * ms, NoMore: true}))
+		r.collectLogs(r.do(Event{Kind: Outcome, Request: id, Backend: to, Elapsed: 400 * ms, RequestEnded: true}))
 	}
 }
 
@@ -395,7 +395,7 @@
 		to := r.sentTo()
 		r.b.requests[id].attempts[0].queueTime = minUtilization * r.b.meanMaxWait()
 		r.wait(20 * ms)
-		r.collectLogs(r.do(Event{Kind: Outcome, Request: id, Backend: to, Spent: 20 * ms, NoMore: true}))
+		r.collectLogs(r.do(Event{Kind: Outcome, Request: id, Backend: to, Elapsed: 20 * ms, RequestEnded: true}))
 	}
 }
 
@@ -441,7 +441,7 @@
 		r.arrive(id, safe)
 		r.sentTo()
 		r.wait(100 * ms)
-		r.do(Event{Kind: Outcome, Request: id, Backend: 1, Spent: 100 * ms, NoMore: true})
+		r.do(Event{Kind: Outcome, Request: id, Backend: 1, Elapsed: 100 * ms, RequestEnded: true})
 	}
 	if base := r.b.classes[safe].baseTime; base != was {
 		t.Errorf("base time went from %v to %v", was, base)
@@ -580,7 +580,7 @@
 				r.do(Event{Kind: Outcome, Request: id, Backend: 1, Status: Shed}) // it is full, as its estimate shows
 				return 1
 			}
-			r.do(Event{Kind: Outcome, Request: id, Backend: s[0].Backend, Spent: spent[s[0].Backend], NoMore: true})
+			r.do(Event{Kind: Outcome, Request: id, Backend: s[0].Backend, Elapsed: spent[s[0].Backend], RequestEnded: true})
 			return s[0].Backend
 		}
 		for i := range 1000 {
@@ -638,8 +638,8 @@
 	}
 	r.playLate(200)
 	r.serve(3000, safe, constantTime)
-	r.collectLogs(r.do(Event{Kind: MembersRefused}))
-	r.collectLogs(r.do(Event{Kind: MembersRefused}))
+	r.collectLogs(r.do(Event{Kind: DiscoveryFailed}))
+	r.collectLogs(r.do(Event{Kind: DiscoveryFailed}))
 	r.collectLogs(r.do(Event{Kind: MembersAll}))
 	for _, text := range []string{"backend N fails: traffic withheld", "backend N answers again", "no ready backend",
 		"responses are late: rejecting requests early", "responses are in time again", "discovery call failed: retrying"} {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -24,9 +24,9 @@
 		for _, a := range ofKind(Probe, r.last) {
 			r.do(report(a.Backend, 1))
 			for _, s := range ofKind(Send, r.last) {
-				r.do(Event{Kind: Outcome, Request: id, Backend: s.Backend, Spent: 20 * ms, NoMore: true})
+				r.do(Event{Kind: Outcome, Request: id, Backend: s.Backend, Elapsed: 20 * ms, RequestEnded: true})
 			}
 		}
-		r.do(Event{Kind: Timer, Mark: r.b.lastMark})
+		r.do(Event{Kind: Timer, TimerID: r.b.lastMark})
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -40,7 +40,7 @@
 		return
 	}
 	var todo queue
-	heap.Push(&todo, due{0, balance.Event{Kind: balance.MembersRemembered, Members: []balance.Member{
+	heap.Push(&todo, due{0, balance.Event{Kind: balance.MembersCached, Members: []balance.Member{
 		{Backend: 1, Weight: 1}, {Backend: 2, Weight: 1}}}})
 	for i := range 200 {
 		heap.Push(&todo, due{time.Duration(i+1) * 10 * time.Millisecond, balance.Event{Kind: balance.RequestArrived,
@@ -56,21 +56,21 @@
 			answered++ // the node forwards the response to its client
 			over[next.ev.Request] = true
 		}
-		next.ev.NoMore = over[next.ev.Request]
+		next.ev.RequestEnded = over[next.ev.Request]
 		actions = b.Handle(now, next.ev, actions[:0])
 		for _, a := range actions {
 			switch a.Kind {
 			case balance.Send:
 				tries[a.Backend]++
 				out := balance.Event{Kind: balance.Outcome, Request: a.Request, Attempt: a.Attempt, Backend: a.Backend,
-					Spent: 20 * time.Millisecond}
+					Elapsed: 20 * time.Millisecond}
 				if a.Backend == 2 {
 					out.Status = balance.AppError
 				}
-				heap.Push(&todo, due{now + out.Spent, out})
+				heap.Push(&todo, due{now + out.Elapsed, out})
 			case balance.SetTimer:
-				heap.Push(&todo, due{now + a.In, balance.Event{Kind: balance.Timer, Mark: a.Mark}})
-			case balance.Refuse, balance.Fail:
+				heap.Push(&todo, due{now + a.In, balance.Event{Kind: balance.Timer, TimerID: a.TimerID}})
+			case balance.Reject, balance.Fail:
 				over[a.Request] = true // the node sends the final answer to its client
 			}
 		}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -26,8 +26,8 @@
 				due[when] = append(due[when], func() { r.now = when; f() })
 			}
 			refused := func() {
-				s := ofKind(SetTimer, r.do(Event{Kind: MembersRefused}))[0]
-				at(s.In, func() { r.do(Event{Kind: Timer, Mark: s.Mark}); ask() })
+				s := ofKind(SetTimer, r.do(Event{Kind: DiscoveryFailed}))[0]
+				at(s.In, func() { r.do(Event{Kind: Timer, TimerID: s.TimerID}); ask() })
 			}
 			ask = func() {
 				if calls++; len(ofKind(Watch, r.last)) != 1 {
@@ -43,7 +43,7 @@
 				}
 				at(freeAt-r.now, func() { answered++; lastAt = r.now })
 			}
-			r.do(Event{Kind: MembersRemembered, Members: []Member{member(1, 0, 0)}})
+			r.do(Event{Kind: MembersCached, Members: []Member{member(1, 0, 0)}})
 			due[0] = append(due[0], ask)
 		}
 		for now := time.Duration(0); now <= 2*time.Minute; now += tick {
@@ -74,16 +74,16 @@
 					cfg.AskDiscovery, cfg.Instances, cfg.Rules.AskEvery = true, nodes, askEvery
 					b, _ := New(cfg, uint64(i))
 					r := &rig{t: t, b: b, now: time.Hour}
-					r.do(Event{Kind: MembersRemembered, Members: []Member{member(1, 0, 0)}})
+					r.do(Event{Kind: MembersCached, Members: []Member{member(1, 0, 0)}})
 					recoveredAt := r.now + time.Duration(i)*step // from now on discovery has the update and can be reached
 					for call := 0; r.now <= recoveredAt; call++ {
 						r.now += failAfter[min(call, len(failAfter)-1)]
-						s := ofKind(SetTimer, r.do(Event{Kind: MembersRefused}))[0]
+						s := ofKind(SetTimer, r.do(Event{Kind: DiscoveryFailed}))[0]
 						recoveredAt = max(recoveredAt, r.now) // this call still failed, so discovery recovers later
 						if r.now += s.In; call == 0 {
 							callsByDelay[s.In/(250*ms)]++
 						}
-						r.do(Event{Kind: Timer, Mark: s.Mark})
+						r.do(Event{Kind: Timer, TimerID: s.TimerID})
 					}
 					worst = max(worst, r.now+discoveryCallTimeout-recoveredAt)
 				}
@@ -108,12 +108,12 @@
 		cfg.AskDiscovery, cfg.Rules.AskEvery = true, askEvery
 		r := newRig(t, cfg)
 		for range 20 {
-			s := ofKind(SetTimer, r.do(Event{Kind: MembersRefused}))
+			s := ofKind(SetTimer, r.do(Event{Kind: DiscoveryFailed}))
 			if len(s) != 1 || s[0].In < 25*ms || s[0].In > maxWatchRetryInterval {
 				t.Fatalf("askEvery %v: %+v", askEvery, s)
 			}
 			r.wait(s[0].In)
-			r.do(Event{Kind: Timer, Mark: s[0].Mark})
+			r.do(Event{Kind: Timer, TimerID: s[0].TimerID})
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		cfg.Instances, cfg.Index = 80, node
 		b, _ := New(cfg, uint64(node))
 		r := &rig{t: t, b: b, now: time.Hour}
-		r.do(Event{Kind: MembersRemembered, Members: []Member{member(1, 0, 0), {Backend: 2, Name: 7}, {Backend: 3, Name: 7}}})
+		r.do(Event{Kind: MembersCached, Members: []Member{member(1, 0, 0), {Backend: 2, Name: 7}, {Backend: 3, Name: 7}}})
 		r.do(Event{Kind: PeerMessage, Payload: []byte{peerReportVersion, 0, 1, 0, 0, 1, 40}})
 		r.do(Event{Kind: PeerMessage, Payload: []byte{peerReportVersion, 0, 2, 0, 0, 7, 40}})
 		if b.allLoad.mean != 40 || b.backends[3].lastPeerLoad != 0 { // 3 has the name of 2, so no report refers to it
@@ -154,7 +154,7 @@
 		}
 		b, _ := New(cfg, uint64(node))
 		r := &rig{t: t, b: b, now: time.Hour}
-		r.do(Event{Kind: MembersRemembered, Members: members})
+		r.do(Event{Kind: MembersCached, Members: members})
 		began, work := r.now, 0.0
 		for i := range 40 {
 			class, took := safe, light
@@ -178,7 +178,7 @@
 				if a.Backend == 100 {
 					sent++
 				}
-				r.do(Event{Kind: Outcome, Request: id, Backend: a.Backend, Spent: light, NoMore: true})
+				r.do(Event{Kind: Outcome, Request: id, Backend: a.Backend, Elapsed: light, RequestEnded: true})
 			}
 			r.wait(window / 8)
 		}
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -12,14 +12,14 @@
 	Refresh, WarmRate, MeanValue, AllFail, AllBroke float64
 	JudgedAt                                        time.Duration
 	Instances                                       int // WarmRate is the part of one of them, in seconds of work a second
-	All, Cold                                       LearnedCrowd
-	Zones                                           map[int]LearnedCrowd
+	All, Cold                                       LearnedPeerLoad
+	Zones                                           map[int]LearnedPeerLoad
 	Classes                                         []LearnedClass // by number
-	Servers                                         []LearnedServer
+	Servers                                         []LearnedBackend
 }
 
-// LearnedCrowd is a running mean of the peer load.
-type LearnedCrowd struct {
+// LearnedPeerLoad is a running mean of the peer load.
+type LearnedPeerLoad struct {
 	Others, Reports float64
 	At              time.Duration
 }
@@ -27,23 +27,23 @@
 // LearnedClass holds the base time of a class, in seconds, and the numbers of responses that it is learned from.
 type LearnedClass struct{ Base, Seen, Free float64 }
 
-// LearnedServer holds what is learned about one process of a backend.
-type LearnedServer struct {
+// LearnedBackend holds what is learned about one process of a backend.
+type LearnedBackend struct {
 	Name                                   uint32
 	Launched, ToldAt, Heard, SeenAt, Since time.Duration
 	More, Told, Fails, Time, Depth, Seen   float64
 	Failed, Used                           bool
 }
 
-// Learned returns what this Balancer has learned, as input of Relearn.
+// Learned returns what this Balancer has learned, as input of Restore.
 func (b *Balancer) Learned() Learned {
-	export := func(c *peerLoadMean) LearnedCrowd { return LearnedCrowd{c.mean, c.reports, c.updatedAt} }
+	export := func(c *peerLoadMean) LearnedPeerLoad { return LearnedPeerLoad{c.mean, c.reports, c.updatedAt} }
 	l := Learned{
 		Part: b.admissionFactor, Gap: b.responseGap, PeerPace: b.meanServiceTime,
 		AllTime: b.meanResponseTime, AllDepth: b.meanQueueMet, Answers: b.responses,
 		Refresh: b.reportInterval, WarmRate: b.warmRate * b.meanBaseTime(), Instances: b.cfg.Instances,
 		MeanValue: b.meanWorth, AllFail: b.meanFailureRate, AllBroke: b.meanErrorRate,
-		JudgedAt: b.lastAdjustedAt, All: export(&b.allLoad), Cold: export(&b.coldLoad), Zones: map[int]LearnedCrowd{},
+		JudgedAt: b.lastAdjustedAt, All: export(&b.allLoad), Cold: export(&b.coldLoad), Zones: map[int]LearnedPeerLoad{},
 	}
 	for zone, c := range b.zoneLoads {
 		l.Zones[zone] = export(c)
@@ -55,7 +55,7 @@
 		if s.Phase == Gone {
 			continue
 		}
-		l.Servers = append(l.Servers, LearnedServer{
+		l.Servers = append(l.Servers, LearnedBackend{
 			Name: s.name(), Launched: s.Launched, ToldAt: s.peerLoadAt, Heard: s.lastResponseAt, SeenAt: s.reportedAt, Since: s.listedAt,
 			More: s.peerLoadOffset, Told: s.lastPeerLoad, Fails: s.failureRate, Time: s.responseTime,
 			Depth: s.queueMet, Seen: s.reportedQueue, Failed: s.isFailing, Used: s.wasUsed,
@@ -79,13 +79,13 @@
 // maxLearnedValue is above every value of a Balancer. An excessive warm rate would raise the warm-up budget.
 const maxLearnedValue = 1e4
 
-// Relearn continues with what another Balancer of the node has learned. It has to be called before all events other than
+// Restore continues with what another Balancer of the node has learned. It has to be called before all events other than
 // endpoint lists. It does nothing once this Balancer has seen a response, because its own data take precedence.
-func (b *Balancer) Relearn(l Learned) {
+func (b *Balancer) Restore(l Learned) {
 	if b.responses > 0 || !l.isValid() {
 		return
 	}
-	restore := func(c LearnedCrowd) peerLoadMean {
+	restore := func(c LearnedPeerLoad) peerLoadMean {
 		return peerLoadMean{max(c.Others, 0), max(c.Reports, 0), min(c.At, b.now)}
 	}
 	b.admissionFactor, b.responseGap, b.meanServiceTime = min(max(l.Part, minAdmission), maxAdmission), l.Gap, l.PeerPace
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -22,7 +22,7 @@
 	}
 	n := fresh()
 	before := n.b.backends[3].warmUpBudget
-	n.b.Relearn(l)
+	n.b.Restore(l)
 	if n.b.meanServiceTime != r.b.meanServiceTime || n.b.backends[2].failureRate != 0.9 ||
 		n.b.warmRate != r.b.warmRate || n.b.warmRate == 0 {
 		t.Errorf("service time %v, failure rate %v, warm rate %v", n.b.meanServiceTime, n.b.backends[2].failureRate, n.b.warmRate)
@@ -43,14 +43,14 @@
 		bad := r.b.Learned()
 		spoil(&bad)
 		n := fresh()
-		n.b.Relearn(bad)
+		n.b.Restore(bad)
 		if n.b.responses != 0 || n.b.warmRate != 0 {
 			t.Errorf("%s: accepted", name)
 		}
 	}
 	// Another process at the same address must not get the values of the old one.
 	n = newRig(t, testConfig(), Member{Backend: 1, Launched: time.Hour})
-	n.b.Relearn(l)
+	n.b.Restore(l)
 	if n.b.backends[1].responseTime != 0 {
 		t.Error("a restarted process has the service time of the old one")
 	}
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -15,7 +15,7 @@
 	if len(s) == 0 {
 		r.t.Fatalf("no timer in %+v", r.last)
 	}
-	return s[0].Mark
+	return s[0].TimerID
 }
 
 // A request whose attempt ends at its deadline must not be retried: the client is gone before the retry ends.
@@ -26,7 +26,7 @@
 	to := r.sentTo()
 	r.wait(time.Second)
 	acts := r.outcome("x", 0, to, Shed)
-	if len(ofKind(Send, acts)) != 0 || len(ofKind(Refuse, acts)) != 1 {
+	if len(ofKind(Send, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
 		t.Errorf("%+v", acts)
 	}
 }
@@ -40,7 +40,7 @@
 	r.outcome("x", 0, first, Shed)
 	second := r.sentTo()
 	acts := r.outcome("x", 1, second, Shed)
-	if second == first || len(ofKind(Send, acts)) != 0 || len(ofKind(Refuse, acts)) != 1 {
+	if second == first || len(ofKind(Send, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
 		t.Errorf("to %d, then %d, then %+v", first, second, acts)
 	}
 }
@@ -97,7 +97,7 @@
 	r.arrive("late", unsafe)
 	to, mark := r.sentTo(), r.mark()
 	r.wait(time.Second)
-	r.do(Event{Kind: Timer, Mark: mark})
+	r.do(Event{Kind: Timer, TimerID: mark})
 	r.outcome("late", 0, to, Expired)
 	if n := len(r.b.requests); n != 0 {
 		t.Errorf("%d requests left in memory", n)
@@ -110,7 +110,7 @@
 	cfg.AskDiscovery = true
 	r := newRig(t, cfg, member(1, 0, 0))
 	for range 10 {
-		r.collectLogs(r.do(Event{Kind: MembersRefused}))
+		r.collectLogs(r.do(Event{Kind: DiscoveryFailed}))
 	}
 	if len(r.logs) != 1 {
 		t.Errorf("%q", r.logs)
@@ -262,7 +262,7 @@
 		r.outcome("x", 0, to, DialFailed),
 		r.outcome("x", 5, to, Delivered),
 		r.outcome("x", -1, to, Delivered),
-		r.do(Event{Kind: Timer, Mark: 1 << 40}),
+		r.do(Event{Kind: Timer, TimerID: 1 << 40}),
 		r.do(Event{Kind: EventKind(200)}),
 	} {
 		if len(acts) != 0 {
@@ -294,7 +294,7 @@
 		r.b.requests["x"].attempts[0].queueTime = met * r.b.serviceTime(s)
 		r.b.admissionFactor = 0.3
 		r.wait(400 * ms)
-		r.do(Event{Kind: Outcome, Request: "x", Backend: 1, Spent: 400 * ms, NoMore: true})
+		r.do(Event{Kind: Outcome, Request: "x", Backend: 1, Elapsed: 400 * ms, RequestEnded: true})
 		if got := r.b.admissionFactor < 0.3; got != tightens || r.b.admissionFactor > 0.3 {
 			t.Errorf("queue of %v: admission factor from 0.3 to %v", met, r.b.admissionFactor)
 		}
@@ -312,7 +312,7 @@
 		for node := range cfg.Instances {
 			b, _ := New(cfg, uint64(node))
 			r := &rig{t: t, b: b, now: time.Hour}
-			r.do(Event{Kind: MembersRemembered, Members: []Member{member(2, 0, 0)}})
+			r.do(Event{Kind: MembersCached, Members: []Member{member(2, 0, 0)}})
 			if hasResponses {
 				r.serve(20, safe, constantTime)
 			}
@@ -503,7 +503,7 @@
 	timers := ofKind(SetTimer, r.last)
 	if hold := timers[len(timers)-1]; hold.In > 15*ms {
 		t.Errorf("held for %v", hold.In)
-	} else if r.do(Event{Kind: Timer, Mark: hold.Mark}); len(ofKind(Send, r.last)) != 1 {
+	} else if r.do(Event{Kind: Timer, TimerID: hold.TimerID}); len(ofKind(Send, r.last)) != 1 {
 		t.Error("not sent when the hold ended")
 	}
 	r.do(Event{Kind: RequestArrived, Request: "z", Budget: time.Second})
@@ -525,7 +525,7 @@
 		r.do(report(1, 3+float64(i%2)))
 		for marks := ofKind(SetTimer, r.last); len(marks) > 0; marks = ofKind(SetTimer, r.last) {
 			r.wait(marks[0].In)
-			if r.do(Event{Kind: Timer, Mark: marks[0].Mark}); len(ofKind(Probe, r.last)) != 1 {
+			if r.do(Event{Kind: Timer, TimerID: marks[0].TimerID}); len(ofKind(Probe, r.last)) != 1 {
 				t.Fatal("no second probe")
 			}
 			secondProbes++
@@ -557,7 +557,7 @@
 	r.b.allLoad.mean, r.b.admissionFactor = 5, maxAdmission
 	r.wait(time.Second)
 	r.do(Event{Kind: RequestArrived, Request: "x", Hint: 20 * ms, Budget: time.Second})
-	r.do(Event{Kind: Outcome, Request: "x", Backend: 1, Spent: 200 * ms, NoMore: true})
+	r.do(Event{Kind: Outcome, Request: "x", Backend: 1, Elapsed: 200 * ms, RequestEnded: true})
 	if base := r.b.classes[safe].baseTime; base < 0.015 || base > 0.025 {
 		t.Errorf("base time %v after a response of 200 ms behind five others, with a hint of 20 ms", base)
 	}
@@ -684,9 +684,9 @@
 	silent(time.Hour, 0)
 	arrive("other")
 	silent(2*time.Second, 2)
-	step(Event{Kind: Outcome, Request: "stream", Status: Delivered, NoMore: true})
+	step(Event{Kind: Outcome, Request: "stream", Status: Delivered, RequestEnded: true})
 	silent(time.Second, 1) // the end of the stream is a sign
-	step(Event{Kind: Outcome, Request: "other", Status: Delivered, NoMore: true})
+	step(Event{Kind: Outcome, Request: "other", Status: Delivered, RequestEnded: true})
 	if silent(time.Hour, 0); s.inFlight != 0 || s.openStreams != 0 {
 		t.Errorf("%v attempts pending, %v streams open", s.inFlight, s.openStreams)
 	}
--- a/balance/members.go
+++ b/balance/members.go
@@ -9,7 +9,7 @@
 )
 
 func (b *Balancer) onMembers(ev *Event) {
-	if ev.Kind == MembersRefused {
+	if ev.Kind == DiscoveryFailed {
 		if b.cfg.AskDiscovery {
 			b.logTransition(&b.discoveryFailing, true, false, "discovery call failed: retrying", "")
 			// Without a subscription the node misses drains, so it repeats the call in time for the moment at which an
@@ -46,7 +46,7 @@
 	if len(b.ready) == 0 {
 		b.log("no ready backend")
 	}
-	if ev.Kind == MembersRemembered && b.cfg.AskDiscovery {
+	if ev.Kind == MembersCached && b.cfg.AskDiscovery {
 		b.emit(Action{Kind: Watch})
 	}
 }
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -25,7 +25,7 @@
 		id := fmt.Sprint(i)
 		for _, a := range handle(Event{Kind: RequestArrived, Request: id, Budget: time.Minute}) {
 			if a.Kind == Send {
-				out = append(out, Event{Kind: Outcome, Request: id, Attempt: a.Attempt, Backend: a.Backend, NoMore: true})
+				out = append(out, Event{Kind: Outcome, Request: id, Attempt: a.Attempt, Backend: a.Backend, RequestEnded: true})
 			}
 		}
 		if i%2 == 0 {
@@ -71,7 +71,7 @@
 			switch a.Kind {
 			case Send:
 				out = append(out, Event{Kind: Outcome, Request: id, Attempt: a.Attempt, Backend: a.Backend})
-			case Refuse:
+			case Reject:
 				if i > 1000 {
 					refused++
 				}
@@ -79,7 +79,7 @@
 		}
 		if len(out) > 8 {
 			ev := out[0]
-			out, ev.NoMore, ev.Spent = out[1:], true, 250*time.Millisecond
+			out, ev.RequestEnded, ev.Elapsed = out[1:], true, 250*time.Millisecond
 			if b.rng.IntN(10) == 0 {
 				ev.Status = Dropped
 			}
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -52,12 +52,12 @@
 		server := int(a.Backend) - 1
 		switch a.Kind {
 		case SetTimer:
-			f.after(a.In, func() { f.handle(node, Event{Kind: Timer, Mark: a.Mark}) })
+			f.after(a.In, func() { f.handle(node, Event{Kind: Timer, TimerID: a.TimerID}) })
 		case Probe:
 			f.after(ms, func() {
-				f.handle(node, Event{Kind: Probed, Backend: a.Backend, Spent: ms, Load: f.load(server)})
+				f.handle(node, Event{Kind: Probed, Backend: a.Backend, Elapsed: ms, Load: f.load(server)})
 			})
-		case Tell:
+		case SendToPeer:
 			for to := range f.nodes {
 				if to != node {
 					f.after(ms, func() { f.handle(to, Event{Kind: PeerMessage, Peer: node, Payload: a.Payload}) })
@@ -87,7 +87,7 @@
 			f.after(ms, func() {
 				f.answered(a.Request)
 				f.handle(node, Event{Kind: Outcome, Request: a.Request, Attempt: a.Attempt, Backend: a.Backend,
-					Spent: f.now - sent, Status: Delivered, NoMore: true, Load: load})
+					Elapsed: f.now - sent, Status: Delivered, RequestEnded: true, Load: load})
 			})
 		})
 	})
--- a/balance/peerreports.go
+++ b/balance/peerreports.go
@@ -36,7 +36,7 @@
 	b.forwardCredit--
 	b.sentSequence++
 	sequence, name := b.sentSequence, s.name()
-	b.emit(Action{Kind: Tell, Peer: AllPeers, Payload: []byte{peerReportVersion, byte(sequence >> 8), byte(sequence),
+	b.emit(Action{Kind: SendToPeer, Peer: AllPeers, Payload: []byte{peerReportVersion, byte(sequence >> 8), byte(sequence),
 		byte(name >> 16), byte(name >> 8), byte(name), byte(max(0, min(load.Active, maxPeerQueue)))}})
 }
 
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -25,7 +25,7 @@
 // refillRetryBudget adds the part of the retry budget that grows with time. With little traffic, a budget that only first
 // attempts refill is empty when it is needed, and so few retries are no load. A node starts with the budget of a second.
 func (b *Balancer) refillRetryBudget() {
-	if free := b.cfg.Limits.FreeRetries; free > 0 {
+	if free := b.cfg.Limits.RetriesPerSecond; free > 0 {
 		b.retryBudget = min(b.retryBudget+free*min(b.now-b.retriesRefilledAt, time.Second).Seconds(), max(maxRetryBudget, free))
 		b.retriesRefilledAt = b.now
 	}
--- a/balance/retrygroup_test.go
+++ b/balance/retrygroup_test.go
@@ -68,13 +68,13 @@
 		r.b.retryBudget = maxRetryBudget
 		r.arrive("x", c.class)
 		first := r.sentTo()
-		if in := ofKind(Send, r.last)[0].Within; in != 0 {
+		if in := ofKind(Send, r.last)[0].WriteTimeout; in != 0 {
 			t.Errorf("%s: the first attempt has to be written within %v", c.name, in)
 		}
 		r.wait(200 * ms)
 		r.outcome("x", 0, first, c.status)
 		r.sentTo()
-		if in := ofKind(Send, r.last)[0].Within; in != c.within {
+		if in := ofKind(Send, r.last)[0].WriteTimeout; in != c.within {
 			t.Errorf("%s: the retry has to be written within %v, want %v", c.name, in, c.within)
 		}
 	}
@@ -85,7 +85,7 @@
 	for _, c := range []struct {
 		after time.Duration
 		kind  ActionKind
-	}{{100 * ms, Refuse}, {349 * ms, Fail}, {499 * ms, Fail}, {500 * ms, Fail}} {
+	}{{100 * ms, Reject}, {349 * ms, Fail}, {499 * ms, Fail}, {500 * ms, Fail}} {
 		cfg := testConfig()
 		cfg.Limits.MaxAttempts = 1
 		r := newRig(t, cfg, member(1, 0, 0))
@@ -96,8 +96,8 @@
 		got := ofKind(c.kind, r.last)
 		if len(got) != 1 {
 			t.Errorf("after %v: %+v", c.after, r.last)
-		} else if c.kind == Refuse && got[0].RetryIn >= 400*ms-maxStall {
-			t.Errorf("retry-after %v", got[0].RetryIn)
+		} else if c.kind == Reject && got[0].RetryAfter >= 400*ms-maxStall {
+			t.Errorf("retry-after %v", got[0].RetryAfter)
 		}
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: time.Hour}
-	r.do(Event{Kind: MembersRemembered, Members: members})
+	r.do(Event{Kind: MembersCached, Members: members})
 	return r
 }
 
@@ -69,14 +69,14 @@
 func (r *rig) arrive(id string, class int) []Action {
 	acts := r.do(Event{Kind: RequestArrived, Request: id, Class: class, Budget: time.Second})
 	if len(r.b.held) > 0 {
-		r.last = append(acts, r.do(Event{Kind: Timer, Mark: r.b.lastMark})...)
+		r.last = append(acts, r.do(Event{Kind: Timer, TimerID: r.b.lastMark})...)
 	}
 	return r.last
 }
 
 func (r *rig) outcome(id string, attempt int, backend BackendID, st Status) []Action {
 	return r.do(Event{Kind: Outcome, Request: id, Attempt: attempt, Backend: backend, Status: st,
-		Spent: 20 * ms, NoMore: st == Delivered})
+		Elapsed: 20 * ms, RequestEnded: st == Delivered})
 }
 
 func ofKind(kind ActionKind, acts []Action) []Action {
@@ -122,7 +122,7 @@
 		{"unsafe after a reset", unsafe, Dropped, 0, false, Fail},
 		{"unsafe after an error", unsafe, AppError, 0, false, Fail},
 		{"unsafe after a time-out", unsafe, Expired, 0, false, Fail},
-		{"unsafe after a cancel", unsafe, Revoked, 0, false, Fail},
+		{"unsafe after a cancel", unsafe, Cancelled, 0, false, Fail},
 		{"unsafe, shed", unsafe, Shed, 0, true, 0},
 		{"unsafe without a connection", unsafe, DialFailed, 0, true, 0},
 		{"keyed by all in its window", keyedAll, Dropped, 0, true, 0},
@@ -169,31 +169,31 @@
 	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 1))
 	r.arrive("x", keyedCell)
 	acts := r.outcome("x", 0, r.sentTo(), Dropped)
-	if len(ofKind(Fail, acts)) != 1 || len(ofKind(Refuse, acts)) != 0 || len(ofKind(Send, acts)) != 0 {
+	if len(ofKind(Fail, acts)) != 1 || len(ofKind(Reject, acts)) != 0 || len(ofKind(Send, acts)) != 0 {
 		t.Fatalf("got %+v", acts)
 	}
 }
 
 // Every request needs exactly one final answer at its deadline, and later outcomes and timers must not cause another.
 func TestDeadlineEndsEveryRequest(t *testing.T) {
-	for class, want := range map[int]ActionKind{safe: Refuse, unsafe: Fail, keyedZone: Fail} {
+	for class, want := range map[int]ActionKind{safe: Reject, unsafe: Fail, keyedZone: Fail} {
 		r := newRig(t, testConfig(), member(1, 0, 0))
 		var mark uint64
 		for _, a := range ofKind(SetTimer, r.arrive("x", class)) {
 			if a.In == time.Second {
-				mark = a.Mark
+				mark = a.TimerID
 			}
 		}
 		to := r.sentTo()
 		r.wait(time.Second)
-		acts := r.do(Event{Kind: Timer, Mark: mark})
+		acts := r.do(Event{Kind: Timer, TimerID: mark})
 		if len(ofKind(want, acts)) != 1 {
 			t.Errorf("class %d at its deadline: %+v", class, acts)
 		}
 		if acts = r.outcome("x", 0, to, Dropped); len(acts) != 0 {
 			t.Errorf("class %d after its final answer: %+v", class, acts)
 		}
-		if acts = r.do(Event{Kind: Timer, Mark: mark}); len(acts) != 0 {
+		if acts = r.do(Event{Kind: Timer, TimerID: mark}); len(acts) != 0 {
 			t.Errorf("a timer that fired twice: %+v", acts)
 		}
 	}
@@ -214,7 +214,7 @@
 func TestRequestIsRejectedWithoutReadyBackend(t *testing.T) {
 	r := newRig(t, testConfig())
 	for class := range testConfig().Classes {
-		if acts := r.arrive(fmt.Sprint(class), class); len(ofKind(Refuse, acts)) != 1 {
+		if acts := r.arrive(fmt.Sprint(class), class); len(ofKind(Reject, acts)) != 1 {
 			t.Errorf("class %d: %+v", class, acts)
 		}
 	}
@@ -254,11 +254,11 @@
 	r.do(Event{Kind: StreamStarted, Request: "x", Backend: to})
 	r.wait(time.Second)
 	for _, a := range timers {
-		if acts := r.do(Event{Kind: Timer, Mark: a.Mark}); len(acts) != 0 {
+		if acts := r.do(Event{Kind: Timer, TimerID: a.TimerID}); len(acts) != 0 {
 			t.Fatalf("got %+v", acts)
 		}
 	}
-	acts := r.do(Event{Kind: Outcome, Request: "x", Backend: to, Status: Dropped, NoMore: true})
+	acts := r.do(Event{Kind: Outcome, Request: "x", Backend: to, Status: Dropped, RequestEnded: true})
 	if len(acts) != 0 {
 		t.Fatalf("a final answer after a broken stream: %+v", acts)
 	}
@@ -274,7 +274,7 @@
 		{Kind: Outcome, Request: "x", Attempt: -1},
 		{Kind: ClientGone, Request: "nobody"},
 		{Kind: StreamStarted, Request: "nobody"},
-		{Kind: Timer, Mark: 999},
+		{Kind: Timer, TimerID: 999},
 		{Kind: Probed, Backend: 77, Load: Load{Has: HasActive, Active: 3}},
 		{Kind: RequestArrived, Request: "y", Class: 99},
 		{Kind: RequestArrived, Request: "y", Class: -1},
@@ -375,13 +375,13 @@
 		}
 		s := attemptState{a.Request, a.Attempt, m, w.now, true, true}
 		r.tries, w.inFlight = append(r.tries, s), append(w.inFlight, s)
-	case Refuse, Fail:
+	case Reject, Fail:
 		if r == nil || r.done {
 			t.Fatal("two final answers")
 		}
 		r.done = true
 		for _, s := range r.tries {
-			if a.Kind == Refuse && s.mayRun && r.class.Effect != Safe &&
+			if a.Kind == Reject && s.mayRun && r.class.Effect != Safe &&
 				(r.class.Effect == Unsafe || r.class.Scope != ScopeAll) {
 				t.Fatal("rejected although it may have run")
 			}
@@ -395,7 +395,7 @@
 			a := w.timers[i]
 			w.timers = append(w.timers[:i:i], w.timers[i+1:]...)
 			w.due = append(w.due[:i:i], w.due[i+1:]...)
-			w.step(Event{Kind: Timer, Mark: a.Mark})
+			w.step(Event{Kind: Timer, TimerID: a.TimerID})
 			i = -1
 		}
 	}
@@ -419,7 +419,7 @@
 		r.done = true
 	}
 	w.step(Event{Kind: Outcome, Request: s.id, Attempt: s.attempt, Backend: s.to.Backend, Status: st,
-		Spent: w.now - s.at, NoMore: r.done, Load: w.load()})
+		Elapsed: w.now - s.at, RequestEnded: r.done, Load: w.load()})
 }
 
 func (w *world) load() Load {
@@ -435,9 +435,9 @@
 	if w.rng.IntN(3) == 0 {
 		m.Launched = w.now
 	}
-	kind := []EventKind{MembersChanged, MembersChanged, MembersAll, MembersRefused}[w.rng.IntN(4)]
+	kind := []EventKind{MembersChanged, MembersChanged, MembersAll, DiscoveryFailed}[w.rng.IntN(4)]
 	switch kind {
-	case MembersRefused:
+	case DiscoveryFailed:
 		w.step(Event{Kind: kind})
 		return
 	case MembersAll: // all but one, which counts as removed
--- a/balance/slowdown_test.go
+++ b/balance/slowdown_test.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		r.wait(took)
-		r.do(Event{Kind: Outcome, Request: id, Backend: 1, Spent: took, NoMore: true})
+		r.do(Event{Kind: Outcome, Request: id, Backend: 1, Elapsed: took, RequestEnded: true})
 	}
 }
 
--- a/balance/stall_test.go
+++ b/balance/stall_test.go
@@ -6,7 +6,7 @@
 )
 
 // A node may stall for 0.15 s between reading the clock and its write. A retry of a keyed request still has to be written
-// within the window. So no retry may start in the last 0.15 s of the window, and Within has to keep writes out of them.
+// within the window. So no retry may start in the last 0.15 s of the window, and WriteTimeout has to keep writes out of them.
 func TestKeyedRetryLeavesRoomForStall(t *testing.T) {
 	const stall = 150 * ms
 	window := testConfig().Classes[keyedAll].Window
@@ -21,16 +21,16 @@
 		if after < window-stall {
 			if len(sent) != 1 {
 				t.Errorf("after %v: no retry: %+v", after, r.last)
-			} else if written := after + sent[0].Within + stall; sent[0].Within <= 0 || written > window {
+			} else if written := after + sent[0].WriteTimeout + stall; sent[0].WriteTimeout <= 0 || written > window {
 				t.Errorf("after %v: may be written within %v plus a stall of %v, so after %v of a window of %v",
-					after, sent[0].Within, stall, written, window)
+					after, sent[0].WriteTimeout, stall, written, window)
 			}
 			continue
 		}
 		if len(sent) > 0 {
 			t.Errorf("after %v of a window of %v: a retry", after, window)
 		}
-		if refused := ofKind(Refuse, r.last); len(refused) > 0 {
+		if refused := ofKind(Reject, r.last); len(refused) > 0 {
 			t.Errorf("after %v of a window of %v: rejected with a retry-after", after, window)
 		}
 	}
--- a/balance/types.go
+++ b/balance/types.go
@@ -55,7 +55,7 @@
 	Points     float64       // worth of one request
 	Stream     bool          // the response is streamed
 	Attempts   int           // attempts per request; 0: Limits.MaxAttempts
-	Gone       bool          // gets no new requests; only its number is still in use
+	IsRemoved  bool          // gets no new requests; only its number is still in use
 }
 
 // Tenant describes a tenant and its share.
@@ -66,20 +66,20 @@
 
 // Limits holds what a node may do.
 type Limits struct {
-	Cancelling     bool    // Cancel is permitted
-	Probing        bool    // Probe is permitted
-	Peers          bool    // Tell is permitted
-	SecondCopies   bool    // two attempts of one request may be pending at once
-	RetryAfter     bool    // clients receive the RetryIn of a Refuse
-	MaxAttempts    int     // attempts per request; 0 means 1
-	FreeRetries    float64 // added to the retry budget each second, without regard to traffic; 0: none
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
-	IdleClose      time.Duration
-	StreamsPerConn int
-	MaxOpen        int           // open requests; more do not reach the node
-	CPUPerSecond   time.Duration // CPU time that the node may use in a second; 0: unknown
-	CPUPerRequest  time.Duration // and for a request with its outcomes; 0: no limit
+	Cancelling       bool    // Cancel is permitted
+	Probing          bool    // Probe is permitted
+	Peers            bool    // SendToPeer is permitted
+	SecondCopies     bool    // two attempts of one request may be pending at once
+	RetryAfter       bool    // clients receive the RetryAfter of a Reject
+	MaxAttempts      int     // attempts per request; 0 means 1
+	RetriesPerSecond float64 // added to the retry budget each second, without regard to traffic; 0: none
+	MaxRetryAfter    time.Duration
+	ConnectTimeout   time.Duration
+	IdleClose        time.Duration
+	StreamsPerConn   int
+	MaxOpen          int           // open requests; more do not reach the node
+	CPUPerSecond     time.Duration // CPU time that the node may use in a second; 0: unknown
+	CPUPerRequest    time.Duration // and for a request with its outcomes; 0: no limit
 }
 
 // Prices are points that are deducted from the result, each for one full unit.
@@ -138,26 +138,26 @@
 // Config is the configuration of a node. Zero values are safe defaults:
 // nothing is permitted, and every class is Unsafe.
 type Config struct {
-	Index          int // index of this instance among its peers
-	Instances      int // number of instances; 0 means 1
-	Zone           int // zone of this instance
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // factor on the worth of a request beyond its tenant's share
-	WorthByWork    bool    // Class.Points are per unit of work, not per request
-	WarmKeys       bool    // a backend needs less work for a key that it has served recently
-	ClientsMark    bool    // clients mark requests that they repeat
-	AskDiscovery   bool    // the endpoint list arrives only after Watch or Fetch
-	Reports        ReportSource
-	Weights        WeightKind
-	Limits         Limits
-	Prices         Prices
-	Rules          Rules
-	Goal           Goal
-	Columns        LoadField     // values in load reports
-	PassesDeadline bool          // backends pass the remaining time to the next tier
-	Stage          int           // the tier that this node sends requests to
-	Tick           time.Duration // least time between two rounds of events
+	Index              int // index of this instance among its peers
+	Instances          int // number of instances; 0 means 1
+	Zone               int // zone of this instance
+	Classes            []Class
+	Tenants            []Tenant
+	OverShareWorth     float64 // factor on the worth of a request beyond its tenant's share
+	WorthByWork        bool    // Class.Points are per unit of work, not per request
+	WarmKeys           bool    // a backend needs less work for a key that it has served recently
+	ClientsMarkRepeats bool    // clients mark requests that they repeat
+	AskDiscovery       bool    // the endpoint list arrives only after Watch or Fetch
+	Reports            ReportSource
+	Weights            WeightKind
+	Limits             Limits
+	Prices             Prices
+	Rules              Rules
+	Goal               Goal
+	Columns            LoadField     // values in load reports
+	PassesDeadline     bool          // backends pass the remaining time to the next tier
+	Stage              int           // the tier that this node sends requests to
+	Tick               time.Duration // least time between two rounds of events
 }
 
 // Phase is the state of a backend in the list.
@@ -172,15 +172,15 @@
 
 // Member is one entry of the endpoint list.
 type Member struct {
-	Backend  BackendID
-	Zone     int
-	Cell     int
-	Kind     int           // machine kind
-	Weight   float64       // see Config.Weights
-	Launched time.Duration // time of the last start; 0: long ago
-	Phase    Phase
-	Name     uint32 // the same at every node, in the lower 24 bits; 0: use Backend
-	Returned bool   // operators have put it back in service, at Launched
+	Backend      BackendID
+	Zone         int
+	Cell         int
+	Kind         int           // machine kind
+	Weight       float64       // see Config.Weights
+	Launched     time.Duration // time of the last start; 0: long ago
+	Phase        Phase
+	Name         uint32 // the same at every node, in the lower 24 bits; 0: use Backend
+	IsReinstated bool   // operators have put it back in service, at Launched
 }
 
 // Status is the result of an attempt or a probe.
@@ -194,7 +194,7 @@
 	Expired                  // time-out
 	DialFailed               // no connection
 	Dropped                  // the connection broke
-	Revoked                  // cancelled by the node or the client
+	Cancelled                // cancelled by the node or the client
 	Unused                   // did not run, and shows nothing about the backend
 )
 
@@ -232,45 +232,45 @@
 
 // Kinds of events, with the Event fields each one uses.
 const (
-	MembersRemembered EventKind = iota // Members: the cached endpoint list, maybe out of date
-	MembersAll                         // Members: the full list
-	MembersChanged                     // Members: changed entries only
-	MembersRefused                     // a Watch or Fetch failed, or the subscription ended
-	RequestArrived                     // Request, Class, Tenant, Key, HasKey, Budget, Hint, Repeat, Write
-	StreamStarted                      // Request, Attempt, Backend, Spent: the client gets the response of this attempt
-	ClientGone                         // Request
-	Timer                              // Mark
-	Probed                             // Backend, Spent, Status, Load
-	Outcome                            // Request, Attempt, Backend, Spent, Status, NoMore, Load
-	PeerMessage                        // Peer, Payload
-	InstancesCounted                   // Instances
-	SettingsChanged                    // Settings: the new Config; its Index, Instances and Zone are ignored
-	StreamAnswered                     // Request, Attempt, Backend: the response has started, and may last
-	BudgetChanged                      // Request, Budget: the remaining time from now on
+	MembersCached    EventKind = iota // Members: the cached endpoint list, maybe out of date
+	MembersAll                        // Members: the full list
+	MembersChanged                    // Members: changed entries only
+	DiscoveryFailed                   // a Watch or Fetch failed, or the subscription ended
+	RequestArrived                    // Request, Class, Tenant, Key, HasKey, Budget, Hint, IsRepeat, Write
+	StreamStarted                     // Request, Attempt, Backend, Elapsed: the client gets the response of this attempt
+	ClientGone                        // Request
+	Timer                             // TimerID
+	Probed                            // Backend, Elapsed, Status, Load
+	Outcome                           // Request, Attempt, Backend, Elapsed, Status, RequestEnded, Load
+	PeerMessage                       // Peer, Payload
+	InstancesChanged                  // Instances
+	SettingsChanged                   // Settings: the new Config; its Index, Instances and Zone are ignored
+	StreamAnswered                    // Request, Attempt, Backend: the response has started, and may last
+	BudgetChanged                     // Request, Budget: the remaining time from now on
 )
 
 // Event is one event at a node. The Balancer does not keep its slices.
 type Event struct {
-	Kind    EventKind
-	Request string
-	Class   int
-	Tenant  int
-	Key     uint64
-	HasKey  bool
-	Budget  time.Duration // time left before the client abandons this try
-	Hint    time.Duration // expected work; 0: unknown
-	Repeat  bool          // the client has marked the request as repeated
-	Write   bool
-	Attempt int
-	Backend BackendID
-	Spent   time.Duration // time since the attempt or probe was sent
-	Status  Status
-	NoMore  bool // the request has ended, by this outcome or earlier
-	Load    Load
-	Mark    uint64
-	Peer    int
-	Payload []byte
-	Members []Member
+	Kind         EventKind
+	Request      string
+	Class        int
+	Tenant       int
+	Key          uint64
+	HasKey       bool
+	Budget       time.Duration // time left before the client abandons this try
+	Hint         time.Duration // expected work; 0: unknown
+	IsRepeat     bool          // the client has marked the request as repeated
+	Write        bool
+	Attempt      int
+	Backend      BackendID
+	Elapsed      time.Duration // time since the attempt or probe was sent
+	Status       Status
+	RequestEnded bool // the request has ended, by this outcome or earlier
+	Load         Load
+	TimerID      uint64
+	Peer         int
+	Payload      []byte
+	Members      []Member
 
 	Instances int // current number of instances, with this one
 
@@ -282,18 +282,18 @@
 
 // Kinds of actions, with the Action fields each one uses.
 const (
-	Send     ActionKind = iota // Request, Backend, Limit, Within: start the next attempt
-	Cancel                     // Request, Attempt: stop waiting for an attempt
-	Refuse                     // Request, RetryIn: final answer; the client may safely repeat the request
-	Fail                       // Request: final answer; a repeat may run the request twice
-	Probe                      // Backend
-	SetTimer                   // In, Mark
-	Watch                      // subscribe to updates of the endpoint list
-	Unwatch                    // end the subscription
-	Fetch                      // request the full endpoint list once
-	Tell                       // Peer (or AllPeers), Payload: send a message
-	Close                      // Backend: close idle connections
-	Log                        // Text
+	Send       ActionKind = iota // Request, Backend, AttemptTimeout, WriteTimeout: start the next attempt
+	Cancel                       // Request, Attempt: stop waiting for an attempt
+	Reject                       // Request, RetryAfter: final answer; the client may safely repeat the request
+	Fail                         // Request: final answer; a repeat may run the request twice
+	Probe                        // Backend
+	SetTimer                     // In, TimerID
+	Watch                        // subscribe to updates of the endpoint list
+	Unwatch                      // end the subscription
+	Fetch                        // request the full endpoint list once
+	SendToPeer                   // Peer (or AllPeers), Payload: send a message
+	CloseIdle                    // Backend: close idle connections
+	Log                          // Text
 )
 
 // AllPeers is the Action.Peer of a message to all peers.
@@ -302,16 +302,16 @@
 // Action is one action for the node to carry out. The attempts of a request are
 // numbered 0, 1, 2 ... in the order of its Send actions.
 type Action struct {
-	Kind    ActionKind
-	Request string
-	Backend BackendID
-	Attempt int
-	Limit   time.Duration // time-out of the attempt; 0: until the client leaves
-	Within  time.Duration // no write starts later than this, and the attempt ends as Unused; 0: no limit
-	RetryIn time.Duration // retry-after for the client; 0: none
-	In      time.Duration
-	Mark    uint64
-	Peer    int
-	Payload []byte
-	Text    string
+	Kind           ActionKind
+	Request        string
+	Backend        BackendID
+	Attempt        int
+	AttemptTimeout time.Duration // time-out of the attempt; 0: until the client leaves
+	WriteTimeout   time.Duration // no write starts later than this, and the attempt ends as Unused; 0: no limit
+	RetryAfter     time.Duration // retry-after for the client; 0: none
+	In             time.Duration
+	TimerID        uint64
+	Peer           int
+	Payload        []byte
+	Text           string
 }
--- a/balance/warmup_fleet_test.go
+++ b/balance/warmup_fleet_test.go
@@ -143,11 +143,11 @@
 	for _, a := range p.b.Handle(f.now, ev, nil) {
 		switch a.Kind {
 		case SetTimer:
-			f.after(a.In, func() { p.do(Event{Kind: Timer, Mark: a.Mark}) })
+			f.after(a.In, func() { p.do(Event{Kind: Timer, TimerID: a.TimerID}) })
 		case Probe:
 			s := f.backends[a.Backend-1]
 			f.after(ms, func() {
-				p.do(Event{Kind: Probed, Backend: a.Backend, Spent: ms,
+				p.do(Event{Kind: Probed, Backend: a.Backend, Elapsed: ms,
 					Load: Load{Has: HasActive, Active: float64(s.busy + len(s.waiting))}})
 			})
 		case Send:
@@ -166,8 +166,8 @@
 			if st == Delivered {
 				f.served++
 			}
-			p.do(Event{Kind: Outcome, Request: a.Request, Attempt: a.Attempt, Backend: a.Backend, Spent: f.now - sent, Status: st,
-				NoMore: st == Delivered, Load: Load{Has: HasActive, Active: float64(s.busy + len(s.waiting))}})
+			p.do(Event{Kind: Outcome, Request: a.Request, Attempt: a.Attempt, Backend: a.Backend, Elapsed: f.now - sent, Status: st,
+				RequestEnded: st == Delivered, Load: Load{Has: HasActive, Active: float64(s.busy + len(s.waiting))}})
 		})
 	}
 	most := 16 * f.cores
@@ -326,8 +326,8 @@
 			for i := range nodes {
 				p := f.newProcess(i, 2*nodes, true)
 				l := f.procs[i].b.Learned()
-				f.procs[i].do(Event{Kind: InstancesCounted, Instances: 2 * nodes})
-				p.b.Relearn(l)
+				f.procs[i].do(Event{Kind: InstancesChanged, Instances: 2 * nodes})
+				p.b.Restore(l)
 				f.procs[nodes+i] = p
 			}
 		})
@@ -335,7 +335,7 @@
 			for i := range nodes {
 				f.procs[i].stopped = true
 				f.procs[i], f.procs[nodes+i] = f.procs[nodes+i], nil
-				f.procs[i].do(Event{Kind: InstancesCounted, Instances: nodes})
+				f.procs[i].do(Event{Kind: InstancesChanged, Instances: nodes})
 			}
 		})
 	}
--- a/balance/warmup_test.go
+++ b/balance/warmup_test.go
@@ -49,14 +49,14 @@
 					}
 					setMeanWork(c.first * work)
 					b.warmRate = cores / work / float64(nodes)
-					r.do(Event{Kind: MembersRemembered, Members: []Member{{Backend: 1, Launched: r.now}}})
+					r.do(Event{Kind: MembersCached, Members: []Member{{Backend: 1, Launched: r.now}}})
 					r.wait(c.idleFor)
 					setMeanWork(work)
 					for i := range int(rules.OverloadFor / every) {
 						id := fmt.Sprint(i)
 						for _, a := range ofKind(Send, r.arrive(id, safe)) {
 							sent += c.heavy
-							r.do(Event{Kind: Outcome, Request: id, Backend: a.Backend, Status: Shed, NoMore: true})
+							r.do(Event{Kind: Outcome, Request: id, Backend: a.Backend, Status: Shed, RequestEnded: true})
 							b.backends[1].unconfirmed, b.backends[1].failureRate = 0, 0
 						}
 						r.wait(every)
@@ -94,20 +94,20 @@
 		}
 	}
 	l := r.b.Learned()
-	r.do(Event{Kind: InstancesCounted, Instances: 4})
+	r.do(Event{Kind: InstancesChanged, Instances: 4})
 	near("another process of each node", r.b, 4)
 	next := newRig(t, testConfig(), member(1, 0, 0))
-	next.do(Event{Kind: InstancesCounted, Instances: 4})
-	next.b.Relearn(l)
+	next.do(Event{Kind: InstancesChanged, Instances: 4})
+	next.b.Restore(l)
 	near("learned as one of two, restored as one of four", next.b, 4)
-	r.do(Event{Kind: InstancesCounted, Instances: 2})
+	r.do(Event{Kind: InstancesChanged, Instances: 2})
 	near("alone again", r.b, 8)
 	r.arrive("dear", unsafe)
-	r.do(Event{Kind: Outcome, Request: "dear", Backend: 1, Spent: 100 * ms, NoMore: true})
+	r.do(Event{Kind: Outcome, Request: "dear", Backend: 1, Elapsed: 100 * ms, RequestEnded: true})
 	mean := r.b.meanBaseTime()
 	near("first response of a class with five times the work", r.b, 8*r.b.classes[safe].baseTime/mean)
 	cfg := testConfig()
-	cfg.Classes[unsafe].Gone = true
+	cfg.Classes[unsafe].IsRemoved = true
 	r.do(Event{Kind: SettingsChanged, Settings: &cfg})
 	near("that class is removed", r.b, 8)
 }
--- a/balance/weights_test.go
+++ b/balance/weights_test.go
@@ -84,7 +84,7 @@
 						took = time.Duration(float64(took) * c.slow[a.Backend])
 					}
 					open = append(open, end{now + took, Event{Kind: Outcome, Request: id, Attempt: a.Attempt, Backend: a.Backend,
-						Spent: took, Status: Delivered, NoMore: true}})
+						Elapsed: took, Status: Delivered, RequestEnded: true}})
 				}
 			}
 			if flood > 10+int(maxLeadRequests) {
--- a/check/check.go
+++ b/check/check.go
@@ -16,29 +16,29 @@
 	Every  time.Duration // interval between two checks of a backend; 0: EveryDefault
 	Rise   int           // consecutive successes after which a backend that is down is up; 0: DefaultRise
 	Fall   int           // consecutive failures after which a backend that is up is down; 0: DefaultFall
-	AtOnce int           // maximum number of concurrent checks; 0: AtOnceDefault
+	AtOnce int           // maximum number of concurrent checks; 0: DefaultAtOnce
 }
 
 // Defaults of Config, and limits.
 const (
-	EveryDefault, DefaultRise, DefaultFall, AtOnceDefault = 5 * time.Second, 2, 3, 64
-	// EveryLeast is the shortest interval between two checks of a backend.
-	EveryLeast = 100 * time.Millisecond
+	DefaultEvery, DefaultRise, DefaultFall, DefaultAtOnce = 5 * time.Second, 2, 3, 64
+	// MinEvery is the shortest interval between two checks of a backend.
+	MinEvery = 100 * time.Millisecond
 	// jitter is the part of Every by which an interval varies, so that processes that start together don't stay synchronized.
 	jitter = 0.1
 )
 
 // Check is a health check to make now. The caller passes the outcome of each to Result, once.
 type Check struct {
-	Box, Addr string
-	Token     uint64
+	Backend, Addr string
+	Token         uint64
 }
 
 // Verdict is a change of state of one backend.
 type Verdict struct {
-	Box, Addr string
-	Up        bool
-	Why       string // cause of the last result
+	Backend, Addr string
+	Up            bool
+	Cause         string // cause of the last result
 }
 
 // Checks holds the health checks of one pool. New returns one.
@@ -64,8 +64,8 @@
 
 // New returns Checks without backends. The seed differs from process to process.
 func New(cfg Config, seed uint64, now time.Duration) *Checks {
-	cfg.Every = max(cmp.Or(cfg.Every, EveryDefault), EveryLeast)
-	cfg.Rise, cfg.Fall, cfg.AtOnce = cmp.Or(cfg.Rise, DefaultRise), cmp.Or(cfg.Fall, DefaultFall), cmp.Or(cfg.AtOnce, AtOnceDefault)
+	cfg.Every = max(cmp.Or(cfg.Every, DefaultEvery), MinEvery)
+	cfg.Rise, cfg.Fall, cfg.AtOnce = cmp.Or(cfg.Rise, DefaultRise), cmp.Or(cfg.Fall, DefaultFall), cmp.Or(cfg.AtOnce, DefaultAtOnce)
 	return &Checks{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), backends: map[string]*backend{}, inFlight: map[uint64]*backend{},
 		timers: wheel.New[*backend](0, now)}
 }
@@ -122,7 +122,7 @@
 		c.lastToken++
 		b.token = c.lastToken
 		c.inFlight[b.token] = b
-		checks = append(checks, Check{Box: b.id, Addr: b.addr, Token: b.token})
+		checks = append(checks, Check{Backend: b.id, Addr: b.addr, Token: b.token})
 	}
 	return checks
 }
@@ -152,7 +152,7 @@
 		return nil
 	}
 	b.streak, b.up, b.hasAnswered = 0, ok, b.hasAnswered || ok
-	return &Verdict{Box: b.id, Addr: b.addr, Up: ok, Why: why}
+	return &Verdict{Backend: b.id, Addr: b.addr, Up: ok, Cause: why}
 }
 
 // Up reports whether a backend counts as up, and whether it is checked at all.
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -40,16 +40,16 @@
 			}
 			p.pending = append(p.pending[:i], p.pending[i+1:]...)
 			if v := p.c.Result(p.now, a.Token, !p.unhealthy[a.Addr], "said so"); v != nil {
-				p.verdicts[v.Box] = append(p.verdicts[v.Box], *v)
+				p.verdicts[v.Backend] = append(p.verdicts[v.Backend], *v)
 			}
 		}
 		for _, a := range p.c.Due(p.now, nil) {
 			for _, o := range p.pending {
-				if o.Box == a.Box && o.Addr == a.Addr {
-					p.t.Fatalf("%v: two concurrent checks of %s", p.now, a.Box)
+				if o.Backend == a.Backend && o.Addr == a.Addr {
+					p.t.Fatalf("%v: two concurrent checks of %s", p.now, a.Backend)
 				}
 			}
-			p.checkedAt[a.Box] = append(p.checkedAt[a.Box], p.now)
+			p.checkedAt[a.Backend] = append(p.checkedAt[a.Backend], p.now)
 			p.pending = append(p.pending, pendingCheck{p.now + p.answerDelay, a})
 		}
 		p.maxInFlight = max(p.maxInFlight, p.c.InFlight())
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -50,7 +50,7 @@
 				return fmt.Errorf("line %d: clock: field atTime: a batch is open or time goes back", m.Line)
 			}
 			now, inBatch = m.At, true
-		case wire.Turn:
+		case wire.BatchEnd:
 			out.Write(wire.AppendAck(reply))
 			if err := out.Flush(); err != nil {
 				return err
@@ -66,7 +66,7 @@
 			delete(nodes, m.Node)
 		case wire.List:
 			lists[m.Sheet] = m.Members
-		case wire.Happened:
+		case wire.NodeEvent:
 			b := nodes[m.Node]
 			if b == nil {
 				fmt.Fprintf(diagnostics, "line %d: %s for %s, which is not running\n", m.Line, m.Name, m.Node)
--- a/detect/detect.go
+++ b/detect/detect.go
@@ -29,7 +29,7 @@
 	next time.Duration
 	out  []Action
 
-	self             Word
+	self             Update
 	awayUntil        time.Duration // of self, while Away: when the absence ends by itself
 	hasBegun         bool
 	isSuperseded     bool // a later process has this name
@@ -48,7 +48,7 @@
 	ringPos         int
 	timers          timerHeap // members that are not alive
 	presentCount    int       // members that are present
-	recentDeadCount int       // dead members that count for Sized
+	recentDeadCount int       // dead members that count for SizeChanged
 	reportedSize    int
 
 	seq             uint32
@@ -79,12 +79,12 @@
 	return v
 }
 
-// New returns a Detect without other members. It does nothing before Begin.
+// New returns a Detect without other members. It does nothing before Start.
 func New(cfg Config) *Detect {
-	cfg.Every = orDefault(cfg.Every, time.Second)
-	cfg.AnswerWithin = orDefault(cfg.AnswerWithin, 300*time.Millisecond)
+	cfg.ProbeInterval = orDefault(cfg.ProbeInterval, time.Second)
+	cfg.ProbeTimeout = orDefault(cfg.ProbeTimeout, 300*time.Millisecond)
 	cfg.IndirectProbes = max(0, orDefault(cfg.IndirectProbes, 3))
-	cfg.Suspicion = orDefault(cfg.Suspicion, 5*time.Second)
+	cfg.MinSuspicionTimeout = orDefault(cfg.MinSuspicionTimeout, 5*time.Second)
 	cfg.MaxSuspicionFactor = orDefault(cfg.MaxSuspicionFactor, 6)
 	cfg.SuspicionAccusers = max(0, orDefault(cfg.SuspicionAccusers, 3))
 	cfg.MaxHealthScore = max(0, orDefault(cfg.MaxHealthScore, 4))
@@ -98,12 +98,12 @@
 	cfg.MaxAway = orDefault(cfg.MaxAway, 10*time.Minute)
 	cfg.MaxMembers = orDefault(cfg.MaxMembers, 4096)
 	cfg.MaxLinks = orDefault(cfg.MaxLinks, 1024)
-	cfg.DatagramMost = orDefault(cfg.DatagramMost, 1200)
+	cfg.MaxDatagramBytes = orDefault(cfg.MaxDatagramBytes, 1200)
 	cfg.EnvelopeBytes = orDefault(cfg.EnvelopeBytes, 40)
 	d := &Detect{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6465746563740000)), next: never, reportedSize: -1,
 		members: map[string]*member{}, links: links{stored: map[link]storedLink{}},
-		self: Word{ID: ID{cfg.Name, cfg.Start}, Addr: cfg.Addr},
+		self: Update{ID: ID{cfg.Name, cfg.Start}, Addr: cfg.Addr},
 	}
 	for _, s := range cfg.Seeds {
 		if s != cfg.Addr && s != "" {
@@ -116,7 +116,7 @@
 // Handle processes one event and appends the resulting actions to out. Times are on any clock that doesn't go back. The caller
 // owns what is in an action; of an event only strings are kept.
 func (d *Detect) Handle(now time.Duration, ev Event, out []Action) []Action {
-	if d.isSuperseded || !d.hasBegun && ev.Kind != Begin {
+	if d.isSuperseded || !d.hasBegun && ev.Kind != Start {
 		return out
 	}
 	d.now, d.out = max(now, d.now), out
@@ -125,15 +125,15 @@
 		d.handlePause(d.now - d.next)
 	}
 	switch ev.Kind {
-	case Begin:
+	case Start:
 		d.begin()
-	case Got:
+	case Received:
 		if d.now >= d.ignoreUntil {
 			d.receive(ev.From, &ev.Message)
 		}
 	case Leave:
 		d.announce(Left, 0)
-	case GoAway:
+	case BeginAway:
 		d.announce(Away, ev.Until)
 	}
 	if !d.isSuperseded {
@@ -141,7 +141,7 @@
 	}
 	if n := 1 + d.presentCount + d.recentDeadCount; n != d.reportedSize && !d.isSuperseded {
 		d.reportedSize = n
-		d.act(Action{Kind: Sized, N: n})
+		d.act(Action{Kind: SizeChanged, N: n})
 	}
 	d.next = d.nextDueAt()
 	out, d.out = d.out, nil
@@ -155,15 +155,15 @@
 func (d *Detect) Next() time.Duration { return d.next }
 
 // Self returns this process's update about itself.
-func (d *Detect) Self() Word { return d.currentSelfWord() }
+func (d *Detect) Self() Update { return d.currentSelfWord() }
 
 // Health returns the local health score: 0 is healthy, Config.MaxHealthScore is the worst.
 func (d *Detect) Health() int { return d.health }
 
 // Members calls f for each process that is not forgotten, including this one, sorted by name, until f returns false.
-func (d *Detect) Members(f func(Word, LinkState) bool) {
+func (d *Detect) Members(f func(Update, LinkState) bool) {
 	all := make([]*member, 0, len(d.ring)+1)
-	all = append(all, &member{Word: d.currentSelfWord(), awayUntil: d.awayUntil})
+	all = append(all, &member{Update: d.currentSelfWord(), awayUntil: d.awayUntil})
 	all = append(all, d.ring...)
 	slices.SortFunc(all, func(a, b *member) int { return cmp.Compare(a.Name, b.Name) })
 	for _, m := range all {
@@ -187,7 +187,7 @@
 	for i := range d.seeds {
 		d.seeds[i].at = d.now + first + time.Duration(i)*joinSpread/6
 	}
-	d.nextRoundAt = d.now + d.randomDuration(d.cfg.Every)
+	d.nextRoundAt = d.now + d.randomDuration(d.cfg.ProbeInterval)
 	d.exchangeAt = never
 }
 
@@ -212,7 +212,7 @@
 	}
 }
 
-func (d *Detect) currentSelfWord() Word {
+func (d *Detect) currentSelfWord() Update {
 	w := d.self
 	if w.State == Away {
 		w.Until = max(0, d.awayUntil-d.now)
@@ -288,7 +288,7 @@
 	d.noSuspicionUntil = d.now + d.cfg.PauseGrace
 	d.round = round{}
 	d.relays = d.relays[:0]
-	d.nextRoundAt = d.now + d.randomDuration(d.cfg.Every/2)
+	d.nextRoundAt = d.now + d.randomDuration(d.cfg.ProbeInterval/2)
 	d.confirmedAt, d.receivedAt, d.unanswered = d.now, d.now, 0
 	for _, m := range d.linkChecks {
 		m.misses = 0
--- a/detect/example_test.go
+++ b/detect/example_test.go
@@ -19,14 +19,14 @@
 		for _, a := range byAddr[at].Handle(now, ev, nil) {
 			switch a.Kind {
 			case detect.Send, detect.Exchange:
-				handle(now, a.Addr, detect.Event{Kind: detect.Got, From: at, Message: a.Message})
+				handle(now, a.Addr, detect.Event{Kind: detect.Received, From: at, Message: a.Message})
 			case detect.Changed:
 				fmt.Printf("%s: %s is %s: %s\n", at, a.Word.Name, a.Word.State, a.Cause)
 			}
 		}
 	}
-	handle(0, "a:7946", detect.Event{Kind: detect.Begin})
-	handle(0, "b:7946", detect.Event{Kind: detect.Begin})
+	handle(0, "a:7946", detect.Event{Kind: detect.Start})
+	handle(0, "b:7946", detect.Event{Kind: detect.Start})
 	for now := time.Duration(0); now < time.Second; now += 100 * time.Millisecond {
 		handle(now, "b:7946", detect.Event{Kind: detect.Tick})
 	}
--- a/detect/faults_test.go
+++ b/detect/faults_test.go
@@ -194,7 +194,7 @@
 		for _, i := range s.rng.Perm(len(old)) {
 			a := old[i]
 			if to := s.byAddr[a.Addr]; to.up {
-				s.handle(to, Event{Kind: Got, From: s.nodes[s.rng.IntN(7)].addr, Message: a.Message})
+				s.handle(to, Event{Kind: Received, From: s.nodes[s.rng.IntN(7)].addr, Message: a.Message})
 			}
 			if i%10 == 0 {
 				s.run(s.now + 10*time.Millisecond)
@@ -235,21 +235,21 @@
 func TestMemoryIsBounded(t *testing.T) {
 	d := New(Config{Name: "self", Start: 1 << 40, Addr: "self:1", MaxMembers: 200, MaxLinks: 50})
 	now := time.Duration(0)
-	d.Handle(now, Event{Kind: Begin}, nil)
+	d.Handle(now, Event{Kind: Start}, nil)
 	rng := rand.New(rand.NewPCG(1, 1))
-	word := func() Word {
-		return Word{ID: ID{fmt.Sprint("m", rng.IntN(400)), uint64(1 + rng.IntN(3))}, Inc: uint32(rng.IntN(4)), State: State(rng.IntN(7)),
+	word := func() Update {
+		return Update{ID: ID{fmt.Sprint("m", rng.IntN(400)), uint64(1 + rng.IntN(3))}, Inc: uint32(rng.IntN(4)), State: State(rng.IntN(7)),
 			Addr: fmt.Sprint("m:", rng.IntN(400)), By: fmt.Sprint("m", rng.IntN(400)), Until: time.Duration(rng.Int64N(int64(time.Hour)))}
 	}
 	var out []Action
 	for range 30_000 {
 		m := Message{Kind: Kind(rng.IntN(9)), Seq: uint32(rng.IntN(50)), From: word(), About: word().ID}
 		for range rng.IntN(5) {
-			m.News = append(m.News, word())
-			m.Links = append(m.Links, LinkWord{From: fmt.Sprint("m", rng.IntN(400)), To: fmt.Sprint("m", rng.IntN(400)), Num: rng.Uint32N(100), Deaf: rng.IntN(2) == 0})
+			m.Updates = append(m.Updates, word())
+			m.Links = append(m.Links, LinkUpdate{From: fmt.Sprint("m", rng.IntN(400)), To: fmt.Sprint("m", rng.IntN(400)), Seq: rng.Uint32N(100), Deaf: rng.IntN(2) == 0})
 		}
 		now += time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
-		out = d.Handle(now, Event{Kind: Got, From: "m:1", Message: m}, out[:0])
+		out = d.Handle(now, Event{Kind: Received, From: "m:1", Message: m}, out[:0])
 		if len(d.members) > 200 || len(d.ring) != len(d.members) || len(d.links.stored) > 50 || len(d.links.queued) > 50 || len(d.relays) > maxRelays ||
 			len(d.unverified) > 400 || len(d.linkChecks) > maxLinkChecks || len(d.broadcasts.entries) > 200 || len(d.timers) > 200 {
 			t.Fatalf("state is not bounded: %d members, %d link updates, %d unverified deaths, %d queued updates",
--- a/detect/links.go
+++ b/detect/links.go
@@ -41,7 +41,7 @@
 }
 
 type queuedLink struct {
-	LinkWord
+	LinkUpdate
 	sent int
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	m.linkNum++
-	d.queueLink(LinkWord{From: m.Name, To: d.self.Name, Num: m.linkNum, Deaf: deaf})
+	d.queueLink(LinkUpdate{From: m.Name, To: d.self.Name, Seq: m.linkNum, Deaf: deaf})
 }
 
 // receivedFrom records a message that came from a member itself.
@@ -140,7 +140,7 @@
 }
 
 // receiveLinks merges link updates.
-func (d *Detect) receiveLinks(words []LinkWord) {
+func (d *Detect) receiveLinks(words []LinkUpdate) {
 	for _, w := range words {
 		from, to := d.members[w.From], d.members[w.To]
 		if w.To == d.self.Name || to == nil || !to.State.isPresent() || from == nil && w.From != d.self.Name || w.From == w.To {
@@ -148,13 +148,13 @@
 		}
 		k := link{w.From, w.To}
 		h, ok := d.links.stored[k]
-		if ok && h.until > d.now && w.Num <= h.num {
+		if ok && h.until > d.now && w.Seq <= h.num {
 			continue
 		}
 		if !ok && len(d.links.stored) >= d.cfg.MaxLinks && !d.dropExpiredLinks() {
 			continue
 		}
-		d.links.stored[k] = storedLink{num: w.Num, deaf: w.Deaf, until: d.now + linkWindow}
+		d.links.stored[k] = storedLink{num: w.Seq, deaf: w.Deaf, until: d.now + linkWindow}
 		if w.From != d.self.Name {
 			d.queueLink(w)
 			continue
@@ -180,24 +180,24 @@
 }
 
 // queueLink queues a link update for the next messages, in place of an older one.
-func (d *Detect) queueLink(w LinkWord) {
+func (d *Detect) queueLink(w LinkUpdate) {
 	d.links.queued = slices.DeleteFunc(d.links.queued, func(o queuedLink) bool { return o.From == w.From && o.To == w.To })
 	if len(d.links.queued) >= d.cfg.MaxLinks {
 		d.links.queued = d.links.queued[1:]
 	}
-	d.links.queued = append(d.links.queued, queuedLink{LinkWord: w})
+	d.links.queued = append(d.links.queued, queuedLink{LinkUpdate: w})
 }
 
 // takeQueuedLinks returns the link updates for one message, and the room that is left.
-func (d *Detect) takeQueuedLinks(room int) ([]LinkWord, int) {
-	var got []LinkWord
+func (d *Detect) takeQueuedLinks(room int) ([]LinkUpdate, int) {
+	var got []LinkUpdate
 	for i := len(d.links.queued) - 1; i >= 0 && len(got) < maxLinksPerMessage; i-- {
 		n := &d.links.queued[i]
 		if n.size() > room {
 			break
 		}
 		room -= n.size()
-		got = append(got, n.LinkWord)
+		got = append(got, n.LinkUpdate)
 		n.sent++
 	}
 	if len(got) > 0 {
@@ -210,7 +210,7 @@
 // Via returns a member that can relay to the named one: this process and that member reach each other, and no update reports
 // the link from it to the named one as failed. It returns false if none is known. Of several it always returns the same one,
 // but not the same for all processes.
-func (d *Detect) Via(name string) (Word, bool) {
+func (d *Detect) Via(name string) (Update, bool) {
 	var best *member
 	var least uint32
 	for _, m := range d.ring {
@@ -229,7 +229,7 @@
 		}
 	}
 	if best == nil {
-		return Word{}, false
+		return Update{}, false
 	}
-	return best.Word, true
+	return best.Update, true
 }
--- a/detect/links_test.go
+++ b/detect/links_test.go
@@ -9,22 +9,22 @@
 func newJoined(t *testing.T, names ...string) *Detect {
 	t.Helper()
 	d := New(Config{Name: "self", Start: 1, Addr: "self:1"})
-	d.Handle(0, Event{Kind: Begin}, nil)
+	d.Handle(0, Event{Kind: Start}, nil)
 	for _, n := range names {
-		d.handleMessage(0, Message{Kind: Pull, From: Word{ID: ID{n, 1}, Addr: n + ":1"}})
+		d.handleMessage(0, Message{Kind: Pull, From: Update{ID: ID{n, 1}, Addr: n + ":1"}})
 	}
 	return d
 }
 
 func (d *Detect) handleMessage(now time.Duration, m Message) []Action {
-	return d.Handle(now, Event{Kind: Got, From: m.From.Addr, Message: m}, nil)
+	return d.Handle(now, Event{Kind: Received, From: m.From.Addr, Message: m}, nil)
 }
 
 // Guards against an old link update that arrives late and replaces a newer one, and against relays over failed links.
 func TestOlderLinkUpdateDoesNotHold(t *testing.T) {
 	d := newJoined(t, "a", "b", "c")
 	receiveLinkUpdate := func(now time.Duration, from, to string, num uint32, deaf bool) {
-		d.handleMessage(now, Message{Kind: Answer, From: Word{ID: ID{"c", 1}, Addr: "c:1"}, Links: []LinkWord{{From: from, To: to, Num: num, Deaf: deaf}}})
+		d.handleMessage(now, Message{Kind: Answer, From: Update{ID: ID{"c", 1}, Addr: "c:1"}, Links: []LinkUpdate{{From: from, To: to, Seq: num, Deaf: deaf}}})
 	}
 	receiveLinkUpdate(0, "self", "a", 1, true)
 	if d.members["a"].link() != Deaf {
@@ -54,13 +54,13 @@
 			now := d.Next()
 			for _, a := range d.Handle(now, Event{Kind: Tick}, nil) {
 				if a.Kind == Send && a.Message.Kind == Ask && a.Addr != "a:1" {
-					d.handleMessage(now, Message{Kind: Answer, Seq: a.Message.Seq, About: d.Self().ID, From: Word{ID: a.Message.About, Addr: a.Addr}})
+					d.handleMessage(now, Message{Kind: Answer, Seq: a.Message.Seq, About: d.Self().ID, From: Update{ID: a.Message.About, Addr: a.Addr}})
 				}
 			}
 		}
 	}
-	d.handleMessage(0, Message{Kind: Answer, From: Word{ID: ID{"b", 1}, Addr: "b:1"}, News: []Word{{ID: ID{"a", 1}, State: Suspect, By: "b", Addr: "a:1"}}})
-	d.handleMessage(0, Message{Kind: Answer, From: Word{ID: ID{"c", 1}, Addr: "c:1"}, News: []Word{{ID: ID{"a", 1}, State: Suspect, By: "c", Addr: "a:1"}}})
+	d.handleMessage(0, Message{Kind: Answer, From: Update{ID: ID{"b", 1}, Addr: "b:1"}, Updates: []Update{{ID: ID{"a", 1}, State: Suspect, By: "b", Addr: "a:1"}}})
+	d.handleMessage(0, Message{Kind: Answer, From: Update{ID: ID{"c", 1}, Addr: "c:1"}, Updates: []Update{{ID: ID{"a", 1}, State: Suspect, By: "c", Addr: "a:1"}}})
 	run(4 * time.Second)
 	if s := d.members["a"].State; s != Suspect {
 		t.Fatalf("a is %s after 4 s", s)
@@ -87,7 +87,7 @@
 // not count. A member that has left is not probed.
 func TestAnswerOfAnotherProcessDoesNotCount(t *testing.T) {
 	d := newJoined(t, "a")
-	d.handleMessage(0, Message{Kind: Answer, From: Word{ID: ID{"b", 1}, State: Left, Addr: "b:1"}})
+	d.handleMessage(0, Message{Kind: Answer, From: Update{ID: ID{"b", 1}, State: Left, Addr: "b:1"}})
 	for d.Next() < 10*time.Second {
 		now := d.Next()
 		for _, a := range d.Handle(now, Event{Kind: Tick}, nil) {
@@ -95,7 +95,7 @@
 				t.Fatalf("%s: a member that has left receives %s", now, a.Message.Kind)
 			}
 			if a.Kind == Send && a.Message.Kind == Ask && a.Addr == "a:1" {
-				d.handleMessage(now, Message{Kind: Answer, Seq: a.Message.Seq, About: d.Self().ID, From: Word{ID: ID{"other", 1}, State: Left, Addr: "a:1"}})
+				d.handleMessage(now, Message{Kind: Answer, Seq: a.Message.Seq, About: d.Self().ID, From: Update{ID: ID{"other", 1}, State: Left, Addr: "a:1"}})
 			}
 		}
 	}
--- a/detect/measure_test.go
+++ b/detect/measure_test.go
@@ -20,8 +20,8 @@
 // heartbeat is the simplest detector, for comparison: each member sends to all each second, and one that is silent for 5 s is
 // dead.
 type heartbeat struct {
-	self  Word
-	all   []Word
+	self  Update
+	all   []Update
 	heard []time.Duration
 	dead  []bool
 	next  time.Duration
@@ -30,7 +30,7 @@
 func (h *heartbeat) Next() time.Duration { return h.next }
 
 func (h *heartbeat) Handle(now time.Duration, ev Event, out []Action) []Action {
-	if ev.Kind == Got {
+	if ev.Kind == Received {
 		i := int(ev.Message.Seq)
 		h.heard[i] = now
 		if h.dead[i] {
@@ -43,7 +43,7 @@
 		return out
 	}
 	h.next = now + time.Second
-	me := slices.IndexFunc(h.all, func(w Word) bool { return w.Name == h.self.Name })
+	me := slices.IndexFunc(h.all, func(w Update) bool { return w.Name == h.self.Name })
 	for i, w := range h.all {
 		if i == me {
 			continue
@@ -73,9 +73,9 @@
 	}},
 	{"heartbeats", func(n int) func(*Config) node {
 		return func(c *Config) node {
-			h := &heartbeat{self: Word{ID: ID{c.Name, c.Start}, Addr: c.Addr}, heard: make([]time.Duration, n), dead: make([]bool, n)}
+			h := &heartbeat{self: Update{ID: ID{c.Name, c.Start}, Addr: c.Addr}, heard: make([]time.Duration, n), dead: make([]bool, n)}
 			for i := range n {
-				h.all = append(h.all, Word{ID: ID{nameOf(i), 1}, Addr: nameOf(i) + ":7946"})
+				h.all = append(h.all, Update{ID: ID{nameOf(i), 1}, Addr: nameOf(i) + ":7946"})
 			}
 			return h
 		}
@@ -239,7 +239,7 @@
 		}
 	}
 	s.onAction = func(_ *simNode, a Action) {
-		if a.Kind == CutOff && a.Is {
+		if a.Kind == CutOff && a.IsCutOff {
 			cutOffs++
 		}
 	}
--- a/detect/members.go
+++ b/detect/members.go
@@ -12,7 +12,7 @@
 
 // member is the state of one other process.
 type member struct {
-	Word
+	Update
 	ringIndex  int // index in ring
 	timerIndex int // index in timers; -1: no timer
 	dueAt      time.Duration
@@ -22,14 +22,14 @@
 	accusers      []string      // Suspect
 	awayUntil     time.Duration // Away: when the absence ends
 	probeWait     time.Duration // Dead: between two probes
-	countsForSize bool          // Dead: it counts for Sized
+	countsForSize bool          // Dead: it counts for SizeChanged
 	neverPresent  bool          // it was never present in this view; its end is not passed on
 	flaps         int           // recent returns from the dead
 	flappedAt     time.Duration
 
-	reportedDeath Word // a reported death that is not verified
-	verifyProbes  int  // probes sent to verify it
-	isUnverified  bool // it is in unverified
+	reportedDeath Update // a reported death that is not verified
+	verifyProbes  int    // probes sent to verify it
+	isUnverified  bool   // it is in unverified
 
 	broadcast         queueEntry
 	isLinkChecked     bool // it is in linkChecks
@@ -45,8 +45,8 @@
 const flapWindow, maxFlaps = 10 * time.Minute, 2
 
 // currentWord returns the update about the member as it is sent now.
-func (m *member) currentWord(now time.Duration) Word {
-	w := m.Word
+func (m *member) currentWord(now time.Duration) Update {
+	w := m.Update
 	if w.State == Away {
 		w.Until = max(0, m.awayUntil-now)
 	}
@@ -54,7 +54,7 @@
 }
 
 // receiveWord merges one update. isFromSender: it is the sender's update about itself.
-func (d *Detect) receiveWord(w Word, isFromSender bool) {
+func (d *Detect) receiveWord(w Update, isFromSender bool) {
 	if !w.isValid() {
 		return
 	}
@@ -68,9 +68,9 @@
 		d.add(w, isFromSender)
 	case w.Start > m.Start:
 		d.replace(m, w)
-	case w.State == Suspect && Compare(w, m.Word) == 0:
+	case w.State == Suspect && Compare(w, m.Update) == 0:
 		d.addAccuser(m, w.By)
-	case Compare(w, m.Word) <= 0:
+	case Compare(w, m.Update) <= 0:
 	case w.State == Dead && m.State.isPresent() && !d.cfg.isPlainSWIM:
 		d.receiveDeath(m, w)
 	default:
@@ -79,11 +79,11 @@
 }
 
 // add adds a member that is not known.
-func (d *Detect) add(w Word, isFromSender bool) {
+func (d *Detect) add(w Update, isFromSender bool) {
 	if len(d.members) >= d.cfg.MaxMembers {
 		return
 	}
-	m := &member{Word: Word{ID: w.ID, State: Forgotten}, ringIndex: len(d.ring), timerIndex: -1}
+	m := &member{Update: Update{ID: w.ID, State: Forgotten}, ringIndex: len(d.ring), timerIndex: -1}
 	d.members[w.Name] = m
 	d.ring = append(d.ring, m)
 	if n := len(d.ring) - d.ringPos; n > 1 { // at a random position among those not yet probed in this turn
@@ -91,7 +91,7 @@
 	}
 	if !w.State.isPresent() { // the end of a forgotten or never seen process
 		m.neverPresent = true
-		m.Word, m.stateSince = w, d.now
+		m.Update, m.stateSince = w, d.now
 		m.By, m.Until = "", 0
 		m.probeWait = initialRetryWait
 		d.setTimer(m)
@@ -106,11 +106,11 @@
 }
 
 // replace merges an update of a later process with the member's name.
-func (d *Detect) replace(m *member, w Word) {
+func (d *Detect) replace(m *member, w Update) {
 	d.clearLinks(m)
 	m.accusers = nil
 	if m.neverPresent && !w.State.isPresent() {
-		m.Word, m.stateSince = w, d.now
+		m.Update, m.stateSince = w, d.now
 		d.setTimer(m)
 		return
 	}
@@ -122,7 +122,7 @@
 }
 
 // applyWord applies an update that holds over the stored one.
-func (d *Detect) applyWord(m *member, w Word, isFromSender bool) {
+func (d *Detect) applyWord(m *member, w Update, isFromSender bool) {
 	cause := "another member reported it"
 	switch {
 	case isFromSender:
@@ -149,7 +149,7 @@
 }
 
 // transition stores an update, with all that follows from its state.
-func (d *Detect) transition(m *member, w Word, cause string) {
+func (d *Detect) transition(m *member, w Update, cause string) {
 	old := m.State
 	if old == Dead && w.State <= Away {
 		if m.neverPresent {
@@ -169,7 +169,7 @@
 		d.recentDeadCount--
 		m.countsForSize = false
 	}
-	m.Word = w
+	m.Update = w
 	m.neverPresent = false
 	if w.State.isPresent() {
 		d.presentCount++
@@ -183,7 +183,7 @@
 	}
 	m.awayUntil = d.now + min(max(0, w.Until), d.cfg.MaxAway)
 	m.probeWait = initialRetryWait
-	m.reportedDeath = Word{}
+	m.reportedDeath = Update{}
 	d.setTimer(m)
 	d.broadcast(m)
 	if w.State != old {
@@ -230,7 +230,7 @@
 	case Suspect:
 		if m.dueAt = d.finalProbesAt(m); m.dueAt <= d.now && m.finalProbes < maxFinalProbes && !d.cfg.isPlainSWIM {
 			m.finalProbes++
-			m.dueAt = d.now + d.cfg.AnswerWithin
+			m.dueAt = d.now + d.cfg.ProbeTimeout
 			d.send(m.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: m.ID}, m)
 		} else if m.dueAt <= d.now {
 			m.dueAt = d.suspicionDeadline(m)
@@ -239,7 +239,7 @@
 			heap.Fix(&d.timers, m.timerIndex)
 			return
 		}
-		w := m.Word
+		w := m.Update
 		w.State, w.By = Dead, ""
 		d.transition(m, w, fmt.Sprintf("suspected by %d for %s without a refutation", len(m.accusers),
 			(d.now-m.stateSince).Round(100*time.Millisecond)))
@@ -255,12 +255,12 @@
 			d.recentDeadCount--
 		case m.State == Dead:
 			if d.nextDeadProbeAt > d.now {
-				m.dueAt = d.nextDeadProbeAt + d.randomDuration(d.cfg.Every)
+				m.dueAt = d.nextDeadProbeAt + d.randomDuration(d.cfg.ProbeInterval)
 				heap.Fix(&d.timers, m.timerIndex)
 				return
 			}
 			if d.self.State != Left && !d.cfg.isPlainSWIM {
-				d.nextDeadProbeAt = d.now + d.cfg.Every/2
+				d.nextDeadProbeAt = d.now + d.cfg.ProbeInterval/2
 				d.unanswered++
 				d.send(m.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: m.ID}, m)
 			}
@@ -292,11 +292,11 @@
 		m.State = Forgotten
 		d.reportChange(m, old, cause)
 	}
-	m.reportedDeath = Word{}
+	m.reportedDeath = Update{}
 }
 
 // receiveSelfWord processes an update about this process's own name.
-func (d *Detect) receiveSelfWord(w Word) {
+func (d *Detect) receiveSelfWord(w Update) {
 	switch {
 	case w.Start > d.self.Start:
 		hasEnded := w.State == Dead || w.State == Left
--- a/detect/news.go
+++ b/detect/news.go
@@ -66,34 +66,34 @@
 	linkSize    = 2 + 2 + 2 + 6 + 2 + 2
 )
 
-func (w *Word) size() int { return wordSize + len(w.Name) + len(w.Addr) + len(w.By) }
+func (w *Update) size() int { return wordSize + len(w.Name) + len(w.Addr) + len(w.By) }
 
-func (l *LinkWord) size() int { return linkSize + len(l.From) + len(l.To) }
+func (l *LinkUpdate) size() int { return linkSize + len(l.From) + len(l.To) }
 
 // send sends a datagram to a member (nil: unknown), with the update that it must receive first, and as many queued updates as
 // fit.
 func (d *Detect) send(addr string, msg Message, to *member) {
 	msg.From = d.currentSelfWord()
-	room := d.cfg.DatagramMost - d.cfg.EnvelopeBytes - messageSize - len(msg.About.Name) - msg.From.size()
-	var news []Word
+	room := d.cfg.MaxDatagramBytes - d.cfg.EnvelopeBytes - messageSize - len(msg.About.Name) - msg.From.size()
+	var news []Update
 	// A member that counts as suspect, away or dead receives that update first, because it can refute it (Lifeguard, 4.3).
 	if to != nil && to.State != Alive && to.reportedDeath.Name == "" && !d.cfg.isPlainSWIM {
 		news = append(news, to.currentWord(d.now))
 		room -= news[0].size()
 	}
-	for _, w := range msg.News {
+	for _, w := range msg.Updates {
 		if room -= w.size(); room < 0 {
 			break
 		}
 		news = append(news, w)
 	}
 	msg.Links, room = d.takeQueuedLinks(room)
-	msg.News = d.takeBroadcasts(news, room, to)
+	msg.Updates = d.takeBroadcasts(news, room, to)
 	d.act(Action{Kind: Send, Addr: addr, Message: msg})
 }
 
 // takeBroadcasts appends queued updates that fit into room, and counts them as sent.
-func (d *Detect) takeBroadcasts(news []Word, room int, to *member) []Word {
+func (d *Detect) takeBroadcasts(news []Update, room int, to *member) []Update {
 	maxSent := d.maxRetransmits()
 	var taken []*member
 	for i := 0; i < len(d.broadcasts.entries) && room > wordSize; i++ {
@@ -130,10 +130,10 @@
 // fullState returns a message with all members except those that were never present here: otherwise their ends would circulate
 // forever.
 func (d *Detect) fullState(k Kind) Message {
-	msg := Message{Kind: k, From: d.currentSelfWord(), News: make([]Word, 0, len(d.ring))}
+	msg := Message{Kind: k, From: d.currentSelfWord(), Updates: make([]Update, 0, len(d.ring))}
 	for _, m := range d.ring {
 		if !m.neverPresent {
-			msg.News = append(msg.News, m.currentWord(d.now))
+			msg.Updates = append(msg.Updates, m.currentWord(d.now))
 		}
 	}
 	return msg
@@ -146,13 +146,13 @@
 		return
 	}
 	msg := Message{Kind: Answer, About: s.ID}
-	room := d.cfg.DatagramMost / 2
+	room := d.cfg.MaxDatagramBytes / 2
 	for _, o := range d.randomMembers(maxSample, s) {
 		w := o.currentWord(d.now)
 		if room -= w.size(); room < 0 {
 			break
 		}
-		msg.News = append(msg.News, w)
+		msg.Updates = append(msg.Updates, w)
 	}
 	d.send(s.Addr, msg, s)
 }
--- a/detect/probes.go
+++ b/detect/probes.go
@@ -42,7 +42,7 @@
 
 // beginRound probes the next member.
 func (d *Detect) beginRound() {
-	d.nextRoundAt = d.now + d.cfg.Every*time.Duration(d.timeoutFactor())
+	d.nextRoundAt = d.now + d.cfg.ProbeInterval*time.Duration(d.timeoutFactor())
 	if d.self.State == Left {
 		d.sendNotices(d.cfg.IndirectProbes)
 		return
@@ -54,7 +54,7 @@
 	}
 	d.unanswered++
 	d.round = round{target: m, id: m.ID, seq: d.nextSeq(), begunAt: d.now,
-		indirectAt: d.now + d.cfg.AnswerWithin*time.Duration(d.timeoutFactor())}
+		indirectAt: d.now + d.cfg.ProbeTimeout*time.Duration(d.timeoutFactor())}
 	d.send(m.Addr, Message{Kind: Ask, Seq: d.round.seq, About: m.ID}, m)
 }
 
@@ -120,7 +120,7 @@
 	}
 	for _, o := range d.randomMembers(d.cfg.IndirectProbes, m) {
 		r.indirectAsked++
-		d.send(o.Addr, Message{Kind: AskFor, Seq: r.seq, About: r.id, News: []Word{m.currentWord(d.now)}}, o)
+		d.send(o.Addr, Message{Kind: AskFor, Seq: r.seq, About: r.id, Updates: []Update{m.currentWord(d.now)}}, o)
 	}
 	if d.cfg.IndirectProbes > 0 && !d.cfg.isPlainSWIM {
 		d.send(m.Addr, Message{Kind: Ask, Seq: r.seq, About: m.ID}, m)
@@ -171,7 +171,7 @@
 	d.receivedAt = d.now
 	d.receiveWord(m.From, true)
 	incBefore, learnedBefore := d.self.Inc, d.learned
-	for _, w := range m.News {
+	for _, w := range m.Updates {
 		if d.receiveWord(w, false); d.isSuperseded {
 			return
 		}
@@ -185,7 +185,7 @@
 	case Ask:
 		answer := Message{Kind: Answer, Seq: m.Seq, About: m.From.ID}
 		if s != nil && s.ID != m.From.ID { // a later process has its name, which it must learn
-			answer.News = []Word{s.currentWord(d.now)}
+			answer.Updates = []Update{s.currentWord(d.now)}
 		}
 		d.send(from, answer, s)
 		d.sendSample(m, s)
@@ -247,7 +247,7 @@
 	}
 	for i := range d.relays {
 		if r := &d.relays[i]; r.seq == m.Seq && r.target == m.From.ID {
-			d.send(r.requesterAddr, Message{Kind: AnswerFor, Seq: r.requesterSeq, About: r.target, News: []Word{m.From}},
+			d.send(r.requesterAddr, Message{Kind: AnswerFor, Seq: r.requesterSeq, About: r.target, Updates: []Update{m.From}},
 				d.members[r.requester.Name])
 			d.dropRelay(i)
 			break
@@ -266,13 +266,13 @@
 	if t == nil || t.ID != m.About || len(d.relays) >= maxRelays || t.State == Left {
 		refusal := Message{Kind: CantReach, Seq: m.Seq, About: m.About}
 		if t != nil {
-			refusal.News = []Word{t.currentWord(d.now)}
+			refusal.Updates = []Update{t.currentWord(d.now)}
 		}
 		d.send(from, refusal, s)
 		return
 	}
 	r := relay{requesterAddr: from, requester: m.From.ID, requesterSeq: m.Seq, target: t.ID,
-		seq: d.nextSeq(), deadline: d.now + d.cfg.AnswerWithin}
+		seq: d.nextSeq(), deadline: d.now + d.cfg.ProbeTimeout}
 	d.relays = append(d.relays, r)
 	d.send(t.Addr, Message{Kind: Ask, Seq: r.seq, About: t.ID}, t)
 }
@@ -324,15 +324,15 @@
 	if d.now-d.receivedAt < d.cfg.CutOffTimeout {
 		cause = "others are heard, and none answers"
 	}
-	d.act(Action{Kind: CutOff, Is: true, Cause: cause})
+	d.act(Action{Kind: CutOff, IsCutOff: true, Cause: cause})
 }
 
 // receiveOwnDeath processes a report of this process's own death. If some of its probes also have no answer, its refutations
 // don't arrive.
 func (d *Detect) receiveOwnDeath() {
-	if d.isCutOff || d.now-d.confirmedAt < 3*d.cfg.Every || d.unanswered < 3 {
+	if d.isCutOff || d.now-d.confirmedAt < 3*d.cfg.ProbeInterval || d.unanswered < 3 {
 		return
 	}
 	d.isCutOff = true
-	d.act(Action{Kind: CutOff, Is: true, Cause: "others are heard, and hold this process for dead"})
+	d.act(Action{Kind: CutOff, IsCutOff: true, Cause: "others are heard, and hold this process for dead"})
 }
--- a/detect/script_test.go
+++ b/detect/script_test.go
@@ -65,7 +65,7 @@
 			change = a.Word.Name + ": " + a.Cause
 		}
 	case CutOff:
-		if change = "cut off, " + a.Cause; !a.Is {
+		if change = "cut off, " + a.Cause; !a.IsCutOff {
 			change = "cut off no more"
 		}
 	case Superseded:
@@ -137,7 +137,7 @@
 		n.up, n.wake = true, never
 		n.node = New(Config{Name: plain[0], Addr: n.addr, Start: FirstStart(time.Unix(1_800_000_000, 0).Add(c.s.now), 1), Seed: 99, Seeds: []string{"a:7946", "b:7946"}})
 		n.name = plain[0] + "2"
-		c.s.handle(n, Event{Kind: Begin})
+		c.s.handle(n, Event{Kind: Start})
 	case "crash":
 		for _, name := range plain {
 			c.s.crash(c.s.nodeNamed(name))
@@ -146,9 +146,9 @@
 		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: Leave})
 		c.s.crash(c.s.nodeNamed(plain[0]))
 	case "away":
-		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: GoAway, Until: dur(plain[1])})
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: BeginAway, Until: dur(plain[1])})
 	case "back":
-		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: Begin})
+		c.s.handle(c.s.nodeNamed(plain[0]), Event{Kind: Start})
 	case "pause":
 		lost := plain[len(plain)-1] == "lost"
 		if lost {
--- a/detect/sim_test.go
+++ b/detect/sim_test.go
@@ -86,7 +86,7 @@
 	}
 	n.wake = never
 	n.node = newNode(&cfg)
-	s.handle(n, Event{Kind: Begin})
+	s.handle(n, Event{Kind: Start})
 	return n
 }
 
@@ -192,10 +192,10 @@
 				s.onChange(n, a)
 			}
 		case CutOff:
-			n.isCutOff = a.Is
+			n.isCutOff = a.IsCutOff
 		case Superseded:
 			n.isSuperseded = true
-		case Sized:
+		case SizeChanged:
 			n.size = a.N
 		}
 		if s.onAction != nil {
@@ -231,7 +231,7 @@
 	if !s.canReach(n, to) || stream && !s.canReach(to, n) || !stream && s.rng.Float64() < s.loss {
 		return
 	}
-	e := simEvent{at: s.now + s.latency(), node: to, process: to.process, ev: Event{Kind: Got, From: n.addr, Message: a.Message}}
+	e := simEvent{at: s.now + s.latency(), node: to, process: to.process, ev: Event{Kind: Received, From: n.addr, Message: a.Message}}
 	s.push(e)
 	if s.duplicated > 0 && !stream && s.rng.Float64() < s.duplicated {
 		e.at += s.latency() * 10
@@ -242,8 +242,8 @@
 // bytes returns an upper bound of the message's size on the wire.
 func (m *Message) bytes() int {
 	n := messageSize + 40 + len(m.About.Name) + m.From.size()
-	for i := range m.News {
-		n += m.News[i].size()
+	for i := range m.Updates {
+		n += m.Updates[i].size()
 	}
 	for i := range m.Links {
 		n += m.Links[i].size()
@@ -278,7 +278,7 @@
 // view returns the members that are present in a process's view.
 func (n *simNode) view() string {
 	var b strings.Builder
-	n.d().Members(func(w Word, l LinkState) bool {
+	n.d().Members(func(w Update, l LinkState) bool {
 		if w.State == Left || w.State == Dead {
 			return true
 		}
--- a/detect/suspicion.go
+++ b/detect/suspicion.go
@@ -22,7 +22,7 @@
 	if d.now-m.flappedAt > flapWindow {
 		flaps = 0
 	}
-	return time.Duration(float64(d.cfg.Suspicion)*d.logMembers()) * time.Duration(1+flaps)
+	return time.Duration(float64(d.cfg.MinSuspicionTimeout)*d.logMembers()) * time.Duration(1+flaps)
 }
 
 // suspicionDeadline returns when a suspicion ends in death: MaxSuspicionFactor times the minimum with one accuser. Each further
@@ -47,7 +47,7 @@
 	if m.finalProbes > 0 { // they have begun
 		return d.now
 	}
-	return max(d.suspicionDeadline(m)-maxFinalProbes*d.cfg.AnswerWithin, d.noSuspicionUntil)
+	return max(d.suspicionDeadline(m)-maxFinalProbes*d.cfg.ProbeTimeout, d.noSuspicionUntil)
 }
 
 // addAccuser counts one more accuser of a suspect.
@@ -69,7 +69,7 @@
 		d.addAccuser(m, d.self.Name)
 		return
 	}
-	w := m.Word
+	w := m.Update
 	w.State, w.By, w.Until = Suspect, d.self.Name, 0
 	m.accusers = []string{d.self.Name}
 	d.transition(m, w, cause)
@@ -77,7 +77,7 @@
 
 // receiveDeath processes a reported death of a member that is present in this view. It accepts the death of a member that has
 // been suspect long enough to refute it. Otherwise the reporter may have been cut off itself, so the member is probed first.
-func (d *Detect) receiveDeath(m *member, w Word) {
+func (d *Detect) receiveDeath(m *member, w Update) {
 	if m.State == Suspect && m.Inc == w.Inc &&
 		float64(d.now-m.stateSince) >= minSuspicionShare*float64(d.minSuspicion(m)) && d.now >= d.noSuspicionUntil {
 		d.transition(m, w, "others reported its death")
@@ -101,16 +101,16 @@
 		m := d.unverified[0]
 		d.unverified = d.unverified[1:]
 		m.isUnverified = false
-		if m.reportedDeath.Name == "" || d.members[m.Name] != m || !m.State.isPresent() || Compare(m.Word, m.reportedDeath) > 0 {
-			m.reportedDeath = Word{}
+		if m.reportedDeath.Name == "" || d.members[m.Name] != m || !m.State.isPresent() || Compare(m.Update, m.reportedDeath) > 0 {
+			m.reportedDeath = Update{}
 			continue
 		}
 		if m.verifyProbes >= maxVerifyProbes {
 			w := m.reportedDeath
-			m.reportedDeath = Word{}
+			m.reportedDeath = Update{}
 			if m.State != Away && d.now >= d.noSuspicionUntil {
 				w.State, w.By = Suspect, d.self.Name
-				if m.State == Suspect && Compare(w, m.Word) <= 0 {
+				if m.State == Suspect && Compare(w, m.Update) <= 0 {
 					d.addAccuser(m, w.By)
 				} else {
 					m.accusers = []string{w.By}
@@ -120,12 +120,12 @@
 			continue
 		}
 		m.verifyProbes++
-		d.send(m.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: m.ID, News: []Word{m.reportedDeath}}, m)
+		d.send(m.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: m.ID, Updates: []Update{m.reportedDeath}}, m)
 		m.isUnverified = true
 		d.unverified = append(d.unverified, m)
 	}
 	d.nextVerifyAt = d.now + verifyInterval
 	if n := len(d.unverified); n > 0 && n <= maxVerifyPerRound { // leaves each one time to answer
-		d.nextVerifyAt = d.now + d.cfg.AnswerWithin
+		d.nextVerifyAt = d.now + d.cfg.ProbeTimeout
 	}
 }
--- a/detect/types.go
+++ b/detect/types.go
@@ -36,8 +36,8 @@
 	return [...]string{"alive", "away", "suspect", "dead", "left", "forgotten"}[min(s, Forgotten)]
 }
 
-// Word is a membership update about one process. Only the process itself raises its incarnation Inc.
-type Word struct {
+// Update is a membership update about one process. Only the process itself raises its incarnation Inc.
+type Update struct {
 	ID
 	Inc   uint32
 	State State
@@ -46,11 +46,11 @@
 	By    string        // of Suspect: the name of the accuser
 }
 
-// LinkWord is an update about one direction of a link. Its author is To, which receives no messages of From although other
+// LinkUpdate is an update about one direction of a link. Its author is To, which receives no messages of From although other
 // members do, or receives them again.
-type LinkWord struct {
+type LinkUpdate struct {
 	From, To string
-	Num      uint32 // sequence number of To's updates about From; the higher one holds
+	Seq      uint32 // sequence number of To's updates about From; the higher one holds
 	Deaf     bool
 }
 
@@ -76,12 +76,12 @@
 type Message struct {
 	Kind Kind
 	Seq  uint32
-	From Word // the sender's update about itself
+	From Update // the sender's update about itself
 	// About is, in AskFor, AnswerFor and CantReach, the target of the indirect probe. In Ask it is the process that the sender
 	// expects at the address; zero: the sender knows only an address. In Answer it is the process that sent the probe.
-	About ID
-	News  []Word
-	Links []LinkWord
+	About   ID
+	Updates []Update
+	Links   []LinkUpdate
 }
 
 // EventKind is the kind of an event.
@@ -89,11 +89,11 @@
 
 // Kinds of events.
 const (
-	Begin  EventKind = iota // start discovery; after GoAway: return
-	Tick                    // only time has passed
-	Got                     // Message arrived from the address From
-	Leave                   // this process ends and does not return
-	GoAway                  // this process ends or stops, and returns within Until
+	Start     EventKind = iota // start discovery; after BeginAway: return
+	Tick                       // only time has passed
+	Received                   // Message arrived from the address From
+	Leave                      // this process ends and does not return
+	BeginAway                  // this process ends or stops, and returns within Until
 )
 
 // Event is an input of a Detect.
@@ -111,33 +111,33 @@
 const (
 	// Send is Addr, Message: sent as one datagram. A Pull is the exception: it goes back on the stream of its Push.
 	Send ActionKind = iota
-	// Exchange is Addr, Message: a Push by stream. The caller passes the Pull that comes back as a Got event with Addr as From. It
+	// Exchange is Addr, Message: a Push by stream. The caller passes the Pull that comes back as a Received event with Addr as From. It
 	// doesn't report a failure.
 	Exchange
-	// Changed is Word, Old, Cause: another process has a different state or start. Old is Forgotten if the process was not known;
-	// Word.State is Forgotten if it is no longer known.
+	// Changed is Update, Old, Cause: another process has a different state or start. Old is Forgotten if the process was not known;
+	// Update.State is Forgotten if it is no longer known.
 	Changed
-	// CutOff is Is, Cause: from now on this process must act as if it were alone (Is), or need no longer do so.
+	// CutOff is IsCutOff, Cause: from now on this process must act as if it were alone (IsCutOff), or need no longer do so.
 	CutOff
 	// Superseded is By: a later process of this name is alive. This one takes no further part and serves alone.
 	Superseded
 	// Renamed is By: this process has a new start number, because it received a higher one for its name.
 	Renamed
-	// Sized is N: how many members, including this one, may be present. In doubt it is the larger number.
-	Sized
+	// SizeChanged is N: how many members, including this one, may be present. In doubt it is the larger number.
+	SizeChanged
 )
 
 // Action is an output of a Detect, for the caller to carry out.
 type Action struct {
-	Kind    ActionKind
-	Addr    string
-	Message Message
-	Word    Word
-	Old     State
-	Cause   string
-	Is      bool
-	By      ID
-	N       int
+	Kind     ActionKind
+	Addr     string
+	Message  Message
+	Word     Update
+	Old      State
+	Cause    string
+	IsCutOff bool
+	By       ID
+	N        int
 }
 
 // LinkState is the state of the two directions between this process and another. It is a state of the link, not of the member.
@@ -163,15 +163,15 @@
 	Seeds []string
 	Seed  uint64 // of the random numbers
 
-	Every          time.Duration // between two probes; 0: 1s
-	AnswerWithin   time.Duration // before indirect probes; 0: 300ms
+	ProbeInterval  time.Duration // between two probes; 0: 1s
+	ProbeTimeout   time.Duration // before indirect probes; 0: 300ms
 	IndirectProbes int           // indirect probes in a round; 0: 3. Less than 0: none
-	// Suspicion is the shortest time from suspicion to death, with ten members. It grows with the logarithm of the number of
+	// MinSuspicionTimeout is the shortest time from suspicion to death, with ten members. It grows with the logarithm of the number of
 	// members.
-	Suspicion          time.Duration // 0: 5s
-	MaxSuspicionFactor int           // how many times longer suspicion lasts with one accuser; 0: 6
-	SuspicionAccusers  int           // accusers beyond the first that shorten it to the minimum; 0: 3
-	MaxHealthScore     int           // worst local health score: timeouts are 1 + score times as long; 0: 4. Less than 0: no score
+	MinSuspicionTimeout time.Duration // 0: 5s
+	MaxSuspicionFactor  int           // how many times longer suspicion lasts with one accuser; 0: 6
+	SuspicionAccusers   int           // accusers beyond the first that shorten it to the minimum; 0: 3
+	MaxHealthScore      int           // worst local health score: timeouts are 1 + score times as long; 0: 4. Less than 0: no score
 	// PauseThreshold is how late after Next a call of Handle shows that this process was stopped; 0: 700ms. Less than 0: pauses
 	// are not detected.
 	PauseThreshold       time.Duration
@@ -180,11 +180,11 @@
 	ExchangeInterval     time.Duration // between exchanges by stream with up to a hundred members, in proportion beyond; 0: 30s
 	MaxDeadProbeInterval time.Duration // longest time between two probes of a dead member; 0: 30s
 	ForgetAfter          time.Duration // a process is forgotten this long after its end; 0: 30m
-	SizeGrace            time.Duration // a dead member counts for Sized this long; 0: 2m
+	SizeGrace            time.Duration // a dead member counts for SizeChanged this long; 0: 2m
 	MaxAway              time.Duration // the longest planned absence; 0: 10m
 	MaxMembers           int           // further members are not added; 0: 4096
 	MaxLinks             int           // stored link updates; 0: 1024
-	DatagramMost         int           // bytes; 0: 1200
+	MaxDatagramBytes     int           // bytes; 0: 1200
 	EnvelopeBytes        int           // bytes of a datagram that the caller needs itself; 0: 40
 
 	// isPlainSWIM selects SWIM as published, for comparison: reported deaths are not verified, the suspect is not informed first,
--- a/detect/word_test.go
+++ b/detect/word_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-func allWords() []Word {
-	var all []Word
+func allWords() []Update {
+	var all []Update
 	for start := uint64(1); start <= 2; start++ {
 		for inc := uint32(0); inc <= 2; inc++ {
 			for s := Alive; s <= Left; s++ {
-				all = append(all, Word{ID: ID{"x", start}, Inc: inc, State: s, Addr: "x:1", Until: time.Minute})
+				all = append(all, Update{ID: ID{"x", start}, Inc: inc, State: s, Addr: "x:1", Until: time.Minute})
 			}
 		}
 	}
@@ -20,7 +20,7 @@
 }
 
 // compareByTable is the precedence table of the design note, written independently of the code.
-func compareByTable(a, b Word) int {
+func compareByTable(a, b Update) int {
 	switch {
 	case a == b:
 		return 0
@@ -74,19 +74,19 @@
 		}
 		for range 2 {
 			v := New(Config{Name: "self", Start: 1, Addr: "self:1"})
-			v.Handle(0, Event{Kind: Begin}, nil)
-			got := Word{}
+			v.Handle(0, Event{Kind: Start}, nil)
+			got := Update{}
 			for _, w := range append(rapid.Permutation(some).Draw(t, "order"), some...) {
-				v.Handle(0, Event{Kind: Got, From: "y:1", Message: Message{Kind: Pull, From: Word{ID: ID{"y", 1}, Addr: "y:1"}, News: []Word{w}}}, nil)
+				v.Handle(0, Event{Kind: Received, From: "y:1", Message: Message{Kind: Pull, From: Update{ID: ID{"y", 1}, Addr: "y:1"}, Updates: []Update{w}}}, nil)
 				stored := v.members["x"]
-				if Compare(stored.Word, got) < 0 && got.Name != "" {
-					t.Fatalf("%+v replaced %+v, which holds over it", stored.Word, got)
+				if Compare(stored.Update, got) < 0 && got.Name != "" {
+					t.Fatalf("%+v replaced %+v, which holds over it", stored.Update, got)
 				}
-				got = stored.Word
+				got = stored.Update
 			}
 			m := v.members["x"]
 			if m.reportedDeath.Name != "" {
-				if Compare(m.reportedDeath, m.Word) > 0 {
+				if Compare(m.reportedDeath, m.Update) > 0 {
 					got = m.reportedDeath
 				}
 			}
@@ -106,14 +106,14 @@
 		want   ActionKind
 	}{{Alive, false, Renamed}, {Suspect, false, Renamed}, {Dead, true, Renamed}, {Left, true, Renamed}, {Alive, true, Superseded}, {Away, true, Superseded}} {
 		d := New(Config{Name: "x", Start: 5, Addr: "x:1"})
-		d.Handle(0, Event{Kind: Begin}, nil)
-		m := Message{Kind: Pull, From: Word{ID: ID{"y", 1}, Addr: "y:1"}}
+		d.Handle(0, Event{Kind: Start}, nil)
+		m := Message{Kind: Pull, From: Update{ID: ID{"y", 1}, Addr: "y:1"}}
 		if c.joined {
-			d.Handle(0, Event{Kind: Got, From: "y:1", Message: m}, nil)
+			d.Handle(0, Event{Kind: Received, From: "y:1", Message: m}, nil)
 		}
-		m.Kind, m.News = Answer, []Word{{ID: ID{"x", 9}, State: c.state, Addr: "x:2"}}
+		m.Kind, m.Updates = Answer, []Update{{ID: ID{"x", 9}, State: c.state, Addr: "x:2"}}
 		var got []ActionKind
-		for _, a := range d.Handle(0, Event{Kind: Got, From: "y:1", Message: m}, nil) {
+		for _, a := range d.Handle(0, Event{Kind: Received, From: "y:1", Message: m}, nil) {
 			if a.Kind == Renamed || a.Kind == Superseded {
 				got = append(got, a.Kind)
 				if start := d.Self().Start; (a.Kind == Renamed) != (start == 10) || a.By.Start != 9 && a.By.Start != 10 {
@@ -136,17 +136,17 @@
 	}{{2, 1, 0, 5000}, {3, 1, 0, 30000}, {3, 2, 0, 5000}, {9, 1, 0, 30000}, {9, 2, 0, 17500}, {9, 3, 0, 10200}, {9, 4, 0, 5000}, {99, 4, 0, 10000},
 		{999, 4, 0, 15000}, {999, 1, 0, 90000}, {9, 4, 2, 15000}, {9, 4, 5, 15000}} {
 		d := New(Config{Name: "self", Start: 1, Addr: "self:1"})
-		d.Handle(0, Event{Kind: Begin}, nil)
+		d.Handle(0, Event{Kind: Start}, nil)
 		for i := range c.members - 1 {
-			d.receiveWord(Word{ID: ID{nameOf(i), 1}, Addr: "x:1"}, false)
+			d.receiveWord(Update{ID: ID{nameOf(i), 1}, Addr: "x:1"}, false)
 		}
 		m := d.members["a"]
 		for range c.flaps {
-			d.transition(m, Word{ID: m.ID, State: Dead, Addr: m.Addr}, "")
-			d.transition(m, Word{ID: m.ID, State: Alive, Addr: m.Addr}, "")
+			d.transition(m, Update{ID: m.ID, State: Dead, Addr: m.Addr}, "")
+			d.transition(m, Update{ID: m.ID, State: Alive, Addr: m.Addr}, "")
 		}
 		for i := range c.accusers {
-			d.receiveWord(Word{ID: m.ID, State: Suspect, Addr: "x:1", By: nameOf(i + 1)}, false)
+			d.receiveWord(Update{ID: m.ID, State: Suspect, Addr: "x:1", By: nameOf(i + 1)}, false)
 		}
 		if got := d.suspicionDeadline(m).Round(100 * time.Millisecond); got-c.want*time.Millisecond > 100*time.Millisecond || c.want*time.Millisecond-got > 100*time.Millisecond {
 			t.Errorf("%d members, %d accusers, %d returns: suspicion lasts %s", c.members, c.accusers, c.flaps, got)
--- a/glencartgrpc/answer.go
+++ b/glencartgrpc/answer.go
@@ -88,24 +88,24 @@
 func (p *Plugin) worded(a engine.Answer, class string) *callError {
 	f, _ := a.Body.(*failure)
 	e := &callError{class: class, reason: ReasonFailed}
-	if a.Kind == engine.Failed && !a.Begun { // given up in time: it is proven that nothing ran
+	if a.Kind == engine.Failed && !a.MayHaveRun { // given up in time: it is proven that nothing ran
 		a.Kind = engine.Refused
 	}
 	switch a.Kind {
 	case engine.Refused:
-		e.reason, e.retryIn = ReasonRefused, a.RetryIn
+		e.reason, e.retryIn = ReasonRefused, a.RetryAfter
 		switch {
 		case a.Late:
 			e.err = own(codes.DeadlineExceeded, "refused: its time is over, and nothing ran that may not run again")
 		case f != nil:
 			e.err = f.err
-		case !p.engine.Ready():
+		case !p.engine.HasReadyBackend():
 			e.err = own(codes.Unavailable, "refused: no backend is ready")
 		default:
 			e.err = own(codes.ResourceExhausted, "refused: no backend may take it now")
 		}
 		return e
-	case engine.Doubled:
+	case engine.Duplicate:
 		e.err = own(codes.Internal, "another call with this id is open")
 		return e
 	}
--- a/glencartgrpc/call.go
+++ b/glencartgrpc/call.go
@@ -53,7 +53,7 @@
 	c.Deadline = p.engine.Now().Add(left)
 	if d, ok := ctx.Deadline(); ok && d.Before(c.Deadline) {
 		c.Deadline = d
-		c.Hasty = d.Before(p.engine.Now().Add(p.names.Config.Classes[class].Aim / hasty))
+		c.HasShortDeadline = d.Before(p.engine.Now().Add(p.names.Config.Classes[class].Aim / hasty))
 	}
 	return c
 }
@@ -113,9 +113,9 @@
 	}
 }
 
-// Bar keeps an attempt from being sent. One that stands in line for a stream of a connection is stopped too, and
+// PreventWrite keeps an attempt from being sent. One that stands in line for a stream of a connection is stopped too, and
 // what it proves is told when it has ended.
-func (p *Plugin) Bar(a *engine.Attempt) bool {
+func (p *Plugin) PreventWrite(a *engine.Attempt) bool {
 	t := a.State.(*try)
 	if t.bar() {
 		return true
@@ -126,11 +126,11 @@
 	return false
 }
 
-// GiveUp ends an attempt: gRPC resets its stream.
-func (p *Plugin) GiveUp(a *engine.Attempt) { a.State.(*try).stop() }
+// Cancel ends an attempt: gRPC resets its stream.
+func (p *Plugin) Cancel(a *engine.Attempt) { a.State.(*try).stop() }
 
-// Drop does nothing: connections follow the list (see trust.publish), and end when their calls have.
-func (p *Plugin) Drop(engine.Endpoint) {}
+// CloseIdle does nothing: connections follow the list (see trust.publish), and end when their calls have.
+func (p *Plugin) CloseIdle(engine.Endpoint) {}
 
 // judged tells what the end of an attempt means. It changes nothing.
 func (c *call) judged(a *engine.Attempt, t *try, err error) (seen, verdict) {
@@ -165,7 +165,7 @@
 			c.p.engine.Post(func() { c.p.trust.drained(t.to) })
 		}
 	}
-	if t.link != nil && !t.link.reports.Load() && (t.has(sawAnswer|sawTrailer) || s.cancelled || c.Hasty) {
+	if t.link != nil && !t.link.reports.Load() && (t.has(sawAnswer|sawTrailer) || s.cancelled || c.HasShortDeadline) {
 		// A service that never reports, and nothing that speaks against it: nobody else is known to be there. Without a word
 		// of it, what was not accepted would count against it until a report, which never comes.
 		res.Load = balance.Load{Has: balance.HasActive}
@@ -177,7 +177,7 @@
 }
 
 // gone tells the engine that the application is out of the call. The engine answers nothing more.
-func (c *call) gone() { c.p.engine.Post(func() { c.p.engine.Gone(&c.Request) }) }
+func (c *call) gone() { c.p.engine.Post(func() { c.p.engine.ClientGone(&c.Request) }) }
 
 // unary is the interceptor for calls of one message each way.
 func (p *Plugin) unary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
@@ -221,7 +221,7 @@
 // call places a call. noConn tells that it ended as refused for want of a connection, so that nothing left.
 func (p *Plugin) call(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts []grpc.CallOption) (noConn bool, err error) {
 	c := p.begin(ctx, method, false)
-	if !p.engine.Place(&c.Request) {
+	if !p.engine.Submit(&c.Request) {
 		return false, closedStatus()
 	}
 	done := ctx.Done()
--- a/glencartgrpc/classify.go
+++ b/glencartgrpc/classify.go
@@ -70,12 +70,12 @@
 	case s.code == codes.OK:
 		return verdict{status: balance.Delivered, answer: true}
 	case bit(sawMistake):
-		return verdict{status: balance.Revoked, local: true}
+		return verdict{status: balance.Cancelled, local: true}
 	case s.cancelled && !bit(sawTrailer):
 		if !s.begun || !bit(sawHead) || !s.stream && !bit(sawMessage) {
 			return verdict{status: balance.Unused}
 		}
-		return verdict{status: balance.Revoked}
+		return verdict{status: balance.Cancelled}
 	case bit(sawAgain):
 		// GOAWAY below the stream's id, REFUSED_STREAM, or the stream never left.
 		if bit(sawHead) {
@@ -117,7 +117,7 @@
 	case s.expired:
 		return verdict{status: balance.Expired}
 	case s.stopped:
-		return verdict{status: balance.Revoked}
+		return verdict{status: balance.Cancelled}
 	case bit(sawAnswer) && s.code == codes.ResourceExhausted:
 		// The answer came and is larger than the application takes.
 		return verdict{status: balance.Delivered, answer: true}
--- a/glencartgrpc/compare_test.go
+++ b/glencartgrpc/compare_test.go
@@ -39,7 +39,7 @@
 	DrainGrace: 500 * time.Millisecond}
 
 // The daemon's clients allow this long; the node keeps node.Early of it for the ways, and the plug-in has no such way.
-const fleetDeadline = time.Second - node.Early
+const fleetDeadline = time.Second - node.DeadlineMargin
 
 var fleetMethods = map[string]string{"/f.F/read": "read", "/f.F/place": "place", "/f.F/key": "key"}
 
@@ -66,7 +66,7 @@
 		keyLine = "Idempotency-Key: " + key + "\r\n"
 	}
 	text := fmt.Sprintf("%s /api/%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %.3f\r\n%sContent-Length: 0\r\n\r\n",
-		method, id, id, class, (budget + node.Early).Seconds(), keyLine)
+		method, id, id, class, (budget + node.DeadlineMargin).Seconds(), keyLine)
 	hr, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	if err != nil {
 		panic(err)
 	}
-	e.TakeList(balance.MembersAll, l)
+	e.UpdateBackends(balance.MembersAll, l)
 }
 
 // pluginFront words them as the plug-in does.
--- a/glencartgrpc/export_test.go
+++ b/glencartgrpc/export_test.go
@@ -23,7 +23,7 @@
 // Open counts the calls that the engine still keeps.
 func (p *Plugin) Open() int {
 	n := make(chan int, 1)
-	if !p.engine.Post(func() { n <- p.engine.Open() }) {
+	if !p.engine.Post(func() { n <- p.engine.OpenRequests() }) {
 		return 0
 	}
 	select {
--- a/glencartgrpc/hear_test.go
+++ b/glencartgrpc/hear_test.go
@@ -46,21 +46,21 @@
 		told    balance.Status
 		refused bool
 	}{
-		"stopped at the deadline, the context's timer later": {live, codes.Canceled, sent, true, true, false, codes.DeadlineExceeded, balance.Revoked, false},
-		"stopped, its time not over":                         {live, codes.Canceled, sent, true, false, false, codes.Unknown, balance.Revoked, false},
+		"stopped at the deadline, the context's timer later": {live, codes.Canceled, sent, true, true, false, codes.DeadlineExceeded, balance.Cancelled, false},
+		"stopped, its time not over":                         {live, codes.Canceled, sent, true, false, false, codes.Unknown, balance.Cancelled, false},
 		"stopped before it left":                             {live, codes.Canceled, 0, true, false, false, codes.Unavailable, balance.Unused, true},
 		"gRPC saw our cancel, the context its deadline":      {late, codes.Canceled, sent, false, true, false, codes.DeadlineExceeded, balance.Expired, false},
 		"the handler's answer and the deadline":              {late, codes.NotFound, sent | sawAnswer | sawTrailer, false, true, false, codes.NotFound, balance.Delivered, false},
 		"the handler's failure and the deadline":             {late, codes.Internal, sent | sawAnswer | sawTrailer, false, true, false, codes.Internal, balance.AppError, false},
 		"the handler's failure and a cancel":                 {cancelled, codes.Internal, sent | sawAnswer | sawTrailer, false, false, false, codes.Internal, balance.AppError, false},
-		"broken and a cancel":                                {cancelled, codes.Unavailable, sent, false, false, false, codes.Unavailable, balance.Revoked, false},
-		"cancelled":                                          {cancelled, codes.Canceled, sent, false, false, false, codes.Canceled, balance.Revoked, false},
+		"broken and a cancel":                                {cancelled, codes.Unavailable, sent, false, false, false, codes.Unavailable, balance.Cancelled, false},
+		"cancelled":                                          {cancelled, codes.Canceled, sent, false, false, false, codes.Canceled, balance.Cancelled, false},
 		"cancelled before it left":                           {cancelled, codes.Canceled, 0, false, false, false, codes.Canceled, balance.Unused, false},
-		"the plug-in closes":                                 {live, codes.Canceled, sent, true, false, true, codes.Canceled, balance.Revoked, false},
+		"the plug-in closes":                                 {live, codes.Canceled, sent, true, false, true, codes.Canceled, balance.Cancelled, false},
 		"broken":                                             {live, codes.Unavailable, sent, false, false, false, codes.Unknown, balance.Dropped, false},
 		"reset, with a code that offers nothing":             {live, codes.Internal, sent, false, false, false, codes.Internal, balance.Dropped, false},
 		"not processed":                                      {live, codes.Unavailable, sent | sawAgain, false, false, false, codes.Unavailable, balance.Shed, true},
-		"the application's own mistake":                      {live, codes.Internal, sent | sawMistake, false, false, false, codes.Internal, balance.Revoked, false},
+		"the application's own mistake":                      {live, codes.Internal, sent | sawMistake, false, false, false, codes.Internal, balance.Cancelled, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := unplugged(t)
@@ -115,7 +115,7 @@
 			seen = append(seen, st.Event.Status)
 		}
 	}})
-	e.TakeList(balance.MembersAll, engine.List{Complete: true, Members: []engine.Member{{ID: "b", Addr: "127.0.0.1:1"}}})
+	e.UpdateBackends(balance.MembersAll, engine.List{Complete: true, Members: []engine.Member{{ID: "b", Addr: "127.0.0.1:1"}}})
 	e.Arrive(&c.Request)
 	s.at = send.last
 	return s, func() []balance.Status { e.Step(); return seen }
@@ -136,7 +136,7 @@
 		ended, sent error
 		want        balance.Status
 	}{
-		"the application's mistake": {status.Error(codes.Internal, "SendMsg called after CloseSend"), status.Error(codes.Internal, "SendMsg called after CloseSend"), balance.Revoked},
+		"the application's mistake": {status.Error(codes.Internal, "SendMsg called after CloseSend"), status.Error(codes.Internal, "SendMsg called after CloseSend"), balance.Cancelled},
 		"broken":                    {status.Error(codes.Unavailable, "EOF"), io.EOF, balance.Dropped},
 	} {
 		s, told := opened(t)
@@ -157,10 +157,10 @@
 type sends struct{ last *engine.Attempt }
 
 func (x *sends) Send(a *engine.Attempt)                     { x.last = a }
-func (x *sends) Bar(*engine.Attempt) bool                   { return false }
-func (x *sends) GiveUp(*engine.Attempt)                     {}
+func (x *sends) PreventWrite(*engine.Attempt) bool          { return false }
+func (x *sends) Cancel(*engine.Attempt)                     {}
 func (x *sends) Probe(engine.Endpoint, func(engine.Result)) {}
-func (x *sends) Drop(engine.Endpoint)                       {}
+func (x *sends) CloseIdle(engine.Endpoint)                  {}
 
 // A final answer in words: what is proven never to have run is refused, whatever the module could promise.
 func TestWord(t *testing.T) {
@@ -172,15 +172,15 @@
 		refused bool
 	}{
 		"failed, given up in time":        {engine.Answer{Kind: engine.Failed, Late: true}, codes.DeadlineExceeded, true},
-		"failed, it may have run":         {engine.Answer{Kind: engine.Failed, Late: true, Begun: true}, codes.DeadlineExceeded, false},
-		"failed, in the backend's words":  {engine.Answer{Kind: engine.Failed, Begun: true, Body: said}, codes.ResourceExhausted, false},
-		"failed, broken":                  {engine.Answer{Kind: engine.Failed, Begun: true, Body: broken}, codes.Unknown, false},
-		"refused, in the backend's words": {engine.Answer{Kind: engine.Refused, Begun: true, Body: said, RetryIn: time.Second}, codes.ResourceExhausted, true},
-		"refused, broken, and harmless":   {engine.Answer{Kind: engine.Refused, Begun: true, Body: broken}, codes.Unavailable, true},
-		"doubled":                         {engine.Answer{Kind: engine.Doubled}, codes.Internal, false},
+		"failed, it may have run":         {engine.Answer{Kind: engine.Failed, Late: true, MayHaveRun: true}, codes.DeadlineExceeded, false},
+		"failed, in the backend's words":  {engine.Answer{Kind: engine.Failed, MayHaveRun: true, Body: said}, codes.ResourceExhausted, false},
+		"failed, broken":                  {engine.Answer{Kind: engine.Failed, MayHaveRun: true, Body: broken}, codes.Unknown, false},
+		"refused, in the backend's words": {engine.Answer{Kind: engine.Refused, MayHaveRun: true, Body: said, RetryAfter: time.Second}, codes.ResourceExhausted, true},
+		"refused, broken, and harmless":   {engine.Answer{Kind: engine.Refused, MayHaveRun: true, Body: broken}, codes.Unavailable, true},
+		"doubled":                         {engine.Answer{Kind: engine.Duplicate}, codes.Internal, false},
 	} {
 		err := unplugged(t).word(tc.a, "place")
-		if in, refused := Refused(err); status.Code(err) != tc.want || refused != tc.refused || in != tc.a.RetryIn {
+		if in, refused := Refused(err); status.Code(err) != tc.want || refused != tc.refused || in != tc.a.RetryAfter {
 			t.Errorf("%s: %v, refused %t, come back in %v", name, err, refused, in)
 		}
 		if _, refused := Refused(status.FromProto(status.Convert(err).Proto()).Err()); refused {
@@ -202,7 +202,7 @@
 	p := unplugged(t)
 	x := &captures{Plugin: p}
 	p.engine.Transport = x
-	p.engine.TakeList(balance.MembersAll, engine.List{Complete: true, Members: []engine.Member{{ID: "b", Addr: "127.0.0.1:1"}}})
+	p.engine.UpdateBackends(balance.MembersAll, engine.List{Complete: true, Members: []engine.Member{{ID: "b", Addr: "127.0.0.1:1"}}})
 	cc, err := grpc.NewClient("passthrough:///x", grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
--- a/glencartgrpc/plugin.go
+++ b/glencartgrpc/plugin.go
@@ -155,11 +155,11 @@
 	}
 	if cfg.Discovery != "" {
 		source := registry.New(cfg.Discovery, p.names, p.cfg.Log, p.trust.heard, func() {
-			p.engine.Post(func() { p.engine.Handle(balance.Event{Kind: balance.MembersRefused}) })
+			p.engine.Post(func() { p.engine.Handle(balance.Event{Kind: balance.DiscoveryFailed}) })
 		})
-		p.engine.Post(func() { p.engine.Ask = source.Ask })
+		p.engine.Post(func() { p.engine.RequestDiscovery = source.Request })
 		if p.names.Config.AskDiscovery {
-			source.Ask(balance.Watch)
+			source.Request(balance.Watch)
 		}
 		p.wait.Go(func() { source.Run(ctx) })
 	}
@@ -251,7 +251,7 @@
 			return nil, fmt.Errorf("config: Sources: %w", err)
 		}
 		if pool.Check != nil {
-			p.member.Check(pool.Check, nil)
+			p.member.EnableChecks(pool.Check, nil)
 		}
 	}
 	return p, nil
--- a/glencartgrpc/sources.go
+++ b/glencartgrpc/sources.go
@@ -14,19 +14,19 @@
 // learn has the plug-in learn its backends from Config.Sources until ctx ends. The merge's word goes to trust as a list would: a
 // backend's own word that it drains, or has started, still corrects it.
 func (p *Plugin) learn(ctx context.Context) {
-	p.engine.Post(func() { p.merged(p.member.Begin(p.engine.Clock())) })
+	p.engine.Post(func() { p.merged(p.member.Start(p.engine.Clock())) })
 	p.member.Run(ctx, func(f func()) { p.wait.Go(f) }, func(event func(time.Duration) (merge.Event, bool)) {
 		p.engine.Post(func() {
 			if ev, counts := event(p.engine.Clock()); counts {
-				p.merged(p.member.Hear(p.engine.Clock(), ev))
+				p.merged(p.member.HandleEvent(p.engine.Clock(), ev))
 			}
 		})
 	})
-	p.wait.Go(func() { p.member.Passing(ctx, p.engine.Post, p.engine.Clock, p.merged) })
+	p.wait.Go(func() { p.member.RunTimer(ctx, p.engine.Post, p.engine.Clock, p.merged) })
 }
 
 // merged takes in backends that have changed. On the loop.
-func (p *Plugin) merged(boxes []follow.Box) {
+func (p *Plugin) merged(boxes []follow.Backend) {
 	if len(boxes) == 0 {
 		return
 	}
@@ -34,19 +34,19 @@
 	for _, b := range boxes {
 		changed = append(changed, b.Change)
 	}
-	all := p.member.All()
+	all := p.member.Backends()
 	if spare := spareTier(all); spare != p.spare { // others step in, or back
 		p.spare = spare
 		p.cfg.Log.Info("backends are sent to up to this tier", "tier", spare)
-		changed = append(slices.DeleteFunc(changed, func(c merge.Change) bool { return c.Line.Phase != balance.Gone }), all...)
+		changed = append(slices.DeleteFunc(changed, func(c merge.Change) bool { return c.Endpoint.Phase != balance.Gone }), all...)
 	}
 	list := engine.List{Members: make([]engine.Member, 0, len(changed))}
 	for _, c := range changed {
 		list.Members = append(list.Members, p.line(c))
 	}
 	p.trust.take(list)
-	if !p.ending && p.member.Changed() {
-		p.keeps.Go(func() { p.member.KeepLater(p.ctx, p.engine.Post, p.engine.Done()) })
+	if !p.ending && p.member.ScheduleSave() {
+		p.keeps.Go(func() { p.member.SaveLater(p.ctx, p.engine.Post, p.engine.Done()) })
 	}
 }
 
@@ -54,7 +54,7 @@
 func spareTier(all []merge.Change) int {
 	tier := -1
 	for _, c := range all {
-		if c.Line.Phase == balance.Ready && (tier < 0 || c.Tier < tier) {
+		if c.Endpoint.Phase == balance.Ready && (tier < 0 || c.Tier < tier) {
 			tier = c.Tier
 		}
 	}
@@ -63,7 +63,7 @@
 
 // line is a backend as the list has it.
 func (p *Plugin) line(c merge.Change) engine.Member {
-	m := c.Line
+	m := c.Endpoint
 	if c.Tier > p.spare && m.Phase == balance.Ready {
 		m.Phase = balance.Draining
 	}
--- a/glencartgrpc/stream.go
+++ b/glencartgrpc/stream.go
@@ -57,7 +57,7 @@
 				return streamer(ctx, desc, cc, method, append(slices.Clone(opts), ended)...)
 			},
 			shut: func() bool { return cc.GetState() == connectivity.Shutdown }}
-		if !p.engine.Place(&s.c.Request) {
+		if !p.engine.Submit(&s.c.Request) {
 			return nil, closedStatus()
 		}
 		s.mu.Lock() // against hold, which may ring at once
@@ -194,7 +194,7 @@
 		if v.status.NeverRan() {
 			kind = engine.Refused
 		}
-		return c.p.worded(engine.Answer{Kind: kind, Begun: kind == engine.Failed, Body: body}, c.class), false
+		return c.p.worded(engine.Answer{Kind: kind, MayHaveRun: kind == engine.Failed, Body: body}, c.class), false
 	}
 	return failed, false
 }
@@ -220,7 +220,7 @@
 			res.Status = balance.Delivered
 			s.c.p.stats.served.Add(1)
 		case v.local:
-			res.Status = balance.Revoked
+			res.Status = balance.Cancelled
 			s.c.p.stats.served.Add(1)
 		case errors.As(told, &e):
 			s.c.p.counted(e)
@@ -249,7 +249,7 @@
 	if !s.begun.Load() && s.final == nil {
 		s.begun.Store(true)
 		s.hold.Stop()
-		s.at.Started()
+		s.at.StreamStarted()
 	}
 }
 
--- a/glencartgrpc/trust.go
+++ b/glencartgrpc/trust.go
@@ -97,7 +97,7 @@
 		said.Members = append(said.Members, b.member())
 	}
 	if list.Complete || len(said.Members) > 0 {
-		t.p.engine.TakeList(kind, said)
+		t.p.engine.UpdateBackends(kind, said)
 		t.publish()
 	}
 }
@@ -114,7 +114,7 @@
 
 // change tells the engine of one backend of which more is known than the list says.
 func (t *trust) change(b *believed) {
-	t.p.engine.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{b.member()}})
+	t.p.engine.UpdateBackends(balance.MembersChanged, engine.List{Members: []engine.Member{b.member()}})
 	t.publish()
 }
 
@@ -191,7 +191,7 @@
 		t.p.cfg.Log.Warn("backends count more instances than Config.Instances says", "counted", n, "said", t.p.names.Config.Instances)
 	}
 	t.p.instances = n
-	t.p.engine.Handle(balance.Event{Kind: balance.InstancesCounted, Instances: n})
+	t.p.engine.Handle(balance.Event{Kind: balance.InstancesChanged, Instances: n})
 }
 
 // look is done every lookEvery, on the loop.
--- a/glencartgrpc/try.go
+++ b/glencartgrpc/try.go
@@ -123,7 +123,7 @@
 	case *stats.InHeader:
 		t.set(sawAnswer)
 		if t.attempt != nil {
-			t.attempt.Answering()
+			t.attempt.ResponseStarted()
 		}
 	case *stats.InTrailer:
 		t.mu.Lock()
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -112,8 +112,8 @@
 				v.Written[x.Kind.String()] = x.Written.String()
 			}
 			text := fmt.Sprintf("%s %d-%d", x.Kind, x.Lo, x.Hi)
-			if x.Held != 0 {
-				text += fmt.Sprintf(" held at %d", x.Held)
+			if x.UpperLimit != 0 {
+				text += fmt.Sprintf(" held at %d", x.UpperLimit)
 			}
 			id := fmt.Sprint(said.Name, said.Start)
 			reads[id] = strings.TrimPrefix(reads[id]+", "+text, ", ")
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -121,7 +121,7 @@
 		return memberPool{}, err
 	}
 	var mu sync.Mutex
-	m.Begin(clock())
+	m.Start(clock())
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -129,19 +129,19 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if ev, counts := event(clock()); counts {
-			m.Hear(clock(), ev)
+			m.HandleEvent(clock(), ev)
 		}
 	})
 	<-ctx.Done()
 	wg.Wait()
-	m.Pass(clock())
-	got := memberPool{Pool: p.Name, At: time.Now(), Sources: m.Names}
+	m.HandleDue(clock())
+	got := memberPool{Pool: p.Name, At: time.Now(), Sources: m.SourceNames}
 	for _, v := range m.Merge.Views() {
-		b := memberLine{Box: v.ID, Address: v.Addr, State: phaseNames[v.Line.Phase], Tier: v.Tier, Rule: merge.Rules[v.Rule].Name, Note: v.Note, Differs: v.Disagree()}
-		for _, said := range v.Says {
+		b := memberLine{Box: v.ID, Address: v.Addr, State: phaseNames[v.Endpoint.Phase], Tier: v.Tier, Rule: merge.Rules[v.Rule].Name, Note: v.Note, Differs: v.HasConflict()}
+		for _, said := range v.Votes {
 			text := said.Vote.String()
-			if said.Left != 0 {
-				text += fmt.Sprintf(" (%v)", said.Left.Round(time.Second))
+			if said.Remaining != 0 {
+				text += fmt.Sprintf(" (%v)", said.Remaining.Round(time.Second))
 			}
 			b.Says = append(b.Says, text)
 		}
@@ -164,9 +164,9 @@
 	if l == nil {
 		return memberPool{}, fmt.Errorf("pool %q: nothing is kept in %s: has the process run?", p.Name, s.Node.Keep)
 	}
-	got := memberPool{Pool: p.Name, At: l.At, Sources: l.Sources}
-	for _, b := range l.Boxes {
-		line := memberLine{Box: b.ID, Address: b.Address, State: "ready", Tier: b.Tier, Rule: b.Rule, Note: b.Note, Says: b.Says, Differs: b.Differs}
+	got := memberPool{Pool: p.Name, At: l.SavedAt, Sources: l.Sources}
+	for _, b := range l.Backends {
+		line := memberLine{Box: b.ID, Address: b.Address, State: "ready", Tier: b.Tier, Rule: b.Rule, Note: b.Note, Says: b.Votes, Differs: b.SourcesDisagree}
 		if b.Draining {
 			line.State = "draining"
 		}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -128,7 +128,7 @@
 			}
 			fmt.Fprintf(x.Out, "pool %s, class %s (%s)\n", tg.Pool, class, tg.Place)
 		case route.NoMethod:
-			fmt.Fprintf(x.Out, "405: no route for the method (%s)\n", m.Location.At)
+			fmt.Fprintf(x.Out, "405: no route for the method (%s)\n", m.Location.Position)
 		default:
 			fmt.Fprintln(x.Out, "404: no location")
 		}
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -72,7 +72,7 @@
 	}
 	limited := Limit(l, 8)
 	defer limited.Close()
-	table := NewTable(8, Platform)
+	table := NewTable(8, PlatformThresholds)
 	table.evictAbove = 2
 	acceptOne := func(text string) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -109,7 +109,7 @@
 	}
 }
 
-// Clients of Own don't resend a request lost to a close. So an idle connection is never evicted, and a silent one only after
+// Clients of KeepIdleThresholds don't resend a request lost to a close. So an idle connection is never evicted, and a silent one only after
 // slowTimeout.
 func TestIdleConnectionIsNotEvictedWithKeepIdle(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,7 +118,7 @@
 	}
 	limited := Limit(l, 4)
 	defer limited.Close()
-	table := NewTable(4, Own)
+	table := NewTable(4, KeepIdleThresholds)
 	table.evictAbove = 1
 	acceptOne := func(since time.Duration, states ...http.ConnState) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -139,7 +139,7 @@
 	}
 	idle := acceptOne(time.Hour, http.StateNew, http.StateActive, http.StateIdle)
 	fresh, silent := acceptOne(100*time.Millisecond, http.StateNew), acceptOne(time.Second, http.StateNew)
-	table.Relieve()
+	table.EvictExcess()
 	if table.conns[idle] == nil || table.conns[fresh] == nil || table.conns[silent] != nil {
 		t.Errorf("kept: idle %t, fresh %t, silent %t", table.conns[idle] != nil, table.conns[fresh] != nil, table.conns[silent] != nil)
 	}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -73,7 +73,7 @@
 // request, the limit starts at that answer. net/http starts its own at the fourth byte and treats a connection with
 // fewer as idle. It requires readMu.
 func (c *Conn) startHeadTimeout() (started bool) {
-	timeout := c.listener.HeadWithin
+	timeout := c.listener.HeadTimeout
 	switch partialHead := c.inHead() && !c.hasUnanswered(); {
 	case !partialHead || timeout <= 0:
 		c.headDeadline = time.Time{}
@@ -178,18 +178,18 @@
 	return 0, opErr
 }
 
-// minQueueTime is the shortest possible wait for which Stood asks the kernel. Below it Stood returns 0.
+// minQueueTime is the shortest possible wait for which QueueTime asks the kernel. Below it QueueTime returns 0.
 const minQueueTime = 20 * time.Millisecond
 
-// Stood returns how long a request waited in the kernel before it was read. The time for a request starts with its last
+// QueueTime returns how long a request waited in the kernel before it was read. The time for a request starts with its last
 // byte, but its handler starts only after the connection is accepted and read. The kernel has the time of the last data. A
 // request can't have come before the queue was last empty, or before the previous answer.
-func (c *Conn) Stood(now time.Time) time.Duration {
+func (c *Conn) QueueTime(now time.Time) time.Duration {
 	longest := now.Sub(c.notBefore)
 	if longest < minQueueTime {
 		return 0
 	}
-	return min(longest, sock.SinceData(c.Conn))
+	return min(longest, sock.SinceLastReceive(c.Conn))
 }
 
 // hasUnread reports whether the connection has hasUnread bytes.
--- a/internal/clients/ending.go
+++ b/internal/clients/ending.go
@@ -21,7 +21,7 @@
 func (c *Conn) Close() error {
 	c.readMu.Lock()
 	alreadyEnding, timeout := c.ending, lingerTimeout
-	if c.Cut() {
+	if c.IsBodyCut() {
 		timeout = c.cutLinger
 	}
 	c.ending = true
@@ -110,8 +110,8 @@
 	c.Conn.SetReadDeadline(c.effectiveDeadline())
 }
 
-// Cut reports whether this side has ended the wait for the rest of a body.
-func (c *Conn) Cut() bool { return c.bodyCut.Load() }
+// IsBodyCut reports whether this side has ended the wait for the rest of a body.
+func (c *Conn) IsBodyCut() bool { return c.bodyCut.Load() }
 
 // partialRequestResponse answers an incomplete request. No part of it was forwarded.
 const partialRequestResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -127,7 +127,7 @@
 // CloseWrite closes the sending side. net/http calls it so that a client that still sends can read its answer, and then waits
 // half a second. If the body was cut, the slot is needed or the process shuts down, so the whole connection is closed at once.
 func (c *Conn) CloseWrite() error {
-	if c.Cut() {
+	if c.IsBodyCut() {
 		return c.Close()
 	}
 	return c.closeSendingSide()
--- a/internal/clients/ending_test.go
+++ b/internal/clients/ending_test.go
@@ -113,7 +113,7 @@
 			if got := <-read; got != "" {
 				t.Errorf("read after the end: %q", got)
 			}
-			await(t, "a free slot", func() bool { return l.Holds() == 0 && l.Lingering() == 0 })
+			await(t, "a free slot", func() bool { return l.OpenCount() == 0 && l.LingeringCount() == 0 })
 		})
 	}
 }
@@ -137,7 +137,7 @@
 			client, c := connect(t, l)
 			c.Close()
 			go write(client)
-			await(t, "a free slot", func() bool { return l.Holds() == 0 })
+			await(t, "a free slot", func() bool { return l.OpenCount() == 0 })
 		})
 	}
 }
@@ -193,7 +193,7 @@
 func TestAnswerThatClosesOverUnreadBytes(t *testing.T) {
 	const length = 8 << 20
 	l := listen(t, 8)
-	table := NewTable(8, Platform)
+	table := NewTable(8, PlatformThresholds)
 	var ran []string
 	srv := &http.Server{ConnState: table.Track, ConnContext: WithConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran = append(ran, r.URL.Path)
@@ -212,7 +212,7 @@
 	defer client.Close()
 	client.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(client, "GET /first HTTP/1.1\r\nHost: x\r\n\r\n")
-	await(t, "the first request", func() bool { return table.Asked() == 1 })
+	await(t, "the first request", func() bool { return table.UnansweredCount() == 1 })
 	io.WriteString(client, strings.Replace(wholeRequest, "/api/x", "/behind", 1))
 	r := bufio.NewReader(client)
 	resp, err := http.ReadResponse(r, nil)
@@ -226,7 +226,7 @@
 		t.Errorf("after the answer: %v", err)
 	}
 	client.Close()
-	await(t, "an empty table", func() bool { return table.Counts().Open == 0 && l.Holds() == 0 })
+	await(t, "an empty table", func() bool { return table.Counts().Open == 0 && l.OpenCount() == 0 })
 	if len(ran) != 1 {
 		t.Errorf("ran %q", ran)
 	}
--- a/internal/clients/framing.go
+++ b/internal/clients/framing.go
@@ -13,9 +13,9 @@
 // is present too, before a handler can see both. Such a request can smuggle another one in its body past a recipient that
 // uses the length (RFC 9112, section 6.3). framing neither delays nor changes the bytes.
 type framing struct {
-	// Unsure is set if a head has conflicting or invalid lengths. It is never reset: the end of the request is unknown, so
+	// HasAmbiguousLength is set if a head has conflicting or invalid lengths. It is never reset: the end of the request is unknown, so
 	// nothing later on the connection can be trusted.
-	Unsure atomic.Bool
+	HasAmbiguousLength atomic.Bool
 	// Chunked is set if a body is chunked. Its end isn't determined here, so this request is the last one.
 	Chunked atomic.Bool
 
@@ -55,9 +55,9 @@
 	}
 	// The end of a request with an unknown length can't be determined, so it counts as partial until its answer.
 	defer func() {
-		f.partial.Store(f.bodyRemaining > 0 || f.lineCount > 0 || len(f.line) > 0 || f.Unsure.Load() || f.Chunked.Load())
+		f.partial.Store(f.bodyRemaining > 0 || f.lineCount > 0 || len(f.line) > 0 || f.HasAmbiguousLength.Load() || f.Chunked.Load())
 	}()
-	for len(p) > 0 && !f.Unsure.Load() && !f.Chunked.Load() {
+	for len(p) > 0 && !f.HasAmbiguousLength.Load() && !f.Chunked.Load() {
 		if f.bodyRemaining > 0 {
 			n := min(f.bodyRemaining, int64(len(p)))
 			f.bodyRemaining -= n
@@ -92,7 +92,7 @@
 	case line == "" && !f.isTruncated:
 		switch {
 		case f.hasTransferEncoding && f.length >= 0:
-			f.Unsure.Store(true)
+			f.HasAmbiguousLength.Store(true)
 		case f.hasTransferEncoding:
 			f.Chunked.Store(true)
 		case f.length <= 0:
@@ -105,7 +105,7 @@
 	case strings.EqualFold(strings.TrimSpace(name), "Content-Length"):
 		n, err := strconv.ParseUint(strings.TrimSpace(value), 10, 63)
 		if err != nil || f.isTruncated || f.length >= 0 && f.length != int64(n) {
-			f.Unsure.Store(true)
+			f.HasAmbiguousLength.Store(true)
 			return
 		}
 		f.length = int64(n)
@@ -118,10 +118,10 @@
 // hasUnanswered reports whether a whole request was read and not answered.
 func (f *framing) hasUnanswered() bool { return f.unanswered.Load() > 0 }
 
-// Behind reports whether a further whole request was read behind the current one. It would be lost if the answer closed the
+// HasPipelined reports whether a further whole request was read behind the current one. It would be lost if the answer closed the
 // connection.
-func (f *framing) Behind() bool {
-	return f.unanswered.Load() > 1 && !f.Chunked.Load() && !f.Unsure.Load()
+func (f *framing) HasPipelined() bool {
+	return f.unanswered.Load() > 1 && !f.Chunked.Load() && !f.HasAmbiguousLength.Load()
 }
 
 // markAnswered records that a request was markAnswered. It may run concurrently with reads.
@@ -129,7 +129,7 @@
 	if f.unanswered.Load() > 0 {
 		f.unanswered.Add(-1)
 	}
-	if f.Chunked.Load() || f.Unsure.Load() {
+	if f.Chunked.Load() || f.HasAmbiguousLength.Load() {
 		f.partial.Store(false)
 	}
 }
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -22,8 +22,8 @@
 	net.Listener
 	// These fields must be set before the first Accept.
 
-	Opaque     bool          // clients use TLS
-	HeadWithin time.Duration // time limit for the head of a further request, from its first byte; 0: that of net/http
+	UsesTLS     bool          // clients use TLS
+	HeadTimeout time.Duration // time limit for the head of a further request, from its first byte; 0: that of net/http
 
 	createdAt time.Time
 
@@ -38,15 +38,15 @@
 // minEmptyWait is how long accept(2) must block for the queue to count as empty before.
 const minEmptyWait = time.Millisecond
 
-// Holds returns the number of open connections.
-func (l *Listener) Holds() int {
+// OpenCount returns the number of open connections.
+func (l *Listener) OpenCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// Lingering returns the number of open connections that are closing and wait for their clients to close too.
-func (l *Listener) Lingering() int {
+// LingeringCount returns the number of open connections that are closing and wait for their clients to close too.
+func (l *Listener) LingeringCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lingering
@@ -82,8 +82,8 @@
 	return l.open >= l.maxOpen || l.closed
 }
 
-// Full reports whether the limit on open connections is reached.
-func (l *Listener) Full() bool {
+// IsFull reports whether the limit on open connections is reached.
+func (l *Listener) IsFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open >= l.maxOpen
@@ -120,7 +120,7 @@
 	l.open++
 	l.mu.Unlock()
 	conn := newConn(c, l)
-	conn.opaque, conn.notBefore = l.Opaque, l.emptyAt
+	conn.opaque, conn.notBefore = l.UsesTLS, l.emptyAt
 	return conn, nil
 }
 
@@ -133,12 +133,12 @@
 	return l.Listener.Close()
 }
 
-// Queued reports whether connections may be waiting in the queue. That is so if the listener is full or closed, or if the kernel
+// HasQueued reports whether connections may be waiting in the queue. That is so if the listener is full or closed, or if the kernel
 // reports one.
-func (l *Listener) Queued() bool {
+func (l *Listener) HasQueued() bool {
 	if l.IsBlocked() {
 		return true // if closed, the last accepted connection may not be counted yet
 	}
-	waiting, known := sock.Waiting(l.Listener)
+	waiting, known := sock.HasQueuedConn(l.Listener)
 	return waiting && known // an unknown state counts as empty, because there is a free slot
 }
--- a/internal/clients/table.go
+++ b/internal/clients/table.go
@@ -23,8 +23,8 @@
 	tlsQuietTimeout = time.Second
 	// maxEvictionTries limits how many connections are tried for one eviction.
 	maxEvictionTries = 8
-	// RelieveEvery is the interval for calls of Relieve.
-	RelieveEvery = 20 * time.Millisecond
+	// EvictInterval is the interval for calls of EvictExcess.
+	EvictInterval = 20 * time.Millisecond
 )
 
 // Thresholds are thresholds for the open connections, in percent of the listener's limit.
@@ -34,9 +34,9 @@
 	KeepIdle       bool // idle connections and those silent for less than slowTimeout are not evicted
 }
 
-// Platform is for clients that hold many connections and resend a request if the connection closes as they send it. Own is for
+// PlatformThresholds is for clients that hold many connections and resend a request if the connection closes as they send it. Own is for
 // clients that may not resend. Such a client would lose a request sent on a kept-alive connection as it is closed.
-var Platform, Own = Thresholds{CrowdedPercent: 75, EvictPercent: 60}, Thresholds{CrowdedPercent: 75, EvictPercent: 95, KeepIdle: true}
+var PlatformThresholds, KeepIdleThresholds = Thresholds{CrowdedPercent: 75, EvictPercent: 60}, Thresholds{CrowdedPercent: 75, EvictPercent: 95, KeepIdle: true}
 
 // Table tracks the states of a listener's client connections. NewTable returns one.
 type Table struct {
@@ -76,25 +76,25 @@
 	t.crowdedAbove, t.evictAbove = maxOpen*t.thresholds.CrowdedPercent/100, maxOpen*t.thresholds.EvictPercent/100
 }
 
-// KeepAll disables evictions, and the closing of connections by answers.
-func (t *Table) KeepAll() {
+// DisableEviction disables evictions, and the closing of connections by answers.
+func (t *Table) DisableEviction() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.crowdedAbove, t.evictAbove = math.MaxInt, math.MaxInt
 }
 
-// Relieve evicts connections above the threshold. Track evicts only when a new connection is accepted, and a full listener accepts
+// EvictExcess evicts connections above the threshold. Track evicts only when a new connection is accepted, and a full listener accepts
 // none.
-func (t *Table) Relieve() {
+func (t *Table) EvictExcess() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(t.conns) > t.evictAbove && t.evict() {
 	}
 }
 
-// CloseQuiet closes the connections with no part of a request, read or unread. With includePartial it also closes those with an
+// CloseIdle closes the connections with no part of a request, read or unread. With includePartial it also closes those with an
 // incomplete request.
-func (t *Table) CloseQuiet(includePartial bool) {
+func (t *Table) CloseIdle(includePartial bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
@@ -238,7 +238,7 @@
 type Counts struct {
 	Open    int // all connections
 	Waiting int // without a whole request since their last answer
-	Begun   int // with part of a request
+	Partial int // with part of a request
 }
 
 // Counts returns the current numbers of connections.
@@ -248,14 +248,14 @@
 	counts := Counts{Open: len(t.conns), Waiting: t.waitingCount}
 	for c := range t.conns {
 		if conn := ConnOf(c); conn != nil && conn.partial.Load() {
-			counts.Begun++
+			counts.Partial++
 		}
 	}
 	return counts
 }
 
-// Asked returns the number of connections with a whole unanswered request.
-func (t *Table) Asked() (n int) {
+// UnansweredCount returns the number of connections with a whole unanswered request.
+func (t *Table) UnansweredCount() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, e := range t.conns {
@@ -266,9 +266,9 @@
 	return n
 }
 
-// Crowded reports whether answers should close their connections. Connections without a request don't count, because these are
+// IsCrowded reports whether answers should close their connections. Connections without a request don't count, because these are
 // evicted anyway.
-func (t *Table) Crowded() bool {
+func (t *Table) IsCrowded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.conns)-t.waitingCount > t.crowdedAbove
--- a/internal/cluster/asks.go
+++ b/internal/cluster/asks.go
@@ -50,7 +50,7 @@
 		sh.Lock()
 		delete(sh.waiting, k)
 		if ctx.Err() != nil {
-			m := sh.sessions.End(c.instant(), share.Ended{Key: a.Key, Call: a.Call, Attempt: d.Attempt, State: share.NeverRan})
+			m := sh.sessions.End(c.instant(), share.AttemptOutcome{Key: a.Key, Call: a.Call, Attempt: d.Attempt, State: share.NeverRan})
 			sh.Unlock()
 			c.tellMark(m)
 			return Ticket{}, Verdict{What: share.Unsure, Why: share.OwnersSilent}
@@ -61,12 +61,12 @@
 	if asked {
 		c.counts.waited(time.Since(began))
 	}
-	c.tellMark(d.Tell)
+	c.tellMark(d.Outgoing)
 	t := Ticket{}
-	if d.End {
+	if d.NeedsEnd {
 		t = Ticket{c, k, d.Attempt}
 	}
-	return t, Verdict{d.What, d.Why, d.Group, d.Answer}
+	return t, Verdict{d.What, d.Cause, d.Group, d.Answer}
 }
 
 // await tells the owners a mark and waits for their replies. A datagram may get lost: it is sent twice.
@@ -74,7 +74,7 @@
 	t := time.NewTimer(d.Wait / 2)
 	defer t.Stop()
 	for i := range 2 {
-		c.tellMark(d.Tell)
+		c.tellMark(d.Outgoing)
 		select {
 		case <-replied:
 			return
@@ -96,13 +96,13 @@
 	}
 	sh := t.c.shared.ofKey(t.ask.key)
 	sh.Lock()
-	m := sh.sessions.End(t.c.instant(), share.Ended{Key: t.ask.key, Call: t.ask.call, Attempt: t.attempt, State: state, Box: box, Answer: answer})
+	m := sh.sessions.End(t.c.instant(), share.AttemptOutcome{Key: t.ask.key, Call: t.ask.call, Attempt: t.attempt, State: state, Backend: box, Answer: answer})
 	sh.Unlock()
 	t.c.tellMark(m)
 }
 
 // tellMark tells a call's mark to owners: by datagram, or where it is too long by stream.
-func (c *Cluster) tellMark(m share.Marked) {
+func (c *Cluster) tellMark(m share.OutgoingRecord) {
 	if len(m.To) == 0 {
 		return
 	}
@@ -201,7 +201,7 @@
 		k := asked{share.Key(m.Key), m.Call}
 		sh := c.shared.ofKey(k.key)
 		sh.Lock()
-		done, err := sh.sessions.Replied(now, k.key, k.call, p.From.GetName(), r, share.Standing(min(m.Standing, 255)))
+		done, err := sh.sessions.Replied(now, k.key, k.call, p.From.GetName(), r, share.OwnerStatus(min(m.Standing, 255)))
 		if w := sh.waiting[k]; done && w != nil {
 			close(w)
 			delete(sh.waiting, k)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -43,7 +43,7 @@
 	Keep   time.Duration // how long a call's mark matters: as long as clients repeat; 0: a minute
 	Owners int           // of each session; 0: share.Owners
 
-	Book *schema.Book           // forms of records that this release reads; nil: all of package share's
+	Book *schema.Registry       // forms of records that this release reads; nil: all of package share's
 	Hold map[schema.Kind]uint16 // no more than these schemas are to be written; a kind that is not there: any
 
 	Log *slog.Logger
@@ -116,7 +116,7 @@
 	if d.Seed == 0 {
 		d.Seed = rand.Uint64()
 	}
-	d.Name, d.Addr, d.Seeds, d.DatagramMost = cfg.Name, cfg.Advertise, cfg.Seeds, wire.DatagramMost
+	d.Name, d.Addr, d.Seeds, d.MaxDatagramBytes = cfg.Name, cfg.Advertise, cfg.Seeds, wire.DatagramMost
 	d.Start = detect.FirstStart(wall(n), uint32(d.Seed))
 	c.members.rank, c.members.detect, c.members.size = rankMembers, detect.New(d), 1
 	c.members.since = map[string]time.Duration{}
@@ -167,7 +167,7 @@
 	for range workers {
 		g.Go(func() error { c.work(ctx); return nil })
 	}
-	c.handle(detect.Event{Kind: detect.Begin}, nil)
+	c.handle(detect.Event{Kind: detect.Start}, nil)
 	g.Go(func() error { c.ticks(ctx); return nil })
 	g.Go(func() error { c.tend(ctx); return nil })
 	g.Go(func() error { c.agree(ctx); return nil })
@@ -184,7 +184,7 @@
 	c.handOver()
 	ev := detect.Event{Kind: detect.Leave}
 	if c.cfg.Away > 0 {
-		ev = detect.Event{Kind: detect.GoAway, Until: c.cfg.Away}
+		ev = detect.Event{Kind: detect.BeginAway, Until: c.cfg.Away}
 	}
 	out := c.step(ev)
 	c.members.Lock()
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -124,13 +124,13 @@
 // The largest message that detect sends has room in a datagram as it is.
 func TestRoom(t *testing.T) {
 	d := detect.New(detect.Config{Name: strings.Repeat("n", wire.NameMost), Start: 1 << 63, Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535",
-		DatagramMost: wire.DatagramMost, Seed: 1})
-	d.Handle(0, detect.Event{Kind: detect.Begin}, nil)
+		MaxDatagramBytes: wire.DatagramMost, Seed: 1})
+	d.Handle(0, detect.Event{Kind: detect.Start}, nil)
 	most := 0
 	for i := range 200 {
-		w := detect.Word{ID: detect.ID{Name: fmt.Sprintf("%0*d", wire.NameMost, i), Start: 1 << 62}, Inc: 1 << 31, Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535"}
-		m := detect.Message{Kind: detect.Ask, Seq: 1 << 31, From: w, Links: []detect.LinkWord{{From: w.Name, To: w.Name + "x", Num: 1 << 31, Deaf: true}}}
-		for _, a := range d.Handle(time.Duration(i)*10*time.Millisecond, detect.Event{Kind: detect.Got, From: w.Addr, Message: m}, nil) {
+		w := detect.Update{ID: detect.ID{Name: fmt.Sprintf("%0*d", wire.NameMost, i), Start: 1 << 62}, Inc: 1 << 31, Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535"}
+		m := detect.Message{Kind: detect.Ask, Seq: 1 << 31, From: w, Links: []detect.LinkUpdate{{From: w.Name, To: w.Name + "x", Seq: 1 << 31, Deaf: true}}}
+		for _, a := range d.Handle(time.Duration(i)*10*time.Millisecond, detect.Event{Kind: detect.Received, From: w.Addr, Message: m}, nil) {
 			if a.Kind != detect.Send || a.Message.Kind == detect.Pull {
 				continue
 			}
--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -120,7 +120,7 @@
 		}
 		return
 	}
-	c.handle(detect.Event{Kind: detect.Got, From: d.from.String(), Message: m}, nil)
+	c.handle(detect.Event{Kind: detect.Received, From: d.from.String(), Message: m}, nil)
 }
 
 // tookShared takes marks, replies and records that came by datagram. They are believed from whoever may speak here, as all else is.
@@ -151,9 +151,9 @@
 // send sends a message. What has no room is left out, the last first: the youngest news stands first.
 func (c *Cluster) send(addr string, m detect.Message) {
 	b, err := wire.Encode(c.number, wire.FromDetect(m))
-	for err == nil && len(b) > wire.DatagramMost && len(m.News)+len(m.Links) > 0 {
+	for err == nil && len(b) > wire.DatagramMost && len(m.Updates)+len(m.Links) > 0 {
 		c.counts.add(shortened)
-		m.News, m.Links = m.News[:len(m.News)/2], m.Links[:len(m.Links)/2]
+		m.Updates, m.Links = m.Updates[:len(m.Updates)/2], m.Links[:len(m.Links)/2]
 		b, err = wire.Encode(c.number, wire.FromDetect(m))
 	}
 	if err != nil {
--- a/internal/cluster/levels.go
+++ b/internal/cluster/levels.go
@@ -37,7 +37,7 @@
 type levels struct {
 	lock
 	schema *schema.Levels
-	book   *schema.Book
+	book   *schema.Registry
 	held   map[schema.Kind]uint16
 	joined bool                 // it has met others, and has heard them for settleAfter
 	met    bool                 // it has met others
@@ -75,14 +75,14 @@
 var readsMost string
 
 // release is the book of what this program reads.
-func release() (*schema.Book, error) {
-	b := &schema.Book{}
+func release() (*schema.Registry, error) {
+	b := &schema.Registry{}
 	if err := share.Register(b); err != nil {
 		return nil, err
 	}
 	if most, err := strconv.ParseUint(readsMost, 10, 16); err == nil {
 		for _, k := range schema.Kinds {
-			b = b.Only(k, 1, uint16(most))
+			b = b.Restrict(k, 1, uint16(most))
 		}
 	}
 	return b, nil
@@ -120,10 +120,10 @@
 	l.out = l.schema.Handle(ev, l.out[:0])
 	for _, a := range slices.Clone(l.out) {
 		switch a.Kind {
-		case schema.Tell:
+		case schema.SendState:
 			c.levelsChanged()
 			continue
-		case schema.Rose, schema.Fell:
+		case schema.LevelRose, schema.LevelFell:
 			c.decide(schema.Event{Kind: schema.Swept, Of: a.Of, At: a.To.Schema})
 		}
 		select {
@@ -143,7 +143,7 @@
 
 func (c *Cluster) decideHeld() {
 	for _, k := range schema.Kinds {
-		c.decide(schema.Event{Kind: schema.Held, Of: k, At: c.levels.held[k]})
+		c.decide(schema.Event{Kind: schema.LimitSet, Of: k, At: c.levels.held[k]})
 	}
 }
 
@@ -161,15 +161,15 @@
 	l := &c.levels
 	l.Lock()
 	defer l.Unlock()
-	if id := l.schema.Say().ID; id.Start != v.Self.Start { // it had to take a later start
+	if id := l.schema.State().ID; id.Start != v.Self.Start { // it had to take a later start
 		written := map[schema.Kind]schema.Level{}
-		known := slices.Collect(l.schema.Known)
-		for _, s := range l.schema.Say().Stands {
+		known := slices.Collect(l.schema.OtherStates)
+		for _, s := range l.schema.State().Stands {
 			written[s.Kind] = s.Written
 		}
 		c.beginLevels(v.Self.Start, written)
 		for _, s := range known {
-			c.decide(schema.Event{Kind: schema.Heard, Said: s})
+			c.decide(schema.Event{Kind: schema.StateReceived, State: s})
 		}
 	}
 	list := make([]schema.ID, 0, len(v.Members))
@@ -197,11 +197,11 @@
 func (c *Cluster) schemas() Schemas {
 	l := &c.levels
 	out := Schemas{}
-	for _, s := range l.schema.Say().Stands {
-		x := Schema{Written: s.Written, Writes: l.schema.Written(s.Kind), Held: s.Held, Lo: s.Lo, Hi: s.Hi, links: map[schema.ID]schemaLink{}}
+	for _, s := range l.schema.State().Stands {
+		x := Schema{Written: s.Written, Writes: l.schema.Written(s.Kind), Held: s.UpperLimit, Lo: s.Lo, Hi: s.Hi, links: map[schema.ID]schemaLink{}}
 		x.Fit = s.Written.Schema == 0 || s.Lo <= s.Written.Schema && s.Written.Schema <= s.Hi
-		for said := range l.schema.Known {
-			at, most, ok := l.schema.Link(said.ID, s.Kind)
+		for said := range l.schema.OtherStates {
+			at, most, ok := l.schema.SendRange(said.ID, s.Kind)
 			x.links[said.ID] = schemaLink{at, most, ok}
 		}
 		out[s.Kind] = x
@@ -224,12 +224,12 @@
 	defer l.Unlock()
 	news := false
 	for _, s := range list {
-		if s.Name == c.cfg.Name && s.Start == l.schema.Say().Start {
+		if s.Name == c.cfg.Name && s.Start == l.schema.State().Start {
 			continue
 		}
 		if l.at[s.ID] < s.Seq {
 			news = true
-			c.decide(schema.Event{Kind: schema.Heard, Said: s})
+			c.decide(schema.Event{Kind: schema.StateReceived, State: s})
 		}
 	}
 	if news {
@@ -266,14 +266,14 @@
 func (c *Cluster) countTold() {
 	l := &c.levels
 	known := map[schema.ID]bool{}
-	look := func(s schema.Said) {
+	look := func(s schema.MemberState) {
 		known[s.ID] = true
 		if l.at[s.ID] != s.Seq {
 			l.at[s.ID], l.told[s.ID] = s.Seq, 0
 		}
 	}
-	look(l.schema.Say())
-	l.schema.Known(func(s schema.Said) bool { look(s); return true })
+	look(l.schema.State())
+	l.schema.OtherStates(func(s schema.MemberState) bool { look(s); return true })
 	for id := range l.at {
 		if !known[id] {
 			delete(l.at, id)
@@ -288,9 +288,9 @@
 	l.Lock()
 	defer l.Unlock()
 	c.countTold()
-	self := l.schema.Say()
-	list := append([]schema.Said{self}, slices.Collect(l.schema.Known)...)
-	slices.SortStableFunc(list[1:], func(a, b schema.Said) int { return cmp.Compare(l.told[a.ID], l.told[b.ID]) })
+	self := l.schema.State()
+	list := append([]schema.MemberState{self}, slices.Collect(l.schema.OtherStates)...)
+	slices.SortStableFunc(list[1:], func(a, b schema.MemberState) int { return cmp.Compare(l.told[a.ID], l.told[b.ID]) })
 	out := &wire.Levels{}
 	for _, s := range list[:min(len(list), wire.SaidMost)] {
 		w := wire.FromSaid(s)
@@ -354,9 +354,9 @@
 	}
 	text, level := "", slog.LevelInfo
 	switch a.Kind {
-	case schema.Rose:
+	case schema.LevelRose:
 		text = "fleet: schema rose"
-	case schema.Fell:
+	case schema.LevelFell:
 		text, level = "fleet: schema taken back", slog.LevelWarn
 	case schema.TooOld:
 		text, level = "fleet: schema not read: this release is too old for it, this process takes no part and serves alone", slog.LevelError
--- a/internal/cluster/levels_test.go
+++ b/internal/cluster/levels_test.go
@@ -38,7 +38,7 @@
 // begin starts member i, which reads schemas 1 to most, and takes the place of the one before it.
 func (f *levelsFleet) begin(i int, most uint16, hold uint16) *levelsMember {
 	f.t.Helper()
-	b := &schema.Book{}
+	b := &schema.Registry{}
 	if err := share.Register(b); err != nil {
 		f.t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	var err error
 	m.Cluster, err = Open(Config{Cluster: "shop", Name: fmt.Sprintf("m%d", i), Listen: netip.AddrPortFrom(m.addr, 7946).String(),
 		Seeds: seeds, Detect: detect.Config{Seed: uint64(i) + uint64(most)<<8},
-		Book: b.Only(schema.Use, 1, most).Only(schema.Session, 1, most), Hold: map[schema.Kind]uint16{schema.Use: hold, schema.Session: hold},
+		Book: b.Restrict(schema.Use, 1, most).Restrict(schema.Session, 1, most), Hold: map[schema.Kind]uint16{schema.Use: hold, schema.Session: hold},
 		Log: slog.New(slog.NewTextHandler(writer(func(b []byte) { mu.Lock(); m.log.Write(b); mu.Unlock() }), nil))}, f.net.Host(m.addr))
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -83,10 +83,10 @@
 				delete(m.since, a.Word.Name)
 			}
 		case detect.CutOff:
-			m.cutOff, m.cause = a.Is, a.Cause
+			m.cutOff, m.cause = a.IsCutOff, a.Cause
 		case detect.Superseded:
 			m.superseded, m.over = true, true
-		case detect.Sized:
+		case detect.SizeChanged:
 			m.size = a.N
 		}
 		changed = true
--- a/internal/cluster/pressure.go
+++ b/internal/cluster/pressure.go
@@ -87,7 +87,7 @@
 	if p.shed == nil {
 		p.shed = shed.New(cfg)
 	} else {
-		p.shed = p.shed.Next(cfg)
+		p.shed = p.shed.WithConfig(cfg)
 	}
 	g := &Gate{p: p, shed: p.shed, ranks: ranks}
 	for _, plan := range cfg.Plans {
@@ -128,9 +128,9 @@
 		a.Rank = g.ranks[a.Tenant]
 	}
 	v := g.level.Load().Admit(g.p.now(), a, draw)
-	o := shed.Let
+	o := shed.Admitted
 	if !v.OK {
-		o = shed.Turned
+		o = shed.Rejected
 		g.turned[a.Rank].Add(1)
 	}
 	g.shed.Tally(int(draw>>1)).Note(v.Mark, o, 0)
@@ -144,7 +144,7 @@
 
 // ticks has the level made and told once in shed.EveryDefault, until there are no plans or Close.
 func (p *Pressure) ticks() {
-	t := time.NewTicker(shed.EveryDefault)
+	t := time.NewTicker(shed.DefaultInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -163,7 +163,7 @@
 			return
 		}
 		now := p.now()
-		p.shed.Members(now, p.names(v), v != nil && (v.CutOff || v.Superseded))
+		p.shed.SetMembers(now, p.names(v), v != nil && (v.CutOff || v.Superseded))
 		level, _ := p.shed.Tick(now)
 		p.begun = true
 		p.gate.level.Store(level) // unchanged too: a level holds for some ticks only
@@ -197,7 +197,7 @@
 // say writes the log.
 func (p *Pressure) say(now time.Duration, l *shed.Level, turned uint64) {
 	line := func(level slog.Level, msg string) {
-		p.log.Log(context.Background(), level, msg, "cause", l.Cause, "pool", l.Pool, "rank", l.Priority.Rank()+1, "part", l.Part, "alone", l.Alone,
+		p.log.Log(context.Background(), level, msg, "cause", l.Cause, "pool", l.Pool, "rank", l.Priority.Rank()+1, "part", l.Part, "alone", l.OwnViewOnly,
 			"turned", turned-p.before)
 		p.told, p.toldAt, p.priority = true, now, l.Priority
 	}
@@ -256,7 +256,7 @@
 	pr.Lock()
 	defer pr.Unlock()
 	if pr.shed != nil {
-		pr.shed.Hear(pr.now(), w.Name, sum)
+		pr.shed.Receive(pr.now(), w.Name, sum)
 	}
 }
 
--- a/internal/cluster/pressure_test.go
+++ b/internal/cluster/pressure_test.go
@@ -16,7 +16,7 @@
 )
 
 var tiers = shed.Config{Pools: []string{"p"}, Classes: []shed.Class{{Worth: 1}}, Tenants: 2,
-	Plans: []shed.Plan{{Name: "gold", Share: 0.5}, {Name: "free", Share: 0.05, Least: 0.1}}}
+	Plans: []shed.Plan{{Name: "gold", Share: 0.5}, {Name: "free", Share: 0.05, MinPart: 0.1}}}
 
 // ranks are those of the tenants gold and free, and of who is none.
 var ranks = []int{0, 1, 1}
@@ -40,7 +40,7 @@
 	if v.OK {
 		o := shed.Served
 		if !room {
-			o = shed.NoRoom
+			o = shed.Refused
 		}
 		g.Done(v.Mark, o, 50*time.Millisecond)
 	}
@@ -136,7 +136,7 @@
 		high, low := parts(gates[0])
 		for i, g := range gates {
 			// Each has its own words of this second, and the others' of the last, in which a room may have grown by 15 %.
-			if h, l := parts(g); math.Abs(h-high) > 0.2 || math.Abs(l-low) > 0.2 || g.level.Load().Alone {
+			if h, l := parts(g); math.Abs(h-high) > 0.2 || math.Abs(l-low) > 0.2 || g.level.Load().OwnViewOnly {
 				t.Errorf("m%d lets %.2f and %.2f in, m1 %.2f and %.2f: %s", i+1, h, l, high, low, g.level.Load().Cause)
 			}
 		}
@@ -152,7 +152,7 @@
 			net.Set(last.addr, m.addr, memnet.Link{Cut: true})
 		}
 		away("one cut off", 30, scarce)
-		if l := gates[n-1].level.Load(); !l.Alone {
+		if l := gates[n-1].level.Load(); !l.OwnViewOnly {
 			t.Errorf("cut off: %+v", l)
 		}
 		away("room again", 40, ample)
--- a/internal/cluster/procs/detect_test.go
+++ b/internal/cluster/procs/detect_test.go
@@ -197,8 +197,8 @@
 		}
 	}
 	lie := func(cluster string, version uint32) []byte {
-		p := wire.FromDetect(detect.Message{Kind: detect.Answer, From: detect.Word{ID: detect.ID{Name: "x", Start: 1}, Addr: "127.0.0.1:1"},
-			News: []detect.Word{{ID: detect.ID{Name: "b", Start: 1 << 63}, State: detect.Dead, Addr: "127.0.0.1:1"}}})
+		p := wire.FromDetect(detect.Message{Kind: detect.Answer, From: detect.Update{ID: detect.ID{Name: "x", Start: 1}, Addr: "127.0.0.1:1"},
+			Updates: []detect.Update{{ID: detect.ID{Name: "b", Start: 1 << 63}, State: detect.Dead, Addr: "127.0.0.1:1"}}})
 		text, err := wire.Encode(wire.Number(cluster), p)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -39,7 +39,7 @@
 	}
 	if at != r.Schema {
 		var err error
-		if r, err = c.shared.book.Within(r, at, most); err != nil {
+		if r, err = c.shared.book.ConvertForPeer(r, at, most); err != nil {
 			c.counts.add(notTold)
 			return nil
 		}
@@ -101,7 +101,7 @@
 		if p < share.Parts && whole {
 			sh := c.shared.ofPart(share.Part(p))
 			sh.Lock()
-			sh.sessions.Took(now, share.Part(p))
+			sh.sessions.PartReceived(now, share.Part(p))
 			sh.Unlock()
 		}
 	}
@@ -131,7 +131,7 @@
 	sh := c.shared.ofPart(p)
 	sh.Lock()
 	defer sh.Unlock()
-	return sh.sessions.Range(now, share.Range{Part: p, Leaf: uint8(w % share.Leaves), One: true}, nil)
+	return sh.sessions.AppendRecords(now, share.Range{Part: p, Leaf: uint8(w % share.Leaves), One: true}, nil)
 }
 
 // ask sends a Packet by stream to a member and returns its answer.
@@ -188,7 +188,7 @@
 	for _, t := range list {
 		sh := c.shared.ofPart(t.Part)
 		sh.Lock()
-		records := sh.sessions.Range(c.instant(), share.Range{Part: t.Part}, nil)
+		records := sh.sessions.AppendRecords(c.instant(), share.Range{Part: t.Part}, nil)
 		sh.Unlock()
 		for _, r := range records {
 			b := c.encode(r, to)
@@ -227,13 +227,13 @@
 	}
 	ring := share.NewRing(rest, c.cfg.Owners)
 	var out []share.Transfer
-	var marks []share.Marked
+	var marks []share.OutgoingRecord
 	now := c.instant()
 	now.Own += time.Second // all that is not acknowledged yet, however young
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.Lock()
-		out = sh.sessions.Leaving(now, ring, out)
+		out = sh.sessions.ShutdownTransfers(now, ring, out)
 		marks = sh.sessions.Unacked(now, marks)
 		sh.Unlock()
 	}
@@ -365,7 +365,7 @@
 			sums := sh.sessions.Leaves(share.Part(p))
 			a.Parts, a.Sums = append(a.Parts, p), append(a.Sums, sums[:]...)
 		} else if theirs[p] {
-			sh.sessions.Took(now, share.Part(p))
+			sh.sessions.PartReceived(now, share.Part(p))
 		}
 	}
 	if sh != nil {
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -39,7 +39,7 @@
 // shared is what this process knows together with others.
 type shared struct {
 	self   share.Member
-	book   *schema.Book
+	book   *schema.Registry
 	shards [shardCount]shard
 	ages   struct {
 		lock
@@ -61,7 +61,7 @@
 func (c *Cluster) openShared(start uint64) error {
 	s := &c.shared
 	s.self = share.Member{Name: c.cfg.Name, Start: start}
-	s.book = &schema.Book{}
+	s.book = &schema.Registry{}
 	if err := share.Register(s.book); err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.Lock()
-		out = sh.sessions.Members(now, ring, minority, out)
+		out = sh.sessions.SetRing(now, ring, minority, out)
 		sh.Unlock()
 	}
 	for to, list := range byMember(out) {
@@ -163,7 +163,7 @@
 		sh.Unlock()
 		m.Sessions += uint64(st.Sessions)
 		m.Unprotected += st.Unprotected
-		m.FailedInWords += st.FailedInWords
+		m.FailedInWords += st.FailedWithReason
 		m.KnownAnswers += st.KnownAnswers
 	}
 	for name, t := range c.Used().Tenants {
--- a/internal/cluster/shared_test.go
+++ b/internal/cluster/shared_test.go
@@ -72,7 +72,7 @@
 			q.Repeat = i%2 == 0
 			began := time.Now()
 			_, v := all[1+i%3].Admit(ctx, q)
-			if wait := time.Since(began); v.What != share.Unsure || v.Why != share.ItMayHaveRun || wait > 50*time.Millisecond {
+			if wait := time.Since(began); v.What != share.Unsure || v.Why != share.MayHaveRunBefore || wait > 50*time.Millisecond {
 				t.Errorf("order %d, repeated: %v, after %v", i, v, wait)
 			}
 			q = orderOf(n + i)
@@ -131,7 +131,7 @@
 			t.Fatalf("a ring of %d", r)
 		}
 		for _, q := range calls {
-			if _, v := all[0].Admit(t.Context(), q); v.What != share.Unsure || v.Why != share.Minority {
+			if _, v := all[0].Admit(t.Context(), q); v.What != share.Unsure || v.Why != share.InMinority {
 				t.Errorf("a repeat on the smaller side: %v", v)
 			}
 		}
@@ -182,7 +182,7 @@
 			sh := &all[0].shared.shards[i]
 			sh.Lock()
 			sh.sessions = share.NewSessions(share.SessionsConfig{Self: all[0].shared.self, Shard: i, Shards: shardCount})
-			sh.sessions.Members(all[0].instant(), all[0].shared.ring.Load(), false, nil)
+			sh.sessions.SetRing(all[0].instant(), all[0].shared.ring.Load(), false, nil)
 			sh.Unlock()
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/cluster/streams.go
+++ b/internal/cluster/streams.go
@@ -38,7 +38,7 @@
 			return nil
 		}
 		if m, ok := p.ToDetect(); ok && m.Kind == detect.Pull {
-			c.handle(detect.Event{Kind: detect.Got, From: addr, Message: m}, nil)
+			c.handle(detect.Event{Kind: detect.Received, From: addr, Message: m}, nil)
 			c.heardLevels(p, addr)
 			c.met()
 			c.pulls.Add(1)
@@ -152,7 +152,7 @@
 	case !ok || m.Kind != detect.Push:
 		c.counts.drop(garbage, from)
 	default:
-		c.handle(detect.Event{Kind: detect.Got, From: from, Message: m}, func(m detect.Message) {
+		c.handle(detect.Event{Kind: detect.Received, From: from, Message: m}, func(m detect.Message) {
 			pull := wire.FromDetect(m)
 			pull.Levels = c.words(wire.StreamMost)
 			c.put(conn, pull)
@@ -174,7 +174,7 @@
 	m := &wire.Members{Size: uint32(v.Size), CutOff: v.CutOff, Superseded: v.Superseded, Cause: v.Cause, Counts: c.Counts(), Exchanges: c.pulls.Load(), Shared: c.told(), Levels: c.words(wire.StreamMost)}
 	m.Turned, m.Shedding = c.pressure.Load().Turned()
 	for _, x := range v.Members {
-		m.List = append(m.List, &wire.Member{Word: wire.FromWord(x.Word), Link: x.Link.String(), SinceMs: time.Since(x.Since).Milliseconds()})
+		m.List = append(m.List, &wire.Member{Word: wire.FromWord(x.Update), Link: x.Link.String(), SinceMs: time.Since(x.Since).Milliseconds()})
 	}
 	return &wire.Packet{From: wire.FromWord(v.Self), Body: &wire.Packet_Members{Members: m}}
 }
--- a/internal/cluster/use.go
+++ b/internal/cluster/use.go
@@ -105,7 +105,7 @@
 // round ticks the shards, tells use, and tells marks again that somebody lacks.
 func (c *Cluster) round() {
 	s, now, v := &c.shared, c.instant(), c.View()
-	seen := share.View{Self: s.self, N: v.Size, CutOff: v.CutOff || v.Superseded}
+	seen := share.View{Self: s.self, N: v.Size, IsCutOff: v.CutOff || v.Superseded}
 	var to []Member
 	s.ages.Lock()
 	for _, m := range v.Members {
@@ -122,7 +122,7 @@
 
 	used := &Used{Tenants: map[string]TenantUse{}}
 	var own []schema.Record
-	var marks []share.Marked
+	var marks []share.OutgoingRecord
 	tenants := map[*shard][]*Tenant{}
 	for _, t := range *s.tenants.Load() {
 		sh := s.ofTenant(t.name)
@@ -139,8 +139,8 @@
 			sh.use.SetLimit(now, t.name, t.limit)
 			is := [3]uint64{t.asked.Load(), t.let.Load(), t.work.Load()}
 			if is != t.told {
-				sh.use.Ask(now, t.name, "", is[0]-t.told[0], is[1]-t.told[1])
-				sh.use.Spend(now, t.name, "", float64(is[2]-t.told[2])/1e6)
+				sh.use.CountRequests(now, t.name, "", is[0]-t.told[0], is[1]-t.told[1])
+				sh.use.CountWork(now, t.name, "", float64(is[2]-t.told[2])/1e6)
 				t.told = is
 			}
 			used.Tenants[t.name] = TenantUse{sh.use.Total(now, t.name, ""), sh.use.Allowance(now, t.name)}
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -12,7 +12,7 @@
 
 // View is what this process knows of its fleet at one moment. It never changes.
 type View struct {
-	Self       detect.Word
+	Self       detect.Update
 	Members    []Member // by name, this process included
 	Size       int      // how many of them may be there; in doubt the larger number
 	CutOff     bool     // this process has to act as one that stands alone
@@ -23,7 +23,7 @@
 
 // Member is one process.
 type Member struct {
-	detect.Word
+	detect.Update
 	Link  detect.LinkState // between it and this process
 	Since time.Time        // it has been in its state
 }
@@ -35,7 +35,7 @@
 func (c *Cluster) replace(now time.Duration) {
 	m := &c.members
 	v := &View{Self: m.detect.Self(), Size: m.size, CutOff: m.cutOff, Cause: m.cause, Superseded: m.superseded}
-	m.detect.Members(func(w detect.Word, l detect.LinkState) bool {
+	m.detect.Members(func(w detect.Update, l detect.LinkState) bool {
 		v.Members = append(v.Members, Member{w, l, c.born.Add(m.since[w.Name])})
 		return true
 	})
@@ -87,7 +87,7 @@
 		c.log.Log(context.Background(), level, "fleet: member", "member", a.Word.Name, "state", a.Word.State.String(), "was", a.Old.String(),
 			"cause", a.Cause, "by", a.Word.By, "start", a.Word.Start, "address", a.Word.Addr)
 	case detect.CutOff:
-		if a.Is {
+		if a.IsCutOff {
 			c.log.Warn("fleet: cut off: this process acts as one that stands alone", "cause", a.Cause)
 		} else {
 			c.log.Info("fleet: not cut off any more", "cause", a.Cause)
@@ -97,7 +97,7 @@
 			"name", c.cfg.Name, "later", a.By.Start)
 	case detect.Renamed:
 		c.log.Info("fleet: a higher start was heard of this name: this process takes one above it", "start", a.By.Start)
-	case detect.Sized:
+	case detect.SizeChanged:
 		c.log.Info("fleet: size", "members", a.N)
 	}
 }
--- a/internal/cluster/wire/detect.go
+++ b/internal/cluster/wire/detect.go
@@ -19,22 +19,22 @@
 const wordsMost = 16384
 
 // FromWord words a word.
-func FromWord(w detect.Word) *Word {
+func FromWord(w detect.Update) *Word {
 	return &Word{Name: w.Name, Start: w.Start, Inc: w.Inc, State: State(w.State), Addr: w.Addr,
 		UntilUs: uint64(max(0, w.Until).Microseconds()), By: w.By}
 }
 
 // ToWord reads a word; false: it is none that detect may be told.
-func (w *Word) ToWord() (detect.Word, bool) {
+func (w *Word) ToWord() (detect.Update, bool) {
 	ok := w != nil && w.Name != "" && len(w.Name) <= NameMost && len(w.By) <= NameMost && w.State >= State_ALIVE && w.State <= State_LEFT &&
 		len(w.Addr) <= addrMost && w.UntilUs <= uint64(time.Hour.Microseconds())
 	if !ok {
-		return detect.Word{}, false
+		return detect.Update{}, false
 	}
 	if _, _, err := net.SplitHostPort(w.Addr); err != nil {
-		return detect.Word{}, false
+		return detect.Update{}, false
 	}
-	return detect.Word{ID: detect.ID{Name: w.Name, Start: w.Start}, Inc: w.Inc, State: detect.State(w.State), Addr: w.Addr,
+	return detect.Update{ID: detect.ID{Name: w.Name, Start: w.Start}, Inc: w.Inc, State: detect.State(w.State), Addr: w.Addr,
 		Until: time.Duration(w.UntilUs) * time.Microsecond, By: w.By}, true
 }
 
@@ -44,11 +44,11 @@
 	if m.About != (detect.ID{}) {
 		p.About = &ID{Name: m.About.Name, Start: m.About.Start}
 	}
-	for _, w := range m.News {
+	for _, w := range m.Updates {
 		p.News = append(p.News, FromWord(w))
 	}
 	for _, l := range m.Links {
-		p.Links = append(p.Links, &LinkWord{From: l.From, To: l.To, Num: l.Num, Deaf: l.Deaf})
+		p.Links = append(p.Links, &LinkWord{From: l.From, To: l.To, Num: l.Seq, Deaf: l.Deaf})
 	}
 	return &Packet{From: FromWord(m.From), Body: &Packet_Probe{p}}
 }
@@ -74,13 +74,13 @@
 		if !ok {
 			return m, false
 		}
-		m.News = append(m.News, word)
+		m.Updates = append(m.Updates, word)
 	}
 	for _, l := range b.Links {
 		if l.From == "" || l.To == "" || len(l.From) > NameMost || len(l.To) > NameMost {
 			return m, false
 		}
-		m.Links = append(m.Links, detect.LinkWord{From: l.From, To: l.To, Num: l.Num, Deaf: l.Deaf})
+		m.Links = append(m.Links, detect.LinkUpdate{From: l.From, To: l.To, Seq: l.Num, Deaf: l.Deaf})
 	}
 	return m, true
 }
--- a/internal/cluster/wire/levels.go
+++ b/internal/cluster/wire/levels.go
@@ -17,18 +17,18 @@
 )
 
 // FromSaid words what a process says.
-func FromSaid(s schema.Said) *Said {
+func FromSaid(s schema.MemberState) *Said {
 	out := &Said{Name: s.Name, Start: s.Start, Seq: s.Seq}
 	for _, x := range s.Stands {
-		out.Stands = append(out.Stands, &Stand{Kind: uint32(x.Kind), Lo: uint32(x.Lo), Hi: uint32(x.Hi), Held: uint32(x.Held), Holds: uint32(x.Holds),
+		out.Stands = append(out.Stands, &Stand{Kind: uint32(x.Kind), Lo: uint32(x.Lo), Hi: uint32(x.Hi), Held: uint32(x.UpperLimit), Holds: uint32(x.HighestStored),
 			AgreedTurn: x.Agreed.Turn, Agreed: uint32(x.Agreed.Schema), WrittenTurn: x.Written.Turn, Written: uint32(x.Written.Schema)})
 	}
 	return out
 }
 
 // ToSaid reads it; false: it is none that package schema may be told.
-func (s *Said) ToSaid() (schema.Said, bool) {
-	out := schema.Said{ID: schema.ID{Name: s.GetName(), Start: s.GetStart()}, Seq: s.GetSeq()}
+func (s *Said) ToSaid() (schema.MemberState, bool) {
+	out := schema.MemberState{ID: schema.ID{Name: s.GetName(), Start: s.GetStart()}, Seq: s.GetSeq()}
 	if out.Name == "" || len(out.Name) > NameMost || len(s.Stands) > standsMost {
 		return out, false
 	}
@@ -38,19 +38,19 @@
 			return out, false
 		}
 		last = x.Kind
-		out.Stands = append(out.Stands, schema.Stand{Kind: schema.Kind(x.Kind), Lo: uint16(x.Lo), Hi: uint16(x.Hi), Held: uint16(x.Held), Holds: uint16(x.Holds),
+		out.Stands = append(out.Stands, schema.KindState{Kind: schema.Kind(x.Kind), Lo: uint16(x.Lo), Hi: uint16(x.Hi), UpperLimit: uint16(x.Held), HighestStored: uint16(x.Holds),
 			Agreed: schema.Level{Turn: x.AgreedTurn, Schema: uint16(x.Agreed)}, Written: schema.Level{Turn: x.WrittenTurn, Schema: uint16(x.Written)}})
 	}
 	return out, true
 }
 
 // ToLevels reads the words of a Packet; false: one of them can't be believed, or there are too many.
-func (p *Packet) ToLevels() ([]schema.Said, bool) {
+func (p *Packet) ToLevels() ([]schema.MemberState, bool) {
 	list := p.GetLevels().GetList()
 	if len(list) > SaidMost {
 		return nil, false
 	}
-	var out []schema.Said
+	var out []schema.MemberState
 	for _, s := range list {
 		said, ok := s.ToSaid()
 		if !ok {
--- a/internal/cluster/wire/wire_test.go
+++ b/internal/cluster/wire/wire_test.go
@@ -16,10 +16,10 @@
 )
 
 var full = detect.Message{Kind: detect.CantReach, Seq: math.MaxUint32,
-	From:  detect.Word{ID: detect.ID{Name: "a", Start: math.MaxUint64}, Inc: 7, State: detect.Away, Addr: "10.0.0.1:7946", Until: 30 * time.Second},
-	About: detect.ID{Name: "b", Start: 1},
-	News:  []detect.Word{{ID: detect.ID{Name: "b", Start: 1}, State: detect.Suspect, Addr: "10.0.0.2:7946", By: "c"}, {ID: detect.ID{Name: "d"}, State: detect.Left, Addr: "[::1]:1"}},
-	Links: []detect.LinkWord{{From: "a", To: "b", Num: 3, Deaf: true}}}
+	From:    detect.Update{ID: detect.ID{Name: "a", Start: math.MaxUint64}, Inc: 7, State: detect.Away, Addr: "10.0.0.1:7946", Until: 30 * time.Second},
+	About:   detect.ID{Name: "b", Start: 1},
+	Updates: []detect.Update{{ID: detect.ID{Name: "b", Start: 1}, State: detect.Suspect, Addr: "10.0.0.2:7946", By: "c"}, {ID: detect.ID{Name: "d"}, State: detect.Left, Addr: "[::1]:1"}},
+	Links:   []detect.LinkUpdate{{From: "a", To: "b", Seq: 3, Deaf: true}}}
 
 // What goes out comes in as it was, and what is another's is told apart before it is read.
 func TestPacket(t *testing.T) {
@@ -78,9 +78,9 @@
 
 // Words on schemas come in as they went out. Those that nobody can mean are refused, and so are more than a Packet may hold in memory.
 func TestLevels(t *testing.T) {
-	said := schema.Said{ID: schema.ID{Name: "a", Start: 1 << 60}, Seq: 7, Stands: []schema.Stand{{Kind: schema.Use, Lo: 1, Hi: 3, Held: 2, Holds: 3,
+	said := schema.MemberState{ID: schema.ID{Name: "a", Start: 1 << 60}, Seq: 7, Stands: []schema.KindState{{Kind: schema.Use, Lo: 1, Hi: 3, UpperLimit: 2, HighestStored: 3,
 		Agreed: schema.Level{Turn: 1, Schema: 2}, Written: schema.Level{Turn: 1 << 31, Schema: 65535}}, {Kind: schema.Session, Lo: 1, Hi: 2}}}
-	decode := func(list ...*Said) ([]schema.Said, error) {
+	decode := func(list ...*Said) ([]schema.MemberState, error) {
 		t.Helper()
 		b, err := Encode(1, &Packet{Levels: &Levels{List: list}})
 		if err != nil {
@@ -96,7 +96,7 @@
 		}
 		return got, nil
 	}
-	if got, err := decode(FromSaid(said)); err != nil || !reflect.DeepEqual(got, []schema.Said{said}) {
+	if got, err := decode(FromSaid(said)); err != nil || !reflect.DeepEqual(got, []schema.MemberState{said}) {
 		t.Errorf("%+v, %v", got, err)
 	}
 	for what, spoil := range map[string]func(*Said){
--- a/internal/engine/backends.go
+++ b/internal/engine/backends.go
@@ -18,10 +18,10 @@
 }
 
 // Member is one backend of a List.
-type Member = members.Line
+type Member = members.Endpoint
 
-// TakeList applies an endpoint list. kind is balance.MembersRemembered, MembersAll or MembersChanged. On the loop.
-func (e *Engine) TakeList(kind balance.EventKind, list List) {
+// UpdateBackends applies an endpoint list. kind is balance.MembersCached, MembersAll or MembersChanged. On the loop.
+func (e *Engine) UpdateBackends(kind balance.EventKind, list List) {
 	if len(list.Members) > 0 {
 		e.Log.Info("received endpoint list", "revision", list.Revision, "complete", list.Complete, "members", len(list.Members))
 	}
@@ -47,7 +47,7 @@
 			endpoint = b.endpoint // a removed backend keeps its last endpoint
 		}
 		if b.endpoint != endpoint {
-			e.Transport.Drop(b.endpoint)
+			e.Transport.CloseIdle(b.endpoint)
 		}
 		b.endpoint, b.phase = endpoint, m.Phase
 		update := m.Member
@@ -60,7 +60,7 @@
 		if b.phase == balance.Ready {
 			ready = true
 		} else {
-			e.Transport.Drop(b.endpoint)
+			e.Transport.CloseIdle(b.endpoint)
 		}
 	}
 	e.ready.Store(ready)
@@ -83,9 +83,9 @@
 	return b.endpoint, b.number, b.phase, true
 }
 
-// Backends returns the number of backends in the table. It includes removed backends with outstanding attempts or probes.
+// BackendCount returns the number of backends in the table. It includes removed backends with outstanding attempts or probes.
 // On the loop.
-func (e *Engine) Backends() int { return max(len(e.backends), len(e.byNumber)) }
+func (e *Engine) BackendCount() int { return max(len(e.backends), len(e.byNumber)) }
 
 // release counts one attempt or probe of a backend as ended.
 func (e *Engine) release(b *backend) {
@@ -109,7 +109,7 @@
 	var unwritten []*Attempt
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
-			if !a.hasEnded && (a.backend.phase != balance.Ready || a.To != a.backend.endpoint) && a.isSent && e.Transport.Bar(a) {
+			if !a.hasEnded && (a.backend.phase != balance.Ready || a.To != a.backend.endpoint) && a.isSent && e.Transport.PreventWrite(a) {
 				unwritten = append(unwritten, a)
 			}
 		}
@@ -118,7 +118,7 @@
 		return cmp.Or(cmp.Compare(x.sentAt, y.sentAt), cmp.Compare(x.Request.seq, y.Request.seq))
 	})
 	for _, a := range unwritten {
-		e.Transport.GiveUp(a)
+		e.Transport.Cancel(a)
 		e.handleResult(a, Result{Status: balance.Unused})
 	}
 }
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -43,11 +43,11 @@
 	member := func(id, addr string, p balance.Phase) Member {
 		return Member{ID: id, Addr: addr, Member: balance.Member{Weight: 1, Phase: p}}
 	}
-	h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{member("a", "1:1", 0), member("b", "2:1", 0)}})
+	h.e.UpdateBackends(balance.MembersAll, List{Complete: true, Members: []Member{member("a", "1:1", 0), member("b", "2:1", 0)}})
 	h.fillRetryBudget()
 	answers, gone, passedOn := 0, false, 0
 	var answer Answer
-	r := &Request{ID: "x", Class: class, Deadline: h.clock.Add(time.Second), Answered: func(a Answer) { answers++; answer = a }}
+	r := &Request{ID: "x", Class: class, Deadline: h.clock.Add(time.Second), OnAnswer: func(a Answer) { answers++; answer = a }}
 	h.e.Arrive(r)
 	a := h.attempts["x/0"]
 	h.written["x/0"] = isWritten
@@ -68,15 +68,15 @@
 		case "cancel":
 			h.e.Post(func() { h.e.execute(&balance.Action{Kind: balance.Cancel, Request: "x"}) })
 		case "gone":
-			h.e.Post(func() { gone = gone || !r.answered; h.e.Gone(r) })
+			h.e.Post(func() { gone = gone || !r.answered; h.e.ClientGone(r) })
 		case "deadline":
 			h.clock = h.clock.Add(max(0, r.Deadline.Sub(h.clock)))
 		case "drain":
 			h.e.Post(func() {
-				h.e.TakeList(balance.MembersChanged, List{Members: []Member{member(a.To.ID, a.To.Addr, balance.Draining)}})
+				h.e.UpdateBackends(balance.MembersChanged, List{Members: []Member{member(a.To.ID, a.To.Addr, balance.Draining)}})
 			})
 		case "end":
-			h.e.Post(func() { h.e.AnswerBy(h.clock) })
+			h.e.Post(func() { h.e.LimitDeadlines(h.clock) })
 		}
 		if step {
 			h.e.Step()
@@ -101,7 +101,7 @@
 	if ran && class == 1 && (h.attempts["x/1"] != nil || answers > 0 && answer.Kind == Refused) {
 		t.Errorf("%s retried or refused, although it may have run: %s", context, reported)
 	}
-	if h.e.Open() != 0 {
+	if h.e.OpenRequests() != 0 {
 		t.Errorf("%s request left in the table", context)
 	}
 	for _, b := range h.e.byNumber {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -15,15 +15,15 @@
 
 // Config configures an Engine. Balancer and Transport are required. The other fields have defaults.
 type Config struct {
-	Balancer  *balance.Balancer
-	Transport Transport
-	Log       *slog.Logger                   // default: discards
-	Now       func() time.Time               // default: time.Now
-	Origin    time.Duration                  // value of the clock at the start, as Unix time; default: Now
-	Ask       func(balance.ActionKind)       // receives Watch, Unwatch and Fetch; must not block
-	Tell      func(peer int, payload []byte) // sends a message to a peer; must not block
-	Saw       func(id string, res Result)    // called on the loop when an attempt or a probe ends; may be nil
-	Trace     func(Step)                     // called on the loop after each event; may be nil
+	Balancer         *balance.Balancer
+	Transport        Transport
+	Log              *slog.Logger                   // default: discards
+	Now              func() time.Time               // default: time.Now
+	Origin           time.Duration                  // value of the clock at the start, as Unix time; default: Now
+	RequestDiscovery func(balance.ActionKind)       // receives Watch, Unwatch and Fetch; must not block
+	SendToPeer       func(peer int, payload []byte) // sends a message to a peer; must not block
+	OnResult         func(id string, res Result)    // called on the loop when an attempt or a probe ends; may be nil
+	Trace            func(Step)                     // called on the loop after each event; may be nil
 }
 
 // Step is one event with the resulting actions of the Balancer. Its slices are valid until Trace returns.
@@ -36,7 +36,7 @@
 // Engine owns a Balancer and executes its actions. Other goroutines post functions to it. The engine never blocks:
 // operations that may block run in other goroutines, which post the result.
 //
-// The loop is the goroutine of Run. A caller of Place or Attempt.Deliver becomes the loop for the duration of the call if
+// The loop is the goroutine of Run. A caller of Submit or Attempt.Deliver becomes the loop for the duration of the call if
 // the loop is idle, which saves a hand-off. Either goroutine holds loopMu. Methods documented as "On the loop" may be
 // called only from a function passed to Post, from a method of a Transport, from the goroutine that calls Step, or before
 // Run starts.
@@ -90,11 +90,11 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	if cfg.Ask == nil {
-		cfg.Ask = func(balance.ActionKind) {}
+	if cfg.RequestDiscovery == nil {
+		cfg.RequestDiscovery = func(balance.ActionKind) {}
 	}
-	if cfg.Tell == nil {
-		cfg.Tell = func(int, []byte) {}
+	if cfg.SendToPeer == nil {
+		cfg.SendToPeer = func(int, []byte) {}
 	}
 	start := cfg.Now()
 	return &Engine{
@@ -215,8 +215,8 @@
 // Done returns a channel that is closed when Run has ended. No answers follow.
 func (e *Engine) Done() <-chan struct{} { return e.done }
 
-// Ready reports whether at least one backend accepts requests. It is safe for concurrent use.
-func (e *Engine) Ready() bool { return e.ready.Load() }
+// HasReadyBackend reports whether at least one backend accepts requests. It is safe for concurrent use.
+func (e *Engine) HasReadyBackend() bool { return e.ready.Load() }
 
 // Clock returns the time of the Balancer's clock. It follows the monotonic clock, so it never goes back, not even when the
 // wall clock is adjusted. It is safe for concurrent use.
@@ -277,7 +277,7 @@
 	fired := false
 	for now := e.Clock(); len(e.timers) > 0 && e.timers[0].at <= now; fired = true {
 		t := e.timers.pop()
-		e.Handle(balance.Event{Kind: balance.Timer, Mark: t.mark})
+		e.Handle(balance.Event{Kind: balance.Timer, TimerID: t.mark})
 	}
 	return fired
 }
@@ -310,24 +310,24 @@
 		e.send(a)
 	case balance.Cancel:
 		if r := e.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			e.giveUp(r.attempts[a.Attempt], balance.Revoked)
+			e.giveUp(r.attempts[a.Attempt], balance.Cancelled)
 		}
-	case balance.Refuse:
-		e.finish(e.requests[a.Request], Answer{Kind: Refused, RetryIn: a.RetryIn})
+	case balance.Reject:
+		e.finish(e.requests[a.Request], Answer{Kind: Refused, RetryAfter: a.RetryAfter})
 	case balance.Fail:
 		e.finish(e.requests[a.Request], Answer{Kind: Failed})
 	case balance.Probe:
 		e.sendProbe(a.Backend)
 	case balance.SetTimer:
 		e.seq++
-		e.timers.push(timer{at: e.Clock() + a.In, seq: e.seq, mark: a.Mark})
+		e.timers.push(timer{at: e.Clock() + a.In, seq: e.seq, mark: a.TimerID})
 	case balance.Watch, balance.Unwatch, balance.Fetch:
-		e.Ask(a.Kind)
-	case balance.Tell:
-		e.Tell(a.Peer, a.Payload)
-	case balance.Close:
+		e.RequestDiscovery(a.Kind)
+	case balance.SendToPeer:
+		e.SendToPeer(a.Peer, a.Payload)
+	case balance.CloseIdle:
 		if b := e.byNumber[a.Backend]; b != nil {
-			e.Transport.Drop(b.endpoint)
+			e.Transport.CloseIdle(b.endpoint)
 		}
 	case balance.Log:
 		e.Log.Info(a.Text)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -86,7 +86,7 @@
 	}()
 }
 
-func (x *randomTransport) Bar(a *Attempt) bool {
+func (x *randomTransport) PreventWrite(a *Attempt) bool {
 	c := a.State.(*randomCall)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	return c.isBarred
 }
 
-func (x *randomTransport) GiveUp(a *Attempt) {
+func (x *randomTransport) Cancel(a *Attempt) {
 	c := a.State.(*randomCall)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +105,7 @@
 }
 
 func (x *randomTransport) Probe(_ Endpoint, told func(Result)) { told(Result{Status: balance.Shed}) }
-func (x *randomTransport) Drop(Endpoint)                       { x.dropped++ }
+func (x *randomTransport) CloseIdle(Endpoint)                  { x.dropped++ }
 
 // Guards the rules for requests under random results, drains and disconnecting clients, with goroutines in simulated time.
 // Every request gets one answer by its deadline, no unsafe request runs twice, a refusal means that nothing ran, and no
@@ -142,7 +142,7 @@
 			l.Members = append(l.Members, Member{ID: fmt.Sprint("s", i), Addr: fmt.Sprint("10.0.0.", i, ":1"),
 				Member: balance.Member{Phase: p, Weight: 1}})
 		}
-		e.Post(func() { e.TakeList(balance.MembersAll, l) })
+		e.Post(func() { e.UpdateBackends(balance.MembersAll, l) })
 	}
 	list()
 	var wg sync.WaitGroup
@@ -172,7 +172,7 @@
 					t.Errorf("%s refused, although it ran", r.ID)
 				}
 			case <-time.After(disconnectAfter):
-				e.Post(func() { e.Gone(r) })
+				e.Post(func() { e.ClientGone(r) })
 			case <-time.After(2 * time.Second):
 				if !r.answerClaimed.Load() { // otherwise the transport passed its answer on
 					t.Errorf("%s has no answer", r.ID)
@@ -184,8 +184,8 @@
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 	e.Post(func() {
-		if e.Open() != 0 {
-			t.Errorf("%d requests left in the table", e.Open())
+		if e.OpenRequests() != 0 {
+			t.Errorf("%d requests left in the table", e.OpenRequests())
 		}
 		for id, b := range e.backends {
 			if b.outstanding != 0 {
@@ -225,7 +225,7 @@
 			for i := range backends {
 				l.Members = append(l.Members, Member{ID: fmt.Sprint("s", i), Addr: fmt.Sprint(i), Member: balance.Member{Weight: 1}})
 			}
-			e.TakeList(balance.MembersAll, l)
+			e.UpdateBackends(balance.MembersAll, l)
 			b.ReportAllocs()
 			for b.Loop() {
 				r := &Request{ID: "x", Deadline: e.Now().Add(time.Millisecond), Reply: make(chan Answer, 1)}
@@ -241,7 +241,7 @@
 type lastAttemptTransport struct{ last *Attempt }
 
 func (x *lastAttemptTransport) Send(a *Attempt)              { x.last = a }
-func (x *lastAttemptTransport) Bar(*Attempt) bool            { return false }
-func (x *lastAttemptTransport) GiveUp(*Attempt)              {}
+func (x *lastAttemptTransport) PreventWrite(*Attempt) bool   { return false }
+func (x *lastAttemptTransport) Cancel(*Attempt)              {}
 func (x *lastAttemptTransport) Probe(Endpoint, func(Result)) {}
-func (x *lastAttemptTransport) Drop(Endpoint)                {}
+func (x *lastAttemptTransport) CloseIdle(Endpoint)           {}
--- a/internal/engine/repeats_test.go
+++ b/internal/engine/repeats_test.go
@@ -12,7 +12,7 @@
 func TestRepeatHasTimeLimitForWrite(t *testing.T) {
 	const window, stall = time.Second, 150 * time.Millisecond
 	h := newHarness(t)
-	h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{
+	h.e.UpdateBackends(balance.MembersAll, List{Complete: true, Members: []Member{
 		{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}, {ID: "b", Addr: "10.0.0.2:1", Member: balance.Member{Weight: 1}}}})
 	h.fillRetryBudget()
 	start := h.clock
@@ -57,12 +57,12 @@
 	} {
 		for _, isWritten := range []bool{false, true} {
 			h := newHarness(t)
-			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}}})
+			h.e.UpdateBackends(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Weight: 1}}}})
 			h.fillRetryBudget()
 			r := &Request{ID: "x", Class: 1, Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
 			h.e.Arrive(r)
 			h.written["x/0"] = isWritten
-			h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{replacement}})
+			h.e.UpdateBackends(balance.MembersAll, List{Complete: true, Members: []Member{replacement}})
 			h.e.Step()
 			a := h.attempts["x/0"]
 			if a.hasEnded == isWritten {
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -9,11 +9,11 @@
 	"glencart/balance"
 )
 
-// Arrive accepts a request. It answers a request whose id is in use by an open one with Doubled, because backends could not
+// Arrive accepts a request. It answers a request whose id is in use by an open one with Duplicate, because backends could not
 // distinguish the two. On the loop.
 func (e *Engine) Arrive(r *Request) {
 	if e.requests[r.ID] != nil {
-		r.reply(Answer{Kind: Doubled})
+		r.reply(Answer{Kind: Duplicate})
 		return
 	}
 	e.arrived++
@@ -24,13 +24,13 @@
 	e.requests[r.ID] = r
 	e.Handle(balance.Event{
 		Kind: balance.RequestArrived, Request: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, HasKey: r.HasKey,
-		Budget: max(r.Deadline.Sub(e.Now()), 0), Hint: r.Hint, Repeat: r.Repeat,
+		Budget: max(r.Deadline.Sub(e.Now()), 0), Hint: r.Hint, IsRepeat: r.Repeat,
 	})
 }
 
-// AnswerBy limits the deadline of open and later requests to end, because the process exits soon after. Streams continue
+// LimitDeadlines limits the deadline of open and later requests to end, because the process exits soon after. Streams continue
 // until end. A further call at end stops the streams that have no final answer yet. On the loop.
-func (e *Engine) AnswerBy(end time.Time) {
+func (e *Engine) LimitDeadlines(end time.Time) {
 	if e.answerBy.IsZero() || end.Before(e.answerBy) {
 		e.answerBy = end
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// Place calls Arrive on the loop, directly in this goroutine if the loop is idle. It reports false if the engine has
+// Submit calls Arrive on the loop, directly in this goroutine if the loop is idle. It reports false if the engine has
 // ended. It is safe for concurrent use. The caller must hold no lock that a method of the Transport acquires.
-func (e *Engine) Place(r *Request) bool {
+func (e *Engine) Submit(r *Request) bool {
 	if e.tryAcquireLoop() {
 		e.Arrive(r)
 		e.releaseLoop()
@@ -61,19 +61,19 @@
 	return e.Post(func() { e.Arrive(r) })
 }
 
-// Gone reports that the client disconnected before its answer. On the loop.
-func (e *Engine) Gone(r *Request) {
+// ClientGone reports that the client disconnected before its answer. On the loop.
+func (e *Engine) ClientGone(r *Request) {
 	if e.requests[r.ID] != r || r.answered {
 		return
 	}
 	r.answered = true
 	r.answerClaimed.Store(true)
 	e.Handle(balance.Event{Kind: balance.ClientGone, Request: r.ID})
-	e.endAttempts(r, balance.Revoked)
+	e.endAttempts(r, balance.Cancelled)
 }
 
-// OpenIDs returns the ids of the first maxIDs requests without an answer, in order of arrival. On the loop.
-func (e *Engine) OpenIDs(maxIDs int) []string {
+// OpenRequestIDs returns the ids of the first maxIDs requests without an answer, in order of arrival. On the loop.
+func (e *Engine) OpenRequestIDs(maxIDs int) []string {
 	var open []*Request
 	for _, r := range e.requests {
 		if !r.answered {
@@ -88,8 +88,8 @@
 	return ids
 }
 
-// Open returns the number of requests in the table. On the loop.
-func (e *Engine) Open() int { return len(e.requests) }
+// OpenRequests returns the number of requests in the table. On the loop.
+func (e *Engine) OpenRequests() int { return len(e.requests) }
 
 func (e *Engine) send(act *balance.Action) {
 	r, b := e.requests[act.Request], e.byNumber[act.Backend]
@@ -109,13 +109,13 @@
 		e.handleResult(a, Result{Status: balance.Unused})
 		return
 	}
-	if act.Limit > 0 {
-		if limit := e.Now().Add(act.Limit); limit.Before(a.Deadline) {
+	if act.AttemptTimeout > 0 {
+		if limit := e.Now().Add(act.AttemptTimeout); limit.Before(a.Deadline) {
 			a.Deadline = limit
 		}
 	}
-	if act.Within > 0 {
-		a.WriteBy = e.Now().Add(act.Within)
+	if act.WriteTimeout > 0 {
+		a.WriteBy = e.Now().Add(act.WriteTimeout)
 	}
 	a.isSent = true
 	e.Transport.Send(a)
@@ -134,12 +134,12 @@
 			r.reply(Answer{Kind: Served, Body: res.Body})
 		case r.stream == a && r.answerClaimed.CompareAndSwap(false, true): // the stream has begun, so a failed attempt ends it
 			r.answered = true
-			r.reply(Answer{Kind: Failed, Begun: true, Body: res.Body})
+			r.reply(Answer{Kind: Failed, MayHaveRun: true, Body: res.Body})
 		}
 	}
 	e.reportOutcome(a, res)
 	if r.answered {
-		e.endAttempts(r, balance.Revoked)
+		e.endAttempts(r, balance.Cancelled)
 	}
 }
 
@@ -157,14 +157,14 @@
 		e.Handle(balance.Event{Kind: balance.ClientGone, Request: r.ID})
 	}
 	if won {
-		e.endAttempts(r, balance.Revoked)
+		e.endAttempts(r, balance.Cancelled)
 	}
 }
 
 func (e *Engine) reportOutcome(a *Attempt, res Result) {
 	r := a.Request
-	if r.Hasty && res.Status == balance.Expired {
-		res.Status = balance.Revoked
+	if r.HasShortDeadline && res.Status == balance.Expired {
+		res.Status = balance.Cancelled
 	}
 	a.hasEnded = true
 	r.mayHaveRun = r.mayHaveRun || !res.Status.NeverRan()
@@ -173,11 +173,11 @@
 	}
 	e.forget(r)
 	e.Handle(balance.Event{
-		Kind: balance.Outcome, Request: r.ID, Attempt: a.number, Backend: a.backend.number, Spent: e.Clock() - a.sentAt,
-		Status: res.Status, NoMore: r.answered, Load: res.Load,
+		Kind: balance.Outcome, Request: r.ID, Attempt: a.number, Backend: a.backend.number, Elapsed: e.Clock() - a.sentAt,
+		Status: res.Status, RequestEnded: r.answered, Load: res.Load,
 	})
-	if e.Saw != nil {
-		e.Saw(a.To.ID, res)
+	if e.OnResult != nil {
+		e.OnResult(a.To.ID, res)
 	}
 	e.release(a.backend)
 }
@@ -190,13 +190,13 @@
 	}
 	r.stream = a
 	e.Handle(balance.Event{Kind: balance.StreamStarted, Request: r.ID, Attempt: a.number, Backend: a.backend.number,
-		Spent: e.Clock() - a.sentAt})
+		Elapsed: e.Clock() - a.sentAt})
 	for _, other := range r.attempts {
 		if other != a {
-			e.giveUp(other, balance.Revoked)
+			e.giveUp(other, balance.Cancelled)
 		}
 	}
-	if !e.answerBy.IsZero() && !e.Now().Before(e.answerBy) { // AnswerBy has already ended the streams
+	if !e.answerBy.IsZero() && !e.Now().Before(e.answerBy) { // LimitDeadlines has already ended the streams
 		e.giveUp(a, balance.Expired)
 	}
 }
@@ -207,10 +207,10 @@
 		return
 	}
 	if a.isSent {
-		if e.Transport.Bar(a) {
+		if e.Transport.PreventWrite(a) {
 			st = balance.Unused
 		}
-		e.Transport.GiveUp(a)
+		e.Transport.Cancel(a)
 	}
 	e.handleResult(a, Result{Status: st})
 }
@@ -223,13 +223,13 @@
 	r.answered = true
 	late := !e.Now().Before(r.Deadline)
 	won := r.answerClaimed.CompareAndSwap(false, true) // false: another answer is already on its way to the client
-	st := balance.Revoked
+	st := balance.Cancelled
 	if late {
 		st = balance.Expired
 	}
 	e.endAttempts(r, st)
 	if won {
-		ans.Late, ans.Begun, ans.Body = late, r.mayHaveRun, r.lastBody
+		ans.Late, ans.MayHaveRun, ans.Body = late, r.mayHaveRun, r.lastBody
 		r.reply(ans)
 	}
 }
@@ -246,7 +246,7 @@
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
 			if !a.hasEnded && a.isSent {
-				e.Transport.GiveUp(a)
+				e.Transport.Cancel(a)
 			}
 		}
 	}
@@ -266,10 +266,10 @@
 	}
 	sent := e.Clock()
 	report := func(res Result) {
-		e.Handle(balance.Event{Kind: balance.Probed, Backend: number, Spent: e.Clock() - sent,
+		e.Handle(balance.Event{Kind: balance.Probed, Backend: number, Elapsed: e.Clock() - sent,
 			Status: res.Status, Load: res.Load})
-		if e.Saw != nil {
-			e.Saw(b.id, res)
+		if e.OnResult != nil {
+			e.OnResult(b.id, res)
 		}
 		e.release(b)
 	}
