--- a/internal/engine/scenario_test.go
+++ b/internal/engine/scenario_test.go
@@ -60,10 +60,10 @@
 			return slog.Attr{}
 		}}))
 	}
-	h.e = New(Config{Balancer: bal, Transport: h, Tell: tell, Log: log, Now: func() time.Time { return h.clock }, Trace: func(s Step) {
+	h.e = New(Config{Balancer: bal, Transport: h, SendToPeer: tell, Log: log, Now: func() time.Time { return h.clock }, Trace: func(s Step) {
 		if ev := s.Event; ev.Kind == balance.Outcome { // outcomes are part of the expected output
 			more := ""
-			if ev.NoMore {
+			if ev.RequestEnded {
 				more = ", no more"
 			}
 			fmt.Fprintf(&h.output, "told %s/%d %s%s\n", ev.Request, ev.Attempt, statusNames[ev.Status], more)
@@ -78,16 +78,16 @@
 	h.attempts[h.name(a)] = a
 	fmt.Fprintf(&h.output, "send %s to %s\n", h.name(a), a.To.Addr)
 }
-func (h *harness) Bar(a *Attempt) bool {
+func (h *harness) PreventWrite(a *Attempt) bool {
 	if h.written[h.name(a)] {
 		return false
 	}
 	fmt.Fprintf(&h.output, "bar %s\n", h.name(a))
 	return true
 }
-func (h *harness) GiveUp(a *Attempt)                    { fmt.Fprintf(&h.output, "give up %s\n", h.name(a)) }
+func (h *harness) Cancel(a *Attempt)                    { fmt.Fprintf(&h.output, "give up %s\n", h.name(a)) }
 func (h *harness) Probe(to Endpoint, told func(Result)) { h.probes[to] = told }
-func (h *harness) Drop(to Endpoint) {
+func (h *harness) CloseIdle(to Endpoint) {
 	if to.Addr != "" {
 		fmt.Fprintf(&h.output, "drop %s\n", to.Addr)
 	}
@@ -109,7 +109,7 @@
 			if a.Late {
 				kind += ", late"
 			}
-			if a.Begun {
+			if a.MayHaveRun {
 				kind += ", may have run"
 			}
 			if a.Body != nil {
@@ -168,7 +168,7 @@
 			switch d.Cmd {
 			case "list":
 				kind := map[string]balance.EventKind{"whole": balance.MembersAll, "changes": balance.MembersChanged,
-					"remembered": balance.MembersRemembered}[d.CmdArgs[0].Key]
+					"remembered": balance.MembersCached}[d.CmdArgs[0].Key]
 				list := List{Complete: kind != balance.MembersChanged}
 				for line := range strings.Lines(d.Input) {
 					f := strings.Fields(line)
@@ -178,7 +178,7 @@
 						list.Members[len(list.Members)-1].Launched = h.e.Clock()
 					}
 				}
-				h.e.TakeList(kind, list)
+				h.e.UpdateBackends(kind, list)
 			case "arrive":
 				budget := 2 * time.Second
 				if b := arg("budget"); b != "" {
@@ -186,7 +186,7 @@
 				}
 				var class int
 				d.ScanArgs(t, "class", &class)
-				r := &Request{ID: arg("id"), Class: class, Hasty: d.HasArg("hasty"), Deadline: h.clock.Add(budget), Reply: make(chan Answer, 1)}
+				r := &Request{ID: arg("id"), Class: class, HasShortDeadline: d.HasArg("hasty"), Deadline: h.clock.Add(budget), Reply: make(chan Answer, 1)}
 				key := r.ID
 				for h.requests[key] != nil {
 					key += "'"
@@ -205,25 +205,25 @@
 			case "deliver":
 				fmt.Fprintf(&h.output, "handed on: %t\n", at().Deliver(Result{Status: balance.Delivered}))
 			case "started":
-				at().Started()
+				at().StreamStarted()
 			case "copy":
 				var to int
 				d.ScanArgs(t, "to", &to)
 				h.e.execute(&balance.Action{Kind: balance.Send, Request: arg("id"), Backend: balance.BackendID(to)})
 			case "say":
-				kind := balance.Refuse
+				kind := balance.Reject
 				if d.HasArg("fail") {
 					kind = balance.Fail
 				}
 				h.e.execute(&balance.Action{Kind: kind, Request: arg("id")})
 			case "gone":
-				h.e.Gone(h.requests[arg("id")])
+				h.e.ClientGone(h.requests[arg("id")])
 			case "answer-by":
 				in, err := time.ParseDuration(arg("in"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				h.e.AnswerBy(h.clock.Add(in))
+				h.e.LimitDeadlines(h.clock.Add(in))
 			case "wait":
 				dur, err := time.ParseDuration(arg("for"))
 				if err != nil {
@@ -268,7 +268,7 @@
 				for _, b := range h.e.byNumber {
 					out += b.outstanding
 				}
-				return fmt.Sprintf("%d requests, %d backends, %d out, timers: %t\n", h.e.Open(), h.e.Backends(), out, timer)
+				return fmt.Sprintf("%d requests, %d backends, %d out, timers: %t\n", h.e.OpenRequests(), h.e.BackendCount(), out, timer)
 			default:
 				d.Fatalf(t, "no command %q", d.Cmd)
 			}
@@ -283,7 +283,7 @@
 func TestEngineIgnoresInvalidSend(t *testing.T) {
 	h := newHarness(t)
 	list := func(p balance.Phase) {
-		h.e.TakeList(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Phase: p}}}})
+		h.e.UpdateBackends(balance.MembersAll, List{Complete: true, Members: []Member{{ID: "a", Addr: "10.0.0.1:1", Member: balance.Member{Phase: p}}}})
 	}
 	list(balance.Ready)
 	r := &Request{ID: "x", Class: 1, Deadline: h.clock.Add(time.Second), Reply: make(chan Answer, 1)}
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -18,22 +18,22 @@
 // Transport carries attempts to backends over one protocol.
 //
 // The engine calls every method from its loop. No method may block, or call into the engine other than by Post,
-// Attempt.Started, Attempt.Done and the function passed to Probe. These are safe to call from any goroutine.
-// Attempt.Deliver and Place are safe to call from any goroutine but the loop.
+// Attempt.StreamStarted, Attempt.Done and the function passed to Probe. These are safe to call from any goroutine.
+// Attempt.Deliver and Submit are safe to call from any goroutine but the loop.
 type Transport interface {
 	// Send starts an attempt to a.To. The transport calls a.Done exactly once, no later than shortly after a.Deadline. An
 	// attempt is one write on one connection. Neither the transport nor a library below it may resend it. The transport
 	// calls a.TooLate immediately before the write. If it returns true, the attempt is not written and ends as Unused.
 	Send(a *Attempt)
-	// Bar prevents the write of an attempt that has not begun to write. It reports whether it did. An attempt counts as
+	// PreventWrite prevents the write of an attempt that has not begun to write. It reports whether it did. An attempt counts as
 	// sent, for a draining backend, from its first byte, and a dial may outlast the drain grace.
-	Bar(a *Attempt) bool
-	// GiveUp cancels an attempt immediately. Whatever arrives for it later is discarded.
-	GiveUp(a *Attempt)
+	PreventWrite(a *Attempt) bool
+	// Cancel cancels an attempt immediately. Whatever arrives for it later is discarded.
+	Cancel(a *Attempt)
 	// Probe requests the load of an endpoint and calls done once. A rejected probe has the status Shed.
 	Probe(to Endpoint, done func(Result))
-	// Drop closes the idle connections to an endpoint.
-	Drop(to Endpoint)
+	// CloseIdle closes the idle connections to an endpoint.
+	CloseIdle(to Endpoint)
 }
 
 // Result is the result of an attempt or a probe.
@@ -47,20 +47,20 @@
 
 // Request is a client's request. The front end sets the exported fields. The others are state of the loop.
 type Request struct {
-	ID       string // unique among open requests
-	Class    int
-	Tenant   int
-	Key      uint64
-	HasKey   bool
-	Hint     time.Duration // expected work; 0: unknown
-	Repeat   bool          // the client marked it as a repeat
-	Deadline time.Time     // on the clock of Config.Now
-	Hasty    bool          // the deadline is far too short for a time-out to count against a backend
-	Message  any           // for the transport
-	// Reply receives the final answer. It needs a buffer of one, because the loop doesn't wait. After Gone there is none.
+	ID               string // unique among open requests
+	Class            int
+	Tenant           int
+	Key              uint64
+	HasKey           bool
+	Hint             time.Duration // expected work; 0: unknown
+	Repeat           bool          // the client marked it as a repeat
+	Deadline         time.Time     // on the clock of Config.Now
+	HasShortDeadline bool          // the deadline is far too short for a time-out to count against a backend
+	Message          any           // for the transport
+	// Reply receives the final answer. It needs a buffer of one, because the loop doesn't wait. After ClientGone there is none.
 	Reply chan Answer
-	// Answered, if set, receives the final answer instead of Reply. It is called on the loop, by drivers that control the time.
-	Answered func(Answer)
+	// OnAnswer, if set, receives the final answer instead of Reply. It is called on the loop, by drivers that control the time.
+	OnAnswer func(Answer)
 
 	seq           uint64 // order of arrival
 	attempts      []*Attempt
@@ -115,15 +115,15 @@
 	return won
 }
 
-// Started reports that the client receives the stream of this attempt. The request has no further attempt and ends with
+// StreamStarted reports that the client receives the stream of this attempt. The request has no further attempt and ends with
 // this one.
-func (a *Attempt) Started() {
+func (a *Attempt) StreamStarted() {
 	a.engine.Post(func() { a.engine.handleStreamStarted(a) })
 }
 
-// Answering reports that the backend has begun to answer a stream. From then on the attempt no longer counts as
+// ResponseStarted reports that the backend has begun to answer a stream. From then on the attempt no longer counts as
 // unanswered, however long the stream lasts.
-func (a *Attempt) Answering() {
+func (a *Attempt) ResponseStarted() {
 	a.engine.Post(func() {
 		a.engine.Handle(balance.Event{Kind: balance.StreamAnswered, Request: a.Request.ID, Attempt: a.number, Backend: a.backend.number})
 	})
@@ -134,24 +134,24 @@
 
 // Kinds of final answers.
 const (
-	Served  AnswerKind = iota // answer of a backend, in Answer.Body
-	Refused                   // the client may safely retry
-	Failed                    // the request may or may not have been executed
-	Doubled                   // another request with this id is open
+	Served    AnswerKind = iota // answer of a backend, in Answer.Body
+	Refused                     // the client may safely retry
+	Failed                      // the request may or may not have been executed
+	Duplicate                   // another request with this id is open
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
-	Kind    AnswerKind
-	Late    bool          // the deadline of the request has passed
-	Begun   bool          // some attempt may have run
-	RetryIn time.Duration // with Refused: retry-after; 0: none
-	Body    any           // with Served: Result.Body; with Failed: Result.Body of the last attempt that returned one, if any
+	Kind       AnswerKind
+	Late       bool          // the deadline of the request has passed
+	MayHaveRun bool          // some attempt may have run
+	RetryAfter time.Duration // with Refused: retry-after; 0: none
+	Body       any           // with Served: Result.Body; with Failed: Result.Body of the last attempt that returned one, if any
 }
 
 func (r *Request) reply(a Answer) {
-	if r.Answered != nil {
-		r.Answered(a)
+	if r.OnAnswer != nil {
+		r.OnAnswer(a)
 		return
 	}
 	r.Reply <- a
--- a/internal/front/http/attempt.go
+++ b/internal/front/http/attempt.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// answerMost bounds an answer that is held whole before it goes to the client: one that breaks can still be asked
+	// maxAnswerBytes bounds an answer that is held whole before it goes to the client: one that breaks can still be asked
 	// for again. Longer ones, and those that don't tell their length, go on as they come.
 	answerMost = 64 << 10
 	// informMost is how many 1xx answers may come ahead of the one that counts.
@@ -71,16 +71,16 @@
 	}()
 }
 
-// Bar keeps an attempt that has not begun to write from ever doing so.
-func (x *transport) Bar(a *engine.Attempt) bool {
+// PreventWrite keeps an attempt that has not begun to write from ever doing so.
+func (x *transport) PreventWrite(a *engine.Attempt) bool {
 	return a.State.(*call).state.CompareAndSwap(callQueued, callBarred)
 }
 
-// GiveUp closes the attempt's connection.
-func (x *transport) GiveUp(a *engine.Attempt) { a.State.(*call).cancel() }
+// Cancel closes the attempt's connection.
+func (x *transport) Cancel(a *engine.Attempt) { a.State.(*call).cancel() }
 
-// Drop ends the idle connections to a box.
-func (x *transport) Drop(to engine.Endpoint) { x.conns.drop(to) }
+// CloseIdle ends the idle connections to a box.
+func (x *transport) CloseIdle(to engine.Endpoint) { x.conns.drop(to) }
 
 // exchange carries out one attempt on one connection, once.
 func (x *transport) exchange(ctx context.Context, c *call, a *engine.Attempt, m *message) {
@@ -97,7 +97,7 @@
 	cn, err := x.conns.get(ctx, a.To, m.unsafe)
 	if err != nil {
 		switch {
-		case errors.Is(ctx.Err(), context.Canceled), sock.LocalFailure(err): // says nothing of the box
+		case errors.Is(ctx.Err(), context.Canceled), sock.IsLocalError(err): // says nothing of the box
 			end(balance.Unused, nil)
 		case errors.Is(err, syscall.ECONNREFUSED):
 			x.ended(a.To, reserve.Refused)
@@ -108,7 +108,7 @@
 		return
 	}
 	// What streams can be taken by one attempt only, and is not taken while nothing of it has been read.
-	if ctx.Err() != nil || a.TooLate() || m.client.Gone() || !c.state.CompareAndSwap(callQueued, callWriting) || m.rest != nil && !m.taken.CompareAndSwap(false, true) {
+	if ctx.Err() != nil || a.TooLate() || m.client.HasClientClosed() || !c.state.CompareAndSwap(callQueued, callWriting) || m.rest != nil && !m.taken.CompareAndSwap(false, true) {
 		cn.Close()
 		end(balance.Unused, nil)
 		return
@@ -136,10 +136,10 @@
 		if !m.begin() {
 			stop()
 			cn.Close()
-			end(balance.Revoked, nil)
+			end(balance.Cancelled, nil)
 			return
 		}
-		a.Started() // what is read from the client from here on can't be sent again
+		a.StreamStarted() // what is read from the client from here on can't be sent again
 		cn.SetDeadline(time.Time{})
 		pumped = make(chan error, 1)
 		go func() { pumped <- m.pump(cn, x.idle) }()
@@ -153,7 +153,7 @@
 	}
 	if !stop() {
 		re.drop() // given up meanwhile
-		end(balance.Revoked, nil)
+		end(balance.Cancelled, nil)
 		return
 	}
 	re.to = a.To
@@ -179,7 +179,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balance.Expired
 	case ctx.Err() != nil:
-		return balance.Revoked
+		return balance.Cancelled
 	}
 	return balance.Dropped
 }
--- a/internal/front/http/conns.go
+++ b/internal/front/http/conns.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// headMost bounds the head of a box's answer.
+	// maxHeadBytes bounds the head of a box's answer.
 	headMost = 64 << 10
 	// freshFor is how long a connection may have stood idle that takes an unsafe request. A box closes idle connections
 	// when it likes, and a request that crosses that is one that may have run.
@@ -116,9 +116,9 @@
 
 func (c *conn) quiet() bool {
 	if t, ok := c.Conn.(*tls.Conn); ok {
-		return sock.Quiet(t.NetConn())
+		return sock.IsIdle(t.NetConn())
 	}
-	return sock.Quiet(c.Conn)
+	return sock.IsIdle(c.Conn)
 }
 
 func (p *conns) take(to engine.Endpoint) *conn {
--- a/internal/front/http/fleet.go
+++ b/internal/front/http/fleet.go
@@ -33,7 +33,7 @@
 	c, err := cluster.Open(cluster.Config{Cluster: f.Cluster, Name: f.Name, Listen: f.Listen, Advertise: f.Advertise, Seeds: f.Seeds,
 		Networks: fleetNetworks(f), Away: time.Duration(f.Away),
 		Wait: time.Duration(f.Wait), Keep: time.Duration(f.Keep), Owners: f.Owners, Hold: fleetHold(f), Log: v.log, Sized: func(int) { v.countInstances() },
-		Detect: detect.Config{Every: time.Duration(f.Every), AnswerWithin: time.Duration(f.Every) * 3 / 10, Suspicion: time.Duration(f.Suspicion)},
+		Detect: detect.Config{ProbeInterval: time.Duration(f.Every), ProbeTimeout: time.Duration(f.Every) * 3 / 10, MinSuspicionTimeout: time.Duration(f.Suspicion)},
 	}, cluster.System{})
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 		for _, p := range g.pools {
 			if !told[p] {
 				told[p] = true
-				p.loop.Post(func() { p.loop.Handle(balance.Event{Kind: balance.InstancesCounted, Instances: n}) })
+				p.loop.Post(func() { p.loop.Handle(balance.Event{Kind: balance.InstancesChanged, Instances: n}) })
 			}
 		}
 	}
--- a/internal/front/http/fleet_test.go
+++ b/internal/front/http/fleet_test.go
@@ -22,7 +22,7 @@
 		loop := first.gen.Load().pools[pool].loop
 		loop.Post(func() {
 			loop.Trace = func(s engine.Step) {
-				if s.Event.Kind == balance.InstancesCounted {
+				if s.Event.Kind == balance.InstancesChanged {
 					counted <- s.Event.Instances
 				}
 			}
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -629,7 +629,7 @@
 		n.get("GET", "/x", "")
 		q := n.gen.Load().pools["p"]
 		told, on := make(chan bool, 1), false
-		q.loop.Post(func() { on = q.spare.On(); told <- q.list.Members[0].Launched > 0 })
+		q.loop.Post(func() { on = q.spare.UsesBackups(); told <- q.list.Members[0].Launched > 0 })
 		return <-told && !on && usual.Load() > 0
 	})
 }
--- a/internal/front/http/handle.go
+++ b/internal/front/http/handle.go
@@ -131,11 +131,11 @@
 	c.log = entry{remote: c.ask.remote.String(), method: hr.Method, uri: hr.RequestURI, proto: hr.Proto, referer: hr.Referer(), agent: hr.UserAgent(),
 		began: time.Now()}
 	defer func() { v.access.write(&c.log) }()
-	v.book.Taken.Add(1)
+	v.book.Accepted.Add(1)
 	defer func() {
 		switch p := recover(); {
 		case p != nil:
-			v.book.Left.Add(1) // its connection is broken
+			v.book.ClientLeft.Add(1) // its connection is broken
 			panic(p)
 		case !c.handed:
 			v.book.Answered.Add(1)
@@ -146,7 +146,7 @@
 		c.refuse(fullRetry, true)
 		return
 	}
-	if l.table.Crowded() {
+	if l.table.IsCrowded() {
 		w.Header().Set("Connection", "close") // after an answer crosses no request, as closing an idle connection may
 	}
 	c.rc.SetWriteDeadline(c.log.began.Add(streamWithin))
@@ -280,7 +280,7 @@
 		c.unserved(r, m, a)
 		c.answer(m, a)
 	case <-c.hr.Context().Done():
-		p.loop.Post(func() { p.loop.Gone(r) })
+		p.loop.Post(func() { p.loop.ClientGone(r) })
 		c.log.end = "gone"
 		panic(http.ErrAbortHandler) // returning would word an empty 200
 	case <-p.loop.Done(): // the node is ending
@@ -499,11 +499,11 @@
 func (c *visit) answer(m *message, a engine.Answer) {
 	switch a.Kind {
 	case engine.Refused:
-		c.refuse(a.RetryIn, !a.Begun)
+		c.refuse(a.RetryAfter, !a.MayHaveRun)
 	default:
 		c.log.end = "failed"
 		if re, ok := a.Body.(*reply); ok && !a.Late {
-			if a.Begun {
+			if a.MayHaveRun {
 				delete(re.header, neverRanHeader) // true of this box, and not of one that was asked before
 			}
 			c.pass(re) // the box's own words for its failure
--- a/internal/front/http/life.go
+++ b/internal/front/http/life.go
@@ -23,8 +23,8 @@
 // obeys does what a server's life decides.
 type obeys struct{ *Server }
 
-// Ready does nothing: no path of an installation's is a server's own.
-func (v obeys) Ready(bool) {}
+// SetReady does nothing: no path of an installation's is a server's own.
+func (v obeys) SetReady(bool) {}
 
 func (v obeys) AnswerBy(by time.Time) {
 	v.answerBy(by)
@@ -37,7 +37,7 @@
 	defer v.mu.Unlock()
 	for g := range v.alive {
 		for _, p := range g.pools {
-			p.loop.PostFirst(func() { p.loop.AnswerBy(by) })
+			p.loop.PostFirst(func() { p.loop.LimitDeadlines(by) })
 		}
 	}
 }
@@ -45,25 +45,25 @@
 func (v obeys) StopAccepting() {
 	for _, l := range v.listeners {
 		l.Close()
-		l.table.KeepAll()
+		l.table.DisableEviction()
 	}
 }
 
-func (v obeys) CloseAnswered() { v.closing.Store(true) }
+func (v obeys) CloseAfterAnswer() { v.closing.Store(true) }
 
-func (v obeys) CloseQuiet(half bool) {
+func (v obeys) CloseIdle(half bool) {
 	for _, l := range v.listeners {
-		l.table.CloseQuiet(half)
+		l.table.CloseIdle(half)
 	}
 }
 
 // see looks at what stands now.
 func (v *Server) see(accepting bool) life.Event {
-	ev := life.Event{Kind: life.Seen}
+	ev := life.Event{Kind: life.Snapshot}
 	for _, l := range v.listeners {
-		ev.Queued = ev.Queued || accepting && l.Queued()
-		ev.Conns += l.table.Counts().Open + l.Lingering() // tunnels of upgraded connections are not waited for
-		ev.Asked += l.table.Asked()
+		ev.MayHaveQueue = ev.MayHaveQueue || accepting && l.HasQueued()
+		ev.Conns += l.table.Counts().Open + l.LingeringCount() // tunnels of upgraded connections are not waited for
+		ev.OpenRequests += l.table.UnansweredCount()
 	}
 	for _, p := range v.gen.Load().pools {
 		ev.Lag = max(ev.Lag, p.lag.Measure(p.loop.Post))
@@ -73,7 +73,7 @@
 
 // relieve has connections that can be missed give way until ctx ends.
 func (v *Server) relieve(ctx context.Context) {
-	t := time.NewTicker(clients.RelieveEvery)
+	t := time.NewTicker(clients.EvictInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -81,7 +81,7 @@
 			return
 		case <-t.C:
 			for _, l := range v.listeners {
-				l.table.Relieve()
+				l.table.EvictExcess()
 			}
 		}
 	}
--- a/internal/front/http/life_test.go
+++ b/internal/front/http/life_test.go
@@ -68,7 +68,7 @@
 	}
 	l.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(standin.Patience))
-	if l.listeners[0].Opaque {
+	if l.listeners[0].UsesTLS {
 		return tls.Client(c, &tls.Config{InsecureSkipVerify: true})
 	}
 	return c
@@ -102,7 +102,7 @@
 			standin.Receive(t, "the first", l.held)
 			// TLS would wait for the server's part; what it writes first is enough to be taken by the queue.
 			go io.WriteString(second, post("/", "second", 0))
-			standin.Eventually(t, "the second in the queue", l.listeners[0].Queued)
+			standin.Eventually(t, "the second in the queue", l.listeners[0].HasQueued)
 			told()
 			time.Sleep(300 * time.Millisecond)
 			close(l.free)
@@ -153,7 +153,7 @@
 			io.WriteString(half, text[:20])
 			standin.Eventually(t, "the half", func() bool {
 				c := l.listeners[0].table.Counts()
-				return c.Open == 2 && (c.Begun == 1 || l.listeners[0].Opaque)
+				return c.Open == 2 && (c.Partial == 1 || l.listeners[0].UsesTLS)
 			})
 			told()
 			if _, err := r.Peek(1); err != io.EOF && !strings.Contains(fmt.Sprint(err), "reset") {
@@ -175,8 +175,8 @@
 					standin.Eventually(t, "leaving", l.leaving.Load)
 				})
 				standin.Receive(t, "the end", ended)
-				if b := &l.book; b.Open() != 0 || b.Taken.Load() != b.Answered.Load() {
-					t.Errorf("after %v: taken %d, answered %d, open %d", time.Since(began), b.Taken.Load(), b.Answered.Load(), b.Open())
+				if b := &l.book; b.Open() != 0 || b.Accepted.Load() != b.Answered.Load() {
+					t.Errorf("after %v: taken %d, answered %d, open %d", time.Since(began), b.Accepted.Load(), b.Answered.Load(), b.Open())
 				}
 			})
 		}
@@ -234,8 +234,8 @@
 		standin.Eventually(t, "some load", func() bool { return served.Load() > 200 })
 		l.stop()
 		wg.Wait()
-		if b := &l.book; lost.Load() > 0 || b.Left.Load() > 0 || b.Open() != 0 {
-			t.Errorf("%d ran without an answer, %d served; client left %d, open %d", lost.Load(), served.Load(), b.Left.Load(), b.Open())
+		if b := &l.book; lost.Load() > 0 || b.ClientLeft.Load() > 0 || b.Open() != 0 {
+			t.Errorf("%d ran without an answer, %d served; client left %d, open %d", lost.Load(), served.Load(), b.ClientLeft.Load(), b.Open())
 		}
 	}
 }
--- a/internal/front/http/pool.go
+++ b/internal/front/http/pool.go
@@ -36,7 +36,7 @@
 	site     site.Pool
 	sum      string // of all that can't change while it runs
 	loop     *engine.Engine
-	lag      living.Lag
+	lag      living.LoopLag
 	answered atomic.Pointer[time.Time] // when a box answered last; nil: none has
 	conns    *conns
 	log      *slog.Logger
@@ -65,7 +65,7 @@
 func config(s *site.Site, p *site.Pool) balance.Config {
 	cfg := balance.Config{
 		Instances: s.Node.Instances,
-		Limits: balance.Limits{Cancelling: true, Probing: p.Probe != "", RetryAfter: true, MaxAttempts: p.Attempts, FreeRetries: freeRetries,
+		Limits: balance.Limits{Cancelling: true, Probing: p.Probe != "", RetryAfter: true, MaxAttempts: p.Attempts, RetriesPerSecond: freeRetries,
 			MaxRetryAfter: 5 * time.Second, ConnectTimeout: p.Connect.Or(time.Second), IdleClose: p.Idle.Or(4 * time.Second)},
 		Rules: balance.Rules{DrainGrace: drainGrace, ColdShare: p.ColdShare, WarmWithin: time.Duration(p.SlowStart),
 			FallMultiple: 2, OverloadFor: time.Second},
@@ -123,7 +123,7 @@
 			return nil, err
 		}
 		if p.Check != nil {
-			m.Check(p.Check, cs.tls)
+			m.EnableChecks(p.Check, cs.tls)
 		}
 		q.follow(m)
 	} else if p.Registry != "" {
@@ -133,10 +133,10 @@
 				if list.Complete {
 					kind = balance.MembersAll
 				}
-				q.loop.Post(func() { q.loop.TakeList(kind, list) })
+				q.loop.Post(func() { q.loop.UpdateBackends(kind, list) })
 			},
-			func() { q.loop.Post(func() { q.loop.Handle(balance.Event{Kind: balance.MembersRefused}) }) })
-		q.loop.Ask = src.Ask
+			func() { q.loop.Post(func() { q.loop.Handle(balance.Event{Kind: balance.DiscoveryFailed}) }) })
+		q.loop.RequestDiscovery = src.Request
 		q.wg.Go(func() { src.Run(ctx) })
 	} else {
 		q.take(p.Boxes, 0)
@@ -156,7 +156,7 @@
 func (q *pool) reload(boxes []site.Box) {
 	switch {
 	case q.member != nil && len(q.site.Boxes) > 0:
-		q.loop.Post(func() { q.changed(q.member.Hear(q.loop.Clock(), q.member.Static(boxes))) })
+		q.loop.Post(func() { q.changed(q.member.HandleEvent(q.loop.Clock(), q.member.StaticList(boxes))) })
 	case q.member == nil && q.site.Registry == "":
 		q.loop.Post(func() { q.take(boxes, q.loop.Clock()) })
 	}
@@ -172,7 +172,7 @@
 	}
 	q.list = engine.List{Complete: true, Revision: q.list.Revision + 1}
 	q.backup = map[string]bool{}
-	var watch []reserve.Box
+	var watch []reserve.Backend
 	for _, b := range boxes {
 		at, known := since[process{b.ID, b.Address}]
 		if !known {
@@ -187,10 +187,10 @@
 			continue
 		}
 		q.backup[b.ID] = b.Backup
-		watch = append(watch, reserve.Box{ID: b.ID, Backup: b.Backup, Ready: m.Phase == balance.Ready})
+		watch = append(watch, reserve.Backend{ID: b.ID, Backup: b.Backup, Ready: m.Phase == balance.Ready})
 		q.list.Members = append(q.list.Members, m)
 	}
-	q.spare.List(watch)
+	q.spare.SetList(watch)
 	q.tell()
 }
 
@@ -199,12 +199,12 @@
 	list := q.list
 	list.Members = nil
 	for _, m := range q.list.Members {
-		if q.backup[m.ID] && !q.spare.On() && m.Phase == balance.Ready {
+		if q.backup[m.ID] && !q.spare.UsesBackups() && m.Phase == balance.Ready {
 			m.Phase = balance.Draining
 		}
 		list.Members = append(list.Members, m)
 	}
-	q.loop.TakeList(balance.MembersAll, list)
+	q.loop.UpdateBackends(balance.MembersAll, list)
 }
 
 // ended has the reserve see how an attempt ended. It is posted ahead of the attempt's outcome, so that the module, asked
@@ -214,7 +214,7 @@
 		if len(q.backup) == 0 {
 			return // a registry's list tells all by itself
 		}
-		changed, restarted := q.spare.Ended(q.loop.Clock(), to.ID, end)
+		changed, restarted := q.spare.AttemptEnded(q.loop.Clock(), to.ID, end)
 		q.after(to.ID, changed, restarted)
 		if end == reserve.Refused && !q.knocks[to.ID] {
 			q.knocks[to.ID] = true
@@ -226,7 +226,7 @@
 // after carries out what the reserve has said of a box. On the loop.
 func (q *pool) after(id string, changed, restarted bool) {
 	if changed {
-		q.log.Info("backup boxes", "in use", q.spare.On())
+		q.log.Info("backup boxes", "in use", q.spare.UsesBackups())
 	}
 	if restarted {
 		q.log.Info("box answers after it refused connections: another process", "box", id)
@@ -245,7 +245,7 @@
 	case q.member != nil && changed:
 		q.pushAll()
 	case listed:
-		q.loop.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{q.line(now)}})
+		q.loop.UpdateBackends(balance.MembersChanged, engine.List{Members: []engine.Member{q.line(now)}})
 	case q.member != nil:
 	case changed || restarted:
 		q.tell()
@@ -272,7 +272,7 @@
 				delete(q.knocks, to.ID)
 			}
 			if err == nil && listed {
-				changed, restarted := q.spare.Takes(to.ID)
+				changed, restarted := q.spare.ConnectionAccepted(to.ID)
 				q.after(to.ID, changed, restarted)
 			}
 			again <- err != nil && listed
--- a/internal/front/http/server.go
+++ b/internal/front/http/server.go
@@ -38,8 +38,8 @@
 	open      atomic.Int64 // requests
 	number    atomic.Uint64
 	start     string // before the numbers of requests
-	living    *living.Living
-	book      living.Book
+	living    *living.Runner
+	book      living.RequestCounts
 	leaving   atomic.Bool // told to end
 	closing   atomic.Bool // answers close their connections
 	others    *others     // the processes beside this one; nil: none are known
@@ -90,7 +90,7 @@
 	}
 	v.gen.Store(g)
 	v.alive[g] = true
-	v.living = living.New(life.New(life.Own, leaveWithin(s)), obeys{v})
+	v.living = living.New(life.New(life.Standalone, leaveWithin(s)), obeys{v})
 	if v.access, err = openAccess(s.Node.AccessLog); err != nil {
 		g.end()
 		return nil, err
@@ -107,8 +107,8 @@
 		}
 		_, port, _ := net.SplitHostPort(sock.ListenAddr(nl, l.Address))
 		cl := clients.Limit(nl, most)
-		cl.Opaque, cl.HeadWithin = len(l.TLS) > 0, headWithin(s)
-		v.listeners = append(v.listeners, &listener{Listener: cl, table: clients.NewTable(most, clients.Own), site: l, port: port})
+		cl.UsesTLS, cl.HeadTimeout = len(l.TLS) > 0, headWithin(s)
+		v.listeners = append(v.listeners, &listener{Listener: cl, table: clients.NewTable(most, clients.KeepIdleThresholds), site: l, port: port})
 	}
 	if err := v.openFleet(s); err != nil {
 		v.abandon(g)
@@ -116,7 +116,7 @@
 	}
 	g.used = v.tenantsUsed(s)
 	v.openPressure(s)
-	v.living.Tell(life.Event{Kind: life.Opened})
+	v.living.Handle(life.Event{Kind: life.AcceptStarted})
 	return v, nil
 }
 
@@ -262,7 +262,7 @@
 	v.alive[g] = true
 	v.mu.Unlock()
 	v.gen.Store(g)
-	v.living.Tell(life.Event{Kind: life.Changed, Deadline: leaveWithin(s)})
+	v.living.Handle(life.Event{Kind: life.SettingsChanged, Deadline: leaveWithin(s)})
 	if err := v.access.reopen(); err != nil {
 		v.log.Error("access log not opened anew, the old one is written on", "error", err)
 	}
@@ -320,7 +320,7 @@
 	return d
 }
 
-// headWithin is how long a client may take to send a head.
+// headTimeout is how long a client may take to send a head.
 func headWithin(s *site.Site) time.Duration { return s.Limits.HeadWithin.Or(10 * time.Second) }
 
 // listenWithin is how long an address is tried for that can't be had at the start: it may be a process's that is just ending.
@@ -378,12 +378,12 @@
 	case <-ctx.Done():
 	}
 	v.leaving.Store(true)
-	ended := v.living.Tell(life.Event{Kind: life.Told})
-	v.log.Info("leaving", "most", v.living.Left(), "open", v.open.Load())
+	ended := v.living.Handle(life.Event{Kind: life.ShutdownRequested})
+	v.log.Info("leaving", "most", v.living.Remaining(), "open", v.open.Load())
 	if !ended {
 		served := make(chan error)
 		go func() { accepting.Wait(); close(served) }()
-		v.living.Leave(served, v.see)
+		v.living.RunShutdown(served, v.see)
 	}
 	for _, srv := range servers {
 		srv.Close()
@@ -403,7 +403,7 @@
 	g.end()
 	v.retired.Wait()
 	v.access.close()
-	v.log.Info("left", "taken", v.book.Taken.Load(), "answered", v.book.Answered.Load(), "client_left", v.book.Left.Load(),
+	v.log.Info("left", "taken", v.book.Accepted.Load(), "answered", v.book.Answered.Load(), "client_left", v.book.ClientLeft.Load(),
 		"open", v.book.Open())
 	return err
 }
--- a/internal/front/http/session.go
+++ b/internal/front/http/session.go
@@ -114,7 +114,7 @@
 // refusal: kept as the answer, it would be given to every repeat, and the order could not be placed before the mark ends.
 func (m *message) became(a *engine.Answer) share.State {
 	switch {
-	case a != nil && !a.Begun:
+	case a != nil && !a.MayHaveRun:
 		return share.NeverRan
 	case a != nil:
 		return share.MayHaveRun
--- a/internal/front/http/session_test.go
+++ b/internal/front/http/session_test.go
@@ -23,7 +23,7 @@
 		{"refused by the second box, the first never had it", true, 2, 429, engine.Answer{}, share.NeverRan},
 		{"keyed, refused by the second box, the first may have run it", false, 2, 429, engine.Answer{}, share.MayHaveRun},
 		{"refused here", true, 0, 0, engine.Answer{Kind: engine.Refused}, share.NeverRan},
-		{"broken", true, 1, 0, engine.Answer{Kind: engine.Failed, Begun: true}, share.MayHaveRun},
+		{"broken", true, 1, 0, engine.Answer{Kind: engine.Failed, MayHaveRun: true}, share.MayHaveRun},
 	} {
 		m := &message{unsafe: c.unsafe, reply: &reply{status: c.status}}
 		m.attempts.Store(c.attempts)
--- a/internal/front/http/shed.go
+++ b/internal/front/http/shed.go
@@ -93,7 +93,7 @@
 	case a.Late:
 		c.shed.end = shed.Late
 	case full && c.tg.pool.answeredWithin(sign):
-		c.shed.end = shed.NoRoom
+		c.shed.end = shed.Refused
 	}
 }
 
--- a/internal/front/http/sources_test.go
+++ b/internal/front/http/sources_test.go
@@ -64,7 +64,7 @@
 		ns := dns.New(t, "khuree.mn.")
 		ns.Set(t, srv(addrs...)...)
 		n := serve(t, dnsPool, map[string]string{"dns": ns.Addr, "more": ""})
-		standin.Eventually(t, "the pool", func() bool { return n.gen.Load().pools["menu"].loop.Ready() })
+		standin.Eventually(t, "the pool", func() bool { return n.gen.Load().pools["menu"].loop.HasReadyBackend() })
 		var asked, served atomic.Int64
 		stop := make(chan bool)
 		var wg sync.WaitGroup
@@ -154,9 +154,9 @@
 	standin.Eventually(t, "the drain", func() bool {
 		drains := make(chan bool, 1)
 		p.loop.Post(func() {
-			for _, c := range p.member.All() {
+			for _, c := range p.member.Backends() {
 				if c.Addr == a {
-					drains <- c.Line.Phase != 0
+					drains <- c.Endpoint.Phase != 0
 				}
 			}
 		})
@@ -183,7 +183,7 @@
 		return serveSite(t, s)
 	}
 	n := start(keep)
-	standin.Eventually(t, "the kept list", func() bool { l, err := kept.Read(keep, "menu"); return err == nil && l != nil && len(l.Boxes) == 1 })
+	standin.Eventually(t, "the kept list", func() bool { l, err := kept.Read(keep, "menu"); return err == nil && l != nil && len(l.Backends) == 1 })
 	n.stop()
 	ns.Fail(dns.Fault{Drop: true})
 	n = start(keep)
--- a/internal/handover/disk_test.go
+++ b/internal/handover/disk_test.go
@@ -16,7 +16,7 @@
 func TestTemporaryReadErrorLosesNoCalls(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir, "n1"), open(t, dir, "n1")
-	if err := a.Write([]members.Call{call("first", true, 1)}); err != nil {
+	if err := a.Write([]members.Override{call("first", true, 1)}); err != nil {
 		t.Fatal(err)
 	}
 	realOpen := openFile
@@ -30,7 +30,7 @@
 	if got := b.Read(); len(got) != 0 {
 		t.Errorf("read in spite of the error: %v", got)
 	}
-	if err := b.Write([]members.Call{call("second", true, 2)}); err == nil {
+	if err := b.Write([]members.Override{call("second", true, 2)}); err == nil {
 		t.Error("overwrote a file that can't be read")
 	}
 	openFile = realOpen
@@ -59,11 +59,11 @@
 			restore := func() { openFile, rename, syncFile = realOpen, realRename, realSync }
 			t.Cleanup(restore)
 			p := open(t, t.TempDir(), "n1")
-			if err := p.Write([]members.Call{call("first", true, 1)}); err != nil {
+			if err := p.Write([]members.Override{call("first", true, 1)}); err != nil {
 				t.Fatal(err)
 			}
 			fail()
-			if err := p.Write([]members.Call{call("second", true, 2)}); err == nil {
+			if err := p.Write([]members.Override{call("second", true, 2)}); err == nil {
 				t.Error("no error")
 			}
 			restore()
@@ -78,7 +78,7 @@
 func TestKnownCallsAreBounded(t *testing.T) {
 	p := open(t, t.TempDir(), "n1")
 	for round := range 3 {
-		var calls []members.Call
+		var calls []members.Override
 		for i := range maxCalls {
 			calls = append(calls, call(fmt.Sprintf("%d-%d", round, i), false, round*maxCalls+i+1))
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -67,9 +67,9 @@
 
 // State is the content of the state file, which both processes of a node share.
 type State struct {
-	Version int            `json:"version"`
-	Node    string         `json:"node"`
-	Calls   []members.Call `json:"calls"`
+	Version int                `json:"version"`
+	Node    string             `json:"node"`
+	Calls   []members.Override `json:"calls"`
 }
 
 // File system calls that may fail (ENOSPC, EIO). Tests replace them.
@@ -79,28 +79,28 @@
 	syncFile = (*os.File).Sync
 )
 
-// Place is the part of one process in a handover, as the serving process or as its successor.
-type Place struct {
+// Handover is the part of one process in a handover, as the serving process or as its successor.
+type Handover struct {
 	dir, node string
 	log       *slog.Logger
 
 	serving, next *os.File
 
 	mu         sync.Mutex
-	isServing  bool                    // holds the serving lock
-	isNext     bool                    // holds the next lock
-	lastRead   os.FileInfo             // state file when it was last read
-	unwritten  map[string]members.Call // unwritten calls by backend
-	known      map[string]members.Call // calls in the file when it was last read or written, by backend
-	readFailed bool                    // a failure to read the state file was logged
+	isServing  bool                        // holds the serving lock
+	isNext     bool                        // holds the next lock
+	lastRead   os.FileInfo                 // state file when it was last read
+	unwritten  map[string]members.Override // unwritten calls by backend
+	known      map[string]members.Override // calls in the file when it was last read or written, by backend
+	readFailed bool                        // a failure to read the state file was logged
 
 	writeFailed atomic.Bool // a failure to write calls was logged
 }
 
 // Open becomes the serving process or, if another process is serving, its successor. An unusable folder is an error, because
 // the two processes could not detect each other.
-func Open(dir, node string, log *slog.Logger) (*Place, error) {
-	p := &Place{dir: dir, node: node, log: log, unwritten: map[string]members.Call{}, known: map[string]members.Call{}}
+func Open(dir, node string, log *slog.Logger) (*Handover, error) {
+	p := &Handover{dir: dir, node: node, log: log, unwritten: map[string]members.Override{}, known: map[string]members.Override{}}
 	var err error
 	if p.serving, err = p.open(servingLock); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -113,33 +113,33 @@
 	return p, nil
 }
 
-func (p *Place) open(name string) (*os.File, error) {
+func (p *Handover) open(name string) (*os.File, error) {
 	return openFile(filepath.Join(p.dir, name), os.O_CREATE|os.O_RDWR, 0o600)
 }
 
 // Close tries once more to write unwritten calls and releases the locks.
-func (p *Place) Close() {
+func (p *Handover) Close() {
 	p.writePendingLogged()
 	p.serving.Close()
 	p.next.Close()
 }
 
-// Follows reports whether this process waits for another one to end.
-func (p *Place) Follows() bool {
+// IsSuccessor reports whether this process waits for another one to end.
+func (p *Handover) IsSuccessor() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.isServing
 }
 
-// Followed reports whether another process waits for this one to end.
-func (p *Place) Followed() bool {
+// HasSuccessor reports whether another process waits for this one to end.
+func (p *Handover) HasSuccessor() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isServing && isLockedByOther(p.next)
 }
 
 // tryLocks acquires free locks and reports whether there is another process.
-func (p *Place) tryLocks() bool {
+func (p *Handover) tryLocks() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.isServing {
@@ -158,7 +158,7 @@
 
 // Run calls onOther at the start and whenever another process appears or ends, and onCalls with the calls that another process
 // has written. It returns when ctx ends.
-func (p *Place) Run(ctx context.Context, onOther func(bool), onCalls func([]members.Call)) {
+func (p *Handover) Run(ctx context.Context, onOther func(bool), onCalls func([]members.Override)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	var hadOther, reported bool
@@ -181,7 +181,7 @@
 
 // Read returns the calls in the state file if it has changed since it was last read. It logs the first of several failures, and a
 // later call tries again. A failure changes no state.
-func (p *Place) Read() []members.Call {
+func (p *Handover) Read() []members.Override {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info, err := os.Stat(filepath.Join(p.dir, stateFile))
@@ -204,12 +204,12 @@
 
 // Calls returns the calls in the state file, whether or not it has changed. These include all calls that the other process has
 // accepted.
-func (p *Place) Calls() []members.Call {
+func (p *Handover) Calls() []members.Override {
 	calls, _ := p.load() // Read logs the error
 	return calls
 }
 
-func (p *Place) load() ([]members.Call, error) {
+func (p *Handover) load() ([]members.Override, error) {
 	f, err := openFile(filepath.Join(p.dir, stateFile), os.O_RDONLY, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -230,7 +230,7 @@
 }
 
 // Parse decodes and validates a state file of a node.
-func Parse(text []byte, node string) ([]members.Call, error) {
+func Parse(text []byte, node string) ([]members.Override, error) {
 	var s State
 	if len(text) > maxStateBytes {
 		return nil, fmt.Errorf("%s: larger than %d bytes", stateFile, maxStateBytes)
@@ -247,8 +247,8 @@
 		return nil, fmt.Errorf("%s: more than %d calls", stateFile, maxCalls)
 	}
 	for _, c := range s.Calls {
-		if c.ID == "" || len(c.ID) > maxIDBytes || c.At <= 0 || c.Back < 0 || c.Back > c.At {
-			return nil, fmt.Errorf("%s: invalid call: %q at %d", stateFile, c.ID, c.At)
+		if c.ID == "" || len(c.ID) > maxIDBytes || c.ChangedAt <= 0 || c.ReturnedAt < 0 || c.ReturnedAt > c.ChangedAt {
+			return nil, fmt.Errorf("%s: invalid call: %q at %d", stateFile, c.ID, c.ChangedAt)
 		}
 	}
 	return s.Calls, nil
@@ -256,7 +256,7 @@
 
 // Write merges calls into the state file. The later of two calls on one backend applies. If the process is killed at any point,
 // the old or the new file is left complete.
-func (p *Place) Write(calls []members.Call) error {
+func (p *Handover) Write(calls []members.Override) error {
 	lockFile, err := p.open(writeLock)
 	if err != nil {
 		return err
@@ -282,11 +282,11 @@
 	for _, c := range latest {
 		state.Calls = append(state.Calls, c)
 	}
-	slices.SortFunc(state.Calls, func(x, y members.Call) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(state.Calls, func(x, y members.Override) int { return cmp.Compare(x.ID, y.ID) })
 	for len(state.Calls) > maxCalls { // the oldest call on a backend in service is the least useful
 		oldest := -1
 		for i, c := range state.Calls {
-			if !c.Out && (oldest < 0 || c.At < state.Calls[oldest].At) {
+			if !c.OutOfService && (oldest < 0 || c.ChangedAt < state.Calls[oldest].ChangedAt) {
 				oldest = i
 			}
 		}
@@ -309,7 +309,7 @@
 }
 
 // setKnown replaces the known calls by those of the file. It keeps no others, so they are bounded as the file is. It requires mu.
-func (p *Place) setKnown(calls []members.Call) {
+func (p *Handover) setKnown(calls []members.Override) {
 	clear(p.known)
 	for _, c := range calls {
 		p.known[c.ID] = c
@@ -329,7 +329,7 @@
 }
 
 // WriteLearned stores the learned state for a successor.
-func (p *Place) WriteLearned(l Learned) error {
+func (p *Handover) WriteLearned(l Learned) error {
 	l.Version, l.Node = stateVersion, p.node
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -340,7 +340,7 @@
 
 // ReadLearned returns the learned state of the predecessor. It reports false unless that was written at since or later and is at
 // most maxLearnedAge old at now.
-func (p *Place) ReadLearned(since, now time.Duration) (Learned, bool) {
+func (p *Handover) ReadLearned(since, now time.Duration) (Learned, bool) {
 	f, err := os.Open(filepath.Join(p.dir, learnedFile))
 	if err != nil {
 		return Learned{}, false
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,7 +15,7 @@
 	"glencart/members"
 )
 
-func open(t *testing.T, dir, node string) *Place {
+func open(t *testing.T, dir, node string) *Handover {
 	t.Helper()
 	p, err := Open(dir, node, standin.Quiet())
 	if err != nil {
@@ -30,29 +30,29 @@
 func TestSuccessorIsDetectedAndTakesOver(t *testing.T) {
 	dir := t.TempDir()
 	first := open(t, dir, "n1")
-	if first.Follows() || first.Followed() {
+	if first.IsSuccessor() || first.HasSuccessor() {
 		t.Fatal("a single process detects another")
 	}
 	second := open(t, dir, "n1")
-	if !second.Follows() || !first.Followed() {
-		t.Fatalf("second follows: %t, first is followed: %t", second.Follows(), first.Followed())
+	if !second.IsSuccessor() || !first.HasSuccessor() {
+		t.Fatalf("second follows: %t, first is followed: %t", second.IsSuccessor(), first.HasSuccessor())
 	}
 	second.Close() // it ends before it takes over
-	if first.Followed() {
+	if first.HasSuccessor() {
 		t.Fatal("an ended successor is still detected")
 	}
 	second = open(t, dir, "n1")
 	first.Close()
-	if second.tryLocks() || second.Follows() {
+	if second.tryLocks() || second.IsSuccessor() {
 		t.Fatal("the successor did not become the only process")
 	}
-	if third := open(t, dir, "n1"); !third.Follows() || !second.Followed() {
+	if third := open(t, dir, "n1"); !third.IsSuccessor() || !second.HasSuccessor() {
 		t.Fatal("the next successor is not detected")
 	}
 }
 
-func call(id string, out bool, at int) members.Call {
-	return members.Call{ID: id, Out: out, At: time.Duration(at)}
+func call(id string, out bool, at int) members.Override {
+	return members.Override{ID: id, OutOfService: out, ChangedAt: time.Duration(at)}
 }
 
 // Concurrent writes of both processes must lose no call. The later of two calls on one backend applies, and each is read once.
@@ -61,9 +61,9 @@
 	a, b := open(t, dir, "n1"), open(t, dir, "n1")
 	var wg sync.WaitGroup
 	for i := range 20 {
-		for _, p := range []*Place{a, b} {
+		for _, p := range []*Handover{a, b} {
 			wg.Go(func() {
-				if err := p.Write([]members.Call{call(fmt.Sprint(i%5), i%2 == 0, i+1)}); err != nil {
+				if err := p.Write([]members.Override{call(fmt.Sprint(i%5), i%2 == 0, i+1)}); err != nil {
 					t.Error(err)
 				}
 			})
@@ -105,7 +105,7 @@
 			if got := p.Read(); got != nil {
 				t.Errorf("accepted %v", got)
 			}
-			if err := p.Write([]members.Call{call("x", true, 7)}); err != nil {
+			if err := p.Write([]members.Override{call("x", true, 7)}); err != nil {
 				t.Fatal(err)
 			}
 			if got := p.Read(); len(got) != 1 || got[0].ID != "x" {
@@ -118,7 +118,7 @@
 // The state file is bounded. A call that takes a backend out of service must never be dropped to make room.
 func TestFullStateKeepsCallsThatTakeBackendsOut(t *testing.T) {
 	p := open(t, t.TempDir(), "n1")
-	var calls []members.Call
+	var calls []members.Override
 	for i := range maxCalls + 10 {
 		calls = append(calls, call(fmt.Sprint(i), i < 10, i+1))
 	}
@@ -127,7 +127,7 @@
 	}
 	got, out := p.Read(), 0
 	for _, c := range got {
-		if c.Out {
+		if c.OutOfService {
 			out++
 		}
 	}
@@ -196,10 +196,10 @@
 		if err != nil {
 			return
 		}
-		var h members.Hand
-		h.Hear(calls, 1)
+		var h members.Tracker
+		h.MergeOverrides(calls, 1)
 		for _, c := range calls {
-			if c.ID == "" || c.At <= 0 {
+			if c.ID == "" || c.ChangedAt <= 0 {
 				t.Errorf("accepted %v", c)
 			}
 		}
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -19,7 +19,7 @@
 var errInvalidState = errors.New("not a state file of this node")
 
 // Persist writes calls to the state file and retries until ctx ends. Run continues to retry calls that are still unwritten.
-func (p *Place) Persist(ctx context.Context, calls []members.Call) error {
+func (p *Handover) Persist(ctx context.Context, calls []members.Override) error {
 	p.mu.Lock()
 	for _, c := range calls {
 		p.unwritten[c.ID] = later(p.unwritten[c.ID], c)
@@ -39,7 +39,7 @@
 }
 
 // writePending writes the unwritten calls, if there are any.
-func (p *Place) writePending() error {
+func (p *Handover) writePending() error {
 	p.mu.Lock()
 	pending := maps.Clone(p.unwritten)
 	p.mu.Unlock()
@@ -60,7 +60,7 @@
 }
 
 // writePendingLogged is writePending with a log line when it starts to fail and when it succeeds again.
-func (p *Place) writePendingLogged() {
+func (p *Handover) writePendingLogged() {
 	err := p.writePending()
 	failed := p.writeFailed.Swap(err != nil)
 	switch {
@@ -73,8 +73,8 @@
 }
 
 // later returns the later of two calls on one backend. Of two with the same time it returns the one that takes the backend out.
-func later(a, b members.Call) members.Call {
-	if b.At > a.At || b.At == a.At && b.Out {
+func later(a, b members.Override) members.Override {
+	if b.ChangedAt > a.ChangedAt || b.ChangedAt == a.ChangedAt && b.OutOfService {
 		return b
 	}
 	return a
@@ -82,7 +82,7 @@
 
 // replaceFile replaces a file and returns when the new one is on disk. If it fails or the process is killed at any point, the old or
 // the new file is left complete.
-func (p *Place) replaceFile(name string, text []byte) error {
+func (p *Handover) replaceFile(name string, text []byte) error {
 	name = filepath.Join(p.dir, name)
 	f, err := openFile(name+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // syncFolder flushes the directory entries of the folder to disk.
-func (p *Place) syncFolder() error {
+func (p *Handover) syncFolder() error {
 	d, err := openFile(p.dir, os.O_RDONLY, 0)
 	if err != nil {
 		return err
--- a/internal/living/living.go
+++ b/internal/living/living.go
@@ -10,20 +10,20 @@
 	"glencart/life"
 )
 
-// LookEvery is the interval between two snapshots of the open connections during a shutdown.
-const LookEvery = 10 * time.Millisecond
+// SnapshotInterval is the interval between two snapshots of the open connections during a shutdown.
+const SnapshotInterval = 10 * time.Millisecond
 
 // Front carries out the actions of a Life. Only one goroutine at a time calls it, and it must not call back into this package.
 type Front interface {
-	Ready(is bool)        // readiness to report; false: the shutdown has begun
+	SetReady(is bool)     // readiness to report; false: the shutdown has begun
 	AnswerBy(t time.Time) // answer every open and every new request by then
 	StopAccepting()       // accept no new connections; idle ones no longer close to make room
-	CloseAnswered()       // close each connection with its answer from now on
-	CloseQuiet(half bool) // close connections on which nothing has arrived; half: also those without a complete request
+	CloseAfterAnswer()    // close each connection with its answer from now on
+	CloseIdle(half bool)  // close connections on which nothing has arrived; half: also those without a complete request
 }
 
-// Living is the lifecycle of one front. New returns one.
-type Living struct {
+// Runner is the lifecycle of one front. New returns one.
+type Runner struct {
 	front     Front
 	startedAt time.Time
 
@@ -33,34 +33,34 @@
 }
 
 // New returns the lifecycle of a front. Its clock starts now.
-func New(l *life.Life, f Front) *Living { return &Living{front: f, startedAt: time.Now(), life: l} }
+func New(l *life.Life, f Front) *Runner { return &Runner{front: f, startedAt: time.Now(), life: l} }
 
-// Left returns how long the front has until its end. It is valid once the shutdown has begun.
-func (v *Living) Left() time.Duration {
+// Remaining returns how long the front has until its end. It is valid once the shutdown has begun.
+func (v *Runner) Remaining() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.life.EndsAt() - time.Since(v.startedAt)
 }
 
-// Tell passes an event to the Life and carries out its actions. It reports true once the front has to end now.
-func (v *Living) Tell(ev life.Event) (ended bool) {
+// Handle passes an event to the Life and carries out its actions. It reports true once the front has to end now.
+func (v *Runner) Handle(ev life.Event) (ended bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.actions = v.life.Handle(time.Since(v.startedAt), ev, v.actions[:0])
 	for _, a := range v.actions {
 		switch a.Kind {
 		case life.ReportReady, life.ReportUnready:
-			v.front.Ready(a.Kind == life.ReportReady)
+			v.front.SetReady(a.Kind == life.ReportReady)
 		case life.AnswerBy:
 			v.front.AnswerBy(v.startedAt.Add(a.At))
 		case life.StopAccepting:
 			v.front.StopAccepting()
 		case life.CloseAfterAnswer:
-			v.front.CloseAnswered()
+			v.front.CloseAfterAnswer()
 		case life.CloseIdle:
-			v.front.CloseQuiet(false)
+			v.front.CloseIdle(false)
 		case life.CloseIncomplete:
-			v.front.CloseQuiet(true)
+			v.front.CloseIdle(true)
 		case life.End:
 			ended = true
 		}
@@ -68,12 +68,12 @@
 	return ended
 }
 
-// Leave runs the shutdown that an earlier Tell began: it passes the events of snapshot to the Life every LookEvery, until the front
+// RunShutdown runs the shutdown that an earlier Handle began: it passes the events of snapshot to the Life every SnapshotInterval, until the front
 // has to end. stopped is closed, or receives a value, once no more connections are accepted. The argument of snapshot is true until then.
-func (v *Living) Leave(stopped <-chan error, snapshot func(accepting bool) life.Event) {
+func (v *Runner) RunShutdown(stopped <-chan error, snapshot func(accepting bool) life.Event) {
 	accepting := true
 	for ended := false; !ended; {
-		time.Sleep(LookEvery)
+		time.Sleep(SnapshotInterval)
 		if accepting {
 			select {
 			case <-stopped:
@@ -81,19 +81,19 @@
 			default:
 			}
 		}
-		ended = v.Tell(snapshot(accepting))
+		ended = v.Handle(snapshot(accepting))
 	}
 }
 
-// Lag measures the delay of a loop: the time from posting a function to its execution. The zero value is ready to use.
-type Lag struct {
+// LoopLag measures the delay of a loop: the time from posting a function to its execution. The zero value is ready to use.
+type LoopLag struct {
 	pendingSince atomic.Pointer[time.Time] // when the pending function was posted; nil: none is pending
 	lastDelay    atomic.Int64              // the last delay in ns
 }
 
 // Measure posts a function to the loop if none is pending. It returns the last delay, or the time that the pending one has waited if
 // that is longer.
-func (l *Lag) Measure(post func(func()) bool) time.Duration {
+func (l *LoopLag) Measure(post func(func()) bool) time.Duration {
 	if at := l.pendingSince.Load(); at != nil {
 		if waited := int64(time.Since(*at)); waited > l.lastDelay.Load() {
 			l.lastDelay.Store(waited)
@@ -111,8 +111,10 @@
 	return time.Duration(l.lastDelay.Load())
 }
 
-// Book counts requests from when they are accepted until their answer is passed to the connection.
-type Book struct{ Taken, Answered, Left atomic.Int64 }
+// RequestCounts counts requests from when they are accepted until their answer is passed to the connection.
+type RequestCounts struct{ Accepted, Answered, ClientLeft atomic.Int64 }
 
 // Open returns the number of requests that have no answer and whose client is still connected.
-func (b *Book) Open() int64 { return b.Taken.Load() - b.Answered.Load() - b.Left.Load() }
+func (b *RequestCounts) Open() int64 {
+	return b.Accepted.Load() - b.Answered.Load() - b.ClientLeft.Load()
+}
--- a/internal/members/checks/checks.go
+++ b/internal/members/checks/checks.go
@@ -125,7 +125,7 @@
 	defer c.client.CloseIdleConnections()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	results := make(chan result, check.AtOnceDefault) // room for all checks in progress, so that none waits
+	results := make(chan result, check.DefaultAtOnce) // room for all checks in progress, so that none waits
 	var verdict *check.Verdict
 	for {
 		var r result
--- a/internal/members/checks/checks_test.go
+++ b/internal/members/checks/checks_test.go
@@ -105,13 +105,13 @@
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	c := New(Config{Config: check.Config{Every: check.EveryLeast, Rise: 1, Fall: 2}})
+	c := New(Config{Config: check.Config{Every: check.MinEvery, Rise: 1, Fall: 2}})
 	ctx, cancel := context.WithCancel(context.Background())
 	verdicts, ended := make(chan check.Verdict, 8), make(chan struct{})
 	go func() { c.Run(ctx, func(v check.Verdict) { verdicts <- v }); close(ended) }()
 	c.Set("a", addr)
 	l.Close()
-	if v := standin.Receive(t, "down", verdicts); v.Up || v.Box != "a" || v.Addr != addr || v.Why == "" {
+	if v := standin.Receive(t, "down", verdicts); v.Up || v.Backend != "a" || v.Addr != addr || v.Cause == "" {
 		t.Errorf("%+v", v)
 	}
 	if l, err = net.Listen("tcp", addr); err != nil {
@@ -123,7 +123,7 @@
 	c.Remove("a")
 	l.Close()
 	c.Set("b", addr)
-	if v := standin.Receive(t, "the other backend", verdicts); v.Up || v.Box != "b" {
+	if v := standin.Receive(t, "the other backend", verdicts); v.Up || v.Backend != "b" {
 		t.Errorf("%+v", v)
 	}
 	cancel()
--- a/internal/members/discovery/discovery.go
+++ b/internal/members/discovery/discovery.go
@@ -35,7 +35,7 @@
 		lastListAt = time.Now()
 		update := sources.Update{Complete: list.Complete, Revision: list.Revision, Entries: make([]merge.Entry, 0, len(list.Members))}
 		for _, m := range list.Members {
-			update.Entries = append(update.Entries, merge.Entry{Name: m.ID, Knows: merge.AllFacts &^ merge.Tier, Line: m})
+			update.Entries = append(update.Entries, merge.Entry{Name: m.ID, Reports: merge.AllFacts &^ merge.Tier, Endpoint: m})
 		}
 		report(update)
 	}, func() {
--- a/internal/members/dnssrv/dnssrv.go
+++ b/internal/members/dnssrv/dnssrv.go
@@ -84,10 +84,10 @@
 		actions = s.resolver.Handle(time.Since(s.start), ev, actions[:0])
 		for _, a := range actions {
 			switch {
-			case a.Ask != nil:
-				go s.query(ctx, *a.Ask)
-			case a.Told != nil:
-				report(s.toUpdate(a.Told))
+			case a.Query != nil:
+				go s.query(ctx, *a.Query)
+			case a.Answer != nil:
+				report(s.toUpdate(a.Answer))
 			case a.Log != "":
 				s.cfg.Log.Info(a.Log)
 			}
@@ -110,27 +110,27 @@
 // toUpdate converts an answer to an update. Expiry times become remaining lifetimes, because the merge has a clock of its own.
 func (s *Source) toUpdate(answer *lookup.Answer) sources.Update {
 	now := time.Since(s.start)
-	update := sources.Update{Complete: true, TTL: max(answer.Until-now, 1), Decided: answer.Decided}
-	for i := range answer.Boxes {
-		b := &answer.Boxes[i]
+	update := sources.Update{Complete: true, TTL: max(answer.ExpiresAt-now, 1), Intended: answer.Intended}
+	for i := range answer.Backends {
+		b := &answer.Backends[i]
 		name := b.Name()
-		e := merge.Entry{Name: name, Knows: merge.Existence | merge.Address | merge.Weight | merge.Tier, Tier: b.Tier,
-			Line: members.Line{Addr: b.Addr.String(), Member: balance.Member{Weight: b.Weight}}}
+		e := merge.Entry{Name: name, Reports: merge.Existence | merge.Address | merge.Weight | merge.Tier, Tier: b.Tier,
+			Endpoint: members.Endpoint{Addr: b.Addr.String(), Member: balance.Member{Weight: b.Weight}}}
 		update.Entries = append(update.Entries, e)
-		update.EntryTTLs = append(update.EntryTTLs, b.Until-now)
+		update.EntryTTLs = append(update.EntryTTLs, b.ExpiresAt-now)
 	}
 	return update
 }
 
 // query sends one question to one server, once, from a port of its own.
-func (s *Source) query(ctx context.Context, q lookup.Question) {
+func (s *Source) query(ctx context.Context, q lookup.Query) {
 	reply, err := exchange(ctx, s.cfg.Servers[q.Server], q)
 	if err != nil {
 		s.cfg.Log.Debug("query to a name server failed", "server", s.cfg.Servers[q.Server], "name", q.Name, "error", err)
 	}
-	ev := lookup.Event{Kind: lookup.Replied, Token: q.Token, Msg: reply}
+	ev := lookup.Event{Kind: lookup.Responded, Token: q.Token, Msg: reply}
 	if err != nil {
-		ev.Kind = lookup.Lost
+		ev.Kind = lookup.NoResponse
 	}
 	select {
 	case s.results <- ev:
@@ -142,8 +142,8 @@
 
 // exchange sends a question and waits for its answer. It skips messages that don't match: they may be forged, and the genuine
 // answer may follow.
-func exchange(ctx context.Context, server string, q lookup.Question) (*dns.Msg, error) {
-	ctx, cancel := context.WithTimeout(ctx, q.Within)
+func exchange(ctx context.Context, server string, q lookup.Query) (*dns.Msg, error) {
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	network := "udp"
 	if q.TCP {
--- a/internal/members/dnssrv/dnssrv_test.go
+++ b/internal/members/dnssrv/dnssrv_test.go
@@ -25,8 +25,8 @@
 func runSource(t *testing.T, cfg Config) chan string {
 	t.Helper()
 	cfg.Log = standin.Quiet()
-	cfg.Config.Name, cfg.Config.Floor, cfg.Config.Timeout = "_menu._tcp.khuree.mn", 50*time.Millisecond, 200*time.Millisecond
-	cfg.Config.Retry, cfg.Config.RetryMost = 20*time.Millisecond, 50*time.Millisecond
+	cfg.Config.Name, cfg.Config.MinTTL, cfg.Config.Timeout = "_menu._tcp.khuree.mn", 50*time.Millisecond, 200*time.Millisecond
+	cfg.Config.RetryInterval, cfg.Config.MaxRetryInterval = 20*time.Millisecond, 50*time.Millisecond
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -157,15 +157,15 @@
 		for len(acts) > 0 {
 			a := acts[0]
 			acts = acts[1:]
-			if a.Ask != nil {
-				m, err := exchange(context.Background(), s.Addr, *a.Ask)
+			if a.Query != nil {
+				m, err := exchange(context.Background(), s.Addr, *a.Query)
 				if err != nil {
 					t.Fatal(err)
 				}
-				acts = look.Handle(0, lookup.Event{Kind: lookup.Replied, Token: a.Ask.Token, Msg: m}, acts)
+				acts = look.Handle(0, lookup.Event{Kind: lookup.Responded, Token: a.Query.Token, Msg: m}, acts)
 			}
-			if a.Told != nil {
-				for _, b := range a.Told.Boxes {
+			if a.Answer != nil {
+				for _, b := range a.Answer.Backends {
 					got[b.Name()] = true
 				}
 			}
--- a/internal/members/file/file.go
+++ b/internal/members/file/file.go
@@ -77,7 +77,7 @@
 			return invalid(i, "id %q is listed twice: give one of them another id", b.ID)
 		}
 		seen[b.ID] = true
-		e := merge.Entry{Name: b.ID, Knows: merge.AllFacts &^ merge.Zone, Line: members.Line{ID: b.ID, Addr: b.Address,
+		e := merge.Entry{Name: b.ID, Reports: merge.AllFacts &^ merge.Zone, Endpoint: members.Endpoint{ID: b.ID, Addr: b.Address,
 			Member: balance.Member{Weight: b.Weight, Phase: phase, Launched: time.Duration(b.Started) * time.Second}}}
 		if b.Weight == 0 {
 			e.Member.Weight = 1
--- a/internal/members/file/file_test.go
+++ b/internal/members/file/file_test.go
@@ -34,7 +34,7 @@
 	put("[[box]]\naddress = \"10.0.0.1\"\n")
 	put("revision = 7\n[[box]]\nid = \"a\"\naddress = \"10.0.0.2:80\"\nstate = \"draining\"\nstarted = 9\nbackup = true\n")
 	got := standin.Receive(t, "the next list", updates)
-	if e := got.Entries[0]; got.Revision != 7 || e.ID != "a" || e.Line.Phase == 0 || e.Tier != 1 || e.Launched != 9e9 {
+	if e := got.Entries[0]; got.Revision != 7 || e.ID != "a" || e.Endpoint.Phase == 0 || e.Tier != 1 || e.Launched != 9e9 {
 		t.Errorf("%+v", got)
 	}
 	os.Remove(name)
--- a/internal/members/follow/follow.go
+++ b/internal/members/follow/follow.go
@@ -39,17 +39,17 @@
 	// cachedListRetention is how long the cached endpoint list counts. It is used while no source answers, and nothing better
 	// exists then.
 	cachedListRetention = 10 * 365 * 24 * time.Hour
-	// maxPassInterval bounds the time between two calls of Pass.
+	// maxPassInterval bounds the time between two calls of HandleDue.
 	maxPassInterval = time.Second
 	// SaveInterval is the least time between two writes of the list to disk.
 	SaveInterval = time.Second
 )
 
 // Membership has the sources of one pool, the Merge that they feed and the resulting endpoint list. It belongs to one goroutine.
-// Only Run, Passing and KeepLater run in other goroutines.
+// Only Run, RunTimer and SaveLater run in other goroutines.
 type Membership struct {
 	Merge       *merge.Merge
-	Names       []string // of the sources, by rank
+	SourceNames []string // of the sources, by rank
 	runners     []sources.Source
 	checker     *checks.Checker // nil: no active checks
 	initial     []merge.Event   // what is known at the start
@@ -61,8 +61,8 @@
 	startedAt       map[string]time.Duration // when a backend started, as observed here
 	hasListed       map[int]bool             // sources that have sent a list
 	createdAt       time.Duration            // when the Membership was created
-	hasBegun        bool                     // Begin has been called
-	saveScheduled   bool                     // a KeepLater is pending
+	hasBegun        bool                     // Start has been called
+	saveScheduled   bool                     // a SaveLater is pending
 	cached          []merge.Entry            // entries of the cached list, while it counts; its source is the last
 	hasCompleteList map[int]bool             // sources that have sent a complete list since the start
 	changes         []merge.Change
@@ -70,11 +70,11 @@
 
 // Defaults returns the merge configuration of a pool whose settings don't change it.
 func Defaults() merge.Config {
-	return merge.Config{GuardPart: guardFraction, GuardWindow: guardWindow, GuardHold: guardHold, PanicPart: 0.5, DrainFor: drainRetention}
+	return merge.Config{GuardFraction: guardFraction, GuardWindow: guardWindow, GuardHold: guardHold, PanicThreshold: 0.5, RemovedDrainGrace: drainRetention}
 }
 
-// Of returns a Membership without sources of its own. The caller passes events to Hear.
-func Of(cfg merge.Config, log *slog.Logger, now time.Duration) *Membership {
+// NewWithoutSources returns a Membership without sources of its own. The caller passes events to HandleEvent.
+func NewWithoutSources(cfg merge.Config, log *slog.Logger, now time.Duration) *Membership {
 	return &Membership{Merge: merge.NewMerge(cfg, now), log: log, createdAt: now,
 		backends: map[string]merge.Change{}, startedAt: map[string]time.Duration{}, hasListed: map[int]bool{}, hasCompleteList: map[int]bool{}}
 }
@@ -83,26 +83,26 @@
 // registries. folder has the cached endpoint list; "" means that the list is not cached.
 func New(p *site.Pool, names settings.Settings, folder string, log *slog.Logger, now time.Duration) (*Membership, error) {
 	cfg := Defaults()
-	m := Of(cfg, log, now)
+	m := NewWithoutSources(cfg, log, now)
 	m.cacheFolder, m.pool = folder, p.Name
 	cfg.GuardHold = p.GuardHold.Or(guardHold)
 	if p.Guard != nil {
-		cfg.GuardPart = *p.Guard
+		cfg.GuardFraction = *p.Guard
 	}
-	if cfg.GuardPart == 1 {
-		cfg.GuardPart = 0 // no guard
+	if cfg.GuardFraction == 1 {
+		cfg.GuardFraction = 0 // no guard
 	}
 	add := func(c merge.SourceConfig, source sources.Source) {
 		cfg.Sources = append(cfg.Sources, c)
 		m.runners = append(m.runners, source)
-		m.Names = append(m.Names, c.Name)
+		m.SourceNames = append(m.SourceNames, c.Name)
 	}
 	if len(p.Boxes) > 0 {
 		add(merge.SourceConfig{Name: site.StaticSource, Partial: true}, nil)
 	}
 	for i := range p.Sources {
 		src := &p.Sources[i]
-		c := merge.SourceConfig{Name: src.Name, Must: src.Must, Keep: time.Duration(src.Stale)}
+		c := merge.SourceConfig{Name: src.Name, Required: src.Must, StaleGrace: time.Duration(src.Stale)}
 		for _, f := range src.Trust {
 			c.Trust |= 1 << slices.Index(site.Facts, f)
 		}
@@ -110,7 +110,7 @@
 		switch {
 		case src.DNS != "":
 			source, err := dnssrv.New(dnssrv.Config{Servers: src.Resolvers, ResolvConf: src.ResolvConf, Log: log, Config: lookup.Config{Name: src.DNS,
-				Floor: time.Duration(src.Floor), Ceiling: time.Duration(src.Ceiling), Timeout: time.Duration(src.Timeout)}})
+				MinTTL: time.Duration(src.Floor), MaxTTL: time.Duration(src.Ceiling), Timeout: time.Duration(src.Timeout)}})
 			if err != nil {
 				return nil, fmt.Errorf("pool %q: %w", p.Name, err)
 			}
@@ -131,22 +131,22 @@
 		}
 		if list != nil {
 			log.Info("starting with the cached endpoint list, which counts as stale",
-				"boxes", len(list.Boxes), "age", time.Since(list.At).Round(time.Second))
-			list.Boxes = slices.DeleteFunc(list.Boxes, func(b kept.Box) bool { return listedOnlyBy(site.StaticSource, list.Sources, b.Says) })
+				"boxes", len(list.Backends), "age", time.Since(list.SavedAt).Round(time.Second))
+			list.Backends = slices.DeleteFunc(list.Backends, func(b kept.Backend) bool { return listedOnlyBy(site.StaticSource, list.Sources, b.Votes) })
 			m.cached = list.Entries(now)
-			m.initial = append(m.initial, merge.Event{Kind: merge.Listed, Source: len(m.Names), Entries: m.cached})
+			m.initial = append(m.initial, merge.Event{Kind: merge.Listed, Source: len(m.SourceNames), Entries: m.cached})
 		}
-		add(merge.SourceConfig{Name: site.KeptSource, Keep: cachedListRetention}, nil)
+		add(merge.SourceConfig{Name: site.KeptSource, StaleGrace: cachedListRetention}, nil)
 	}
 	m.Merge = merge.NewMerge(cfg, now)
 	if len(p.Boxes) > 0 {
-		m.initial = append([]merge.Event{m.Static(p.Boxes)}, m.initial...)
+		m.initial = append([]merge.Event{m.StaticList(p.Boxes)}, m.initial...)
 	}
 	return m, nil
 }
 
-// Check enables active checks of the backends, over the pool's own TLS if it has one. Call it before Begin.
-func (m *Membership) Check(c *site.Check, tlsConfig *tls.Config) {
+// EnableChecks enables active checks of the backends, over the pool's own TLS if it has one. Call it before Start.
+func (m *Membership) EnableChecks(c *site.Check, tlsConfig *tls.Config) {
 	cfg := checks.Config{Config: check.Config{Every: time.Duration(c.Every), Rise: c.Rise, Fall: c.Fall},
 		Path: c.HTTP, Host: c.Host, Status: c.Status, Timeout: time.Duration(c.Timeout), TLS: tlsConfig}
 	switch {
@@ -167,7 +167,7 @@
 			break
 		}
 		switch vote {
-		case merge.Has.String(), merge.Had.String(), merge.Drains.String(), merge.Drained.String():
+		case merge.Lists.String(), merge.StaleLists.String(), merge.Drains.String(), merge.StaleDrains.String():
 			if names[i] != source {
 				return false
 			}
@@ -177,17 +177,17 @@
 	return found
 }
 
-// Static returns the backends of the site file as a list of the first source.
-func (m *Membership) Static(boxes []site.Box) merge.Event {
-	ev := merge.Event{Kind: merge.Listed, Complete: true, Decided: true} // an operator's own edit, which the guard does not hold
+// StaticList returns the backends of the site file as a list of the first source.
+func (m *Membership) StaticList(boxes []site.Box) merge.Event {
+	ev := merge.Event{Kind: merge.Listed, Complete: true, Intended: true} // an operator's own edit, which the guard does not hold
 	for _, b := range boxes {
 		if b.State == "down" {
 			continue
 		}
-		e := merge.Entry{Name: b.ID, Knows: merge.AllFacts &^ (merge.Zone | merge.Start), Line: members.Line{ID: b.ID, Addr: b.Address,
+		e := merge.Entry{Name: b.ID, Reports: merge.AllFacts &^ (merge.Zone | merge.Start), Endpoint: members.Endpoint{ID: b.ID, Addr: b.Address,
 			Member: balance.Member{Weight: b.Weight}}}
 		if b.State == "draining" {
-			e.Line.Phase = balance.Draining
+			e.Endpoint.Phase = balance.Draining
 		}
 		if b.Backup {
 			e.Tier = 1
@@ -198,7 +198,7 @@
 }
 
 // Run runs the sources and the checks until ctx ends. It calls deliver from several goroutines. deliver passes the event function
-// on to the goroutine that calls Hear; the function returns the event and whether it still counts. start runs a function in a
+// on to the goroutine that calls HandleEvent; the function returns the event and whether it still counts. start runs a function in a
 // goroutine of its own.
 func (m *Membership) Run(ctx context.Context, start func(func()),
 	deliver func(event func(now time.Duration) (ev merge.Event, counts bool))) {
@@ -216,37 +216,37 @@
 	}
 	start(func() {
 		m.checker.Run(ctx, func(verdict check.Verdict) {
-			m.log.Warn("result of the active checks changed", "box", verdict.Box, "well", verdict.Up, "said", verdict.Why)
+			m.log.Warn("result of the active checks changed", "box", verdict.Backend, "well", verdict.Up, "said", verdict.Cause)
 			deliver(func(time.Duration) (merge.Event, bool) {
 				// At another address, it is another backend by now.
-				return merge.Event{Kind: merge.Checked, Box: verdict.Box, Up: verdict.Up}, m.backends[verdict.Box].Addr == verdict.Addr
+				return merge.Event{Kind: merge.HealthChecked, BackendID: verdict.Backend, Up: verdict.Up}, m.backends[verdict.Backend].Addr == verdict.Addr
 			})
 		})
 	})
 }
 
-// Box is a changed backend, as the pool must take it. A removed backend has the phase Gone.
-type Box struct {
+// Backend is a changed backend, as the pool must take it. A removed backend has the phase Gone.
+type Backend struct {
 	merge.Change
-	Began bool // the backend, or another one in its place, starts now
+	IsNew bool // the backend, or another one in its place, starts now
 }
 
-// Begin handles what is known before any source reports, and returns the resulting backends.
-func (m *Membership) Begin(now time.Duration) (out []Box) {
+// Start handles what is known before any source reports, and returns the resulting backends.
+func (m *Membership) Start(now time.Duration) (out []Backend) {
 	for _, ev := range m.initial {
-		out = append(out, m.Hear(now, ev)...)
+		out = append(out, m.HandleEvent(now, ev)...)
 	}
 	m.hasBegun = true
 	return lastPerBackend(out)
 }
 
 // lastPerBackend keeps the last entry of each backend.
-func lastPerBackend(boxes []Box) []Box {
+func lastPerBackend(boxes []Backend) []Backend {
 	index := make(map[string]int, len(boxes))
 	last := boxes[:0]
 	for _, b := range boxes {
 		if i, isDuplicate := index[b.ID]; isDuplicate {
-			b.Began = b.Began || last[i].Began
+			b.IsNew = b.IsNew || last[i].IsNew
 			last[i] = b
 			continue
 		}
@@ -256,9 +256,9 @@
 	return last
 }
 
-// Hear handles one event and returns the backends that changed. Once each source has sent a complete list, the cached list no
+// HandleEvent handles one event and returns the backends that changed. Once each source has sent a complete list, the cached list no
 // longer counts: a backend that was draining in it may serve by now.
-func (m *Membership) Hear(now time.Duration, ev merge.Event) []Box {
+func (m *Membership) HandleEvent(now time.Duration, ev merge.Event) []Backend {
 	out := m.handle(now, ev)
 	if ev.Kind != merge.Listed || !ev.Complete || len(m.cached) == 0 || ev.Source >= len(m.runners) || m.runners[ev.Source] == nil {
 		return out
@@ -269,15 +269,15 @@
 			return out
 		}
 	}
-	removed := merge.Event{Kind: merge.Listed, Source: len(m.Names) - 1, Entries: m.cached}
+	removed := merge.Event{Kind: merge.Listed, Source: len(m.SourceNames) - 1, Entries: m.cached}
 	for i := range removed.Entries {
-		removed.Entries[i].Line.Phase = balance.Gone
+		removed.Entries[i].Endpoint.Phase = balance.Gone
 	}
 	m.cached = nil
 	return lastPerBackend(append(out, m.handle(now, removed)...))
 }
 
-func (m *Membership) handle(now time.Duration, ev merge.Event) (out []Box) {
+func (m *Membership) handle(now time.Duration, ev merge.Event) (out []Backend) {
 	m.changes = m.Merge.Handle(now, ev, m.changes[:0])
 	for _, line := range m.Merge.Log() {
 		m.log.Warn(line)
@@ -294,13 +294,13 @@
 	var moved []string
 	for _, c := range m.changes {
 		old, wasListed := m.backends[c.ID]
-		if c.Line.Phase == balance.Gone {
+		if c.Endpoint.Phase == balance.Gone {
 			delete(m.backends, c.ID)
 			delete(m.startedAt, c.ID)
 			if m.checker != nil {
 				m.checker.Remove(c.ID)
 			}
-			out = append(out, Box{Change: c})
+			out = append(out, Backend{Change: c})
 			continue
 		}
 		if m.checker != nil {
@@ -314,10 +314,10 @@
 			moved = append(moved, c.ID)
 		}
 		m.backends[c.ID] = c
-		out = append(out, Box{Change: m.withStart(c), Began: isNew})
+		out = append(out, Backend{Change: m.withStart(c), IsNew: isNew})
 	}
 	for _, id := range moved { // check results of the old address no longer count
-		out = append(out, m.handle(now, merge.Event{Kind: merge.Checked, Box: id, Up: true})...)
+		out = append(out, m.handle(now, merge.Event{Kind: merge.HealthChecked, BackendID: id, Up: true})...)
 	}
 	if len(moved) > 0 {
 		out = lastPerBackend(out)
@@ -340,8 +340,8 @@
 	return m.withStart(c), listed
 }
 
-// All returns all backends, sorted by id.
-func (m *Membership) All() []merge.Change {
+// Backends returns all backends, sorted by id.
+func (m *Membership) Backends() []merge.Change {
 	all := slices.SortedFunc(maps.Values(m.backends), func(x, y merge.Change) int { return cmp.Compare(x.ID, y.ID) })
 	for i := range all {
 		all[i] = m.withStart(all[i])
@@ -349,10 +349,10 @@
 	return all
 }
 
-// Pass handles what is due. It returns the backends that changed and how long to wait until the next call.
-func (m *Membership) Pass(now time.Duration) (out []Box, wait time.Duration) {
+// HandleDue handles what is due. It returns the backends that changed and how long to wait until the next call.
+func (m *Membership) HandleDue(now time.Duration) (out []Backend, wait time.Duration) {
 	if at, pending := m.Merge.Next(); pending && at <= now {
-		out = m.Hear(now, merge.Event{Kind: merge.Ticked})
+		out = m.HandleEvent(now, merge.Event{Kind: merge.Ticked})
 	}
 	wait = maxPassInterval // lists that arrive meanwhile may have shorter lifetimes
 	if at, pending := m.Merge.Next(); pending {
@@ -361,12 +361,12 @@
 	return out, wait
 }
 
-// Passing calls Pass on the loop that owns the Membership whenever something is due, until ctx ends or post fails. changed
+// RunTimer calls HandleDue on the loop that owns the Membership whenever something is due, until ctx ends or post fails. changed
 // receives the results on the loop. clock is the loop's clock.
-func (m *Membership) Passing(ctx context.Context, post func(func()) bool, clock func() time.Duration, changed func([]Box)) {
+func (m *Membership) RunTimer(ctx context.Context, post func(func()) bool, clock func() time.Duration, changed func([]Backend)) {
 	next := make(chan time.Duration, 1)
 	for post(func() {
-		boxes, wait := m.Pass(clock())
+		boxes, wait := m.HandleDue(clock())
 		changed(boxes)
 		next <- wait
 	}) {
@@ -383,17 +383,17 @@
 	}
 }
 
-// Changed reports whether the list must be written to disk. If so, the caller calls KeepLater from a goroutine of its own. Changed
+// ScheduleSave reports whether the list must be written to disk. If so, the caller calls SaveLater from a goroutine of its own. Changed
 // runs on the loop.
-func (m *Membership) Changed() bool {
+func (m *Membership) ScheduleSave() bool {
 	due := m.cacheFolder != "" && !m.saveScheduled
 	m.saveScheduled = m.saveScheduled || due
 	return due
 }
 
-// KeepLater writes the list to disk after SaveInterval, or as soon as ctx ends. post passes a function to the loop. loopEnded is
+// SaveLater writes the list to disk after SaveInterval, or as soon as ctx ends. post passes a function to the loop. loopEnded is
 // closed when the loop runs no more functions.
-func (m *Membership) KeepLater(ctx context.Context, post func(func()) bool, loopEnded <-chan struct{}) {
+func (m *Membership) SaveLater(ctx context.Context, post func(func()) bool, loopEnded <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(SaveInterval):
@@ -414,18 +414,18 @@
 
 // Save writes a list to disk.
 func (m *Membership) Save(views []merge.View) {
-	list := kept.List{Pool: m.pool, At: time.Now(), Sources: m.Names}
+	list := kept.List{Pool: m.pool, SavedAt: time.Now(), Sources: m.SourceNames}
 	for _, v := range views {
-		if v.Line.Phase == balance.Gone {
+		if v.Endpoint.Phase == balance.Gone {
 			continue
 		}
-		isDraining := v.Line.Phase == balance.Draining && merge.Rules[v.Rule].Verdict != merge.Serves // check results are not stored
-		b := kept.Box{ID: v.ID, Named: v.Named, Address: v.Addr, Draining: isDraining, Tier: v.Tier, Weight: v.Line.Member.Weight,
-			Zone: v.Line.Zone, Cell: v.Cell, Kind: v.Kind, Launched: v.Launched, Rule: merge.Rules[v.Rule].Name, Note: v.Note, Differs: v.Disagree()}
-		for _, s := range v.Says {
-			b.Says = append(b.Says, s.Vote.String())
+		isDraining := v.Endpoint.Phase == balance.Draining && merge.Rules[v.Rule].Verdict != merge.Serve // check results are not stored
+		b := kept.Backend{ID: v.ID, HasID: v.HasID, Address: v.Addr, Draining: isDraining, Tier: v.Tier, Weight: v.Endpoint.Member.Weight,
+			Zone: v.Endpoint.Zone, Cell: v.Cell, Kind: v.Kind, Launched: v.Launched, Rule: merge.Rules[v.Rule].Name, Note: v.Note, SourcesDisagree: v.HasConflict()}
+		for _, s := range v.Votes {
+			b.Votes = append(b.Votes, s.Vote.String())
 		}
-		list.Boxes = append(list.Boxes, b)
+		list.Backends = append(list.Backends, b)
 	}
 	if err := kept.Write(m.cacheFolder, list); err != nil {
 		m.log.Error("cached endpoint list not written; a start with all sources down uses an older one", "error", err)
--- a/internal/members/follow/follow_test.go
+++ b/internal/members/follow/follow_test.go
@@ -15,8 +15,8 @@
 func list(boxes ...string) merge.Event {
 	ev := merge.Event{Kind: merge.Listed, Complete: true}
 	for i := 0; i < len(boxes); i += 2 {
-		ev.Entries = append(ev.Entries, merge.Entry{Name: boxes[i], Knows: merge.Existence | merge.Address,
-			Line: members.Line{ID: boxes[i], Addr: boxes[i+1]}})
+		ev.Entries = append(ev.Entries, merge.Entry{Name: boxes[i], Reports: merge.Existence | merge.Address,
+			Endpoint: members.Endpoint{ID: boxes[i], Addr: boxes[i+1]}})
 	}
 	return ev
 }
@@ -32,35 +32,35 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.Check(&site.Check{TCP: true}, nil)
-		if got := m.Begin(now); len(got) != 0 {
+		m.EnableChecks(&site.Check{TCP: true}, nil)
+		if got := m.Start(now); len(got) != 0 {
 			t.Errorf("starts with %v", got)
 		}
 		if late {
 			now += 2 * startupWindow
 		}
-		got := m.Hear(now, list("a", "1.1.1.1:1", "b", "1.1.1.2:1"))
-		if len(got) != 2 || got[0].Began != late || got[0].Launched > 0 != late {
+		got := m.HandleEvent(now, list("a", "1.1.1.1:1", "b", "1.1.1.2:1"))
+		if len(got) != 2 || got[0].IsNew != late || got[0].Launched > 0 != late {
 			t.Errorf("late %t: %+v", late, got)
 		}
-		m.Hear(now, merge.Event{Kind: merge.Checked, Box: "b", Up: false})
-		if all := m.All(); all[1].Line.Phase == 0 {
+		m.HandleEvent(now, merge.Event{Kind: merge.HealthChecked, BackendID: "b", Up: false})
+		if all := m.Backends(); all[1].Endpoint.Phase == 0 {
 			t.Errorf("a backend whose checks fail is %+v", all[1])
 		}
 		now += time.Second
-		got = m.Hear(now, list("a", "1.1.1.1:1", "b", "1.1.1.3:1"))
-		if len(got) != 1 || !got[0].Began || got[0].Launched != now || got[0].Addr != "1.1.1.3:1" || got[0].Line.Phase != 0 {
+		got = m.HandleEvent(now, list("a", "1.1.1.1:1", "b", "1.1.1.3:1"))
+		if len(got) != 1 || !got[0].IsNew || got[0].Launched != now || got[0].Addr != "1.1.1.3:1" || got[0].Endpoint.Phase != 0 {
 			t.Errorf("moved: %+v", got)
 		}
 		now += time.Second
-		if c, listed := m.Restarted(now, "a"); !listed || c.Launched != now || m.All()[0].Launched != now {
+		if c, listed := m.Restarted(now, "a"); !listed || c.Launched != now || m.Backends()[0].Launched != now {
 			t.Errorf("restarted: %+v, %t", c, listed)
 		}
 		if _, listed := m.Restarted(now, "x"); listed {
 			t.Error("a backend that is not listed has restarted")
 		}
-		got = m.Hear(now, list("b", "1.1.1.3:1", "c", "1.1.1.4:1"))
-		if all := m.All(); len(all) != 2 || all[1].Launched != now { // a backend that is new in a later list starts now
+		got = m.HandleEvent(now, list("b", "1.1.1.3:1", "c", "1.1.1.4:1"))
+		if all := m.Backends(); len(all) != 2 || all[1].Launched != now { // a backend that is new in a later list starts now
 			t.Errorf("%+v after %+v", all, got)
 		}
 	}
@@ -80,12 +80,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.Begin(now)
+		m.Start(now)
 		return m
 	}
 	serving := func(m *Membership) (text string) {
-		for _, c := range m.All() {
-			if c.Line.Phase == balance.Ready {
+		for _, c := range m.Backends() {
+			if c.Endpoint.Phase == balance.Ready {
 				text += c.ID
 			}
 		}
@@ -93,9 +93,9 @@
 	}
 	m := start("1", "2")
 	draining := list("3", "1.1.1.3:1", "4", "1.1.1.4:1", "5", "1.1.1.5:1")
-	draining.Source, draining.Entries[1].Knows, draining.Entries[1].Line.Phase = 1, merge.AllFacts, balance.Draining
-	m.Hear(now, draining)
-	m.Hear(now, merge.Event{Kind: merge.Checked, Box: "5", Up: false})
+	draining.Source, draining.Entries[1].Reports, draining.Entries[1].Endpoint.Phase = 1, merge.AllFacts, balance.Draining
+	m.HandleEvent(now, draining)
+	m.HandleEvent(now, merge.Event{Kind: merge.HealthChecked, BackendID: "5", Up: false})
 	if got := serving(m); got != "123" {
 		t.Fatalf("serving %q", got)
 	}
@@ -107,9 +107,9 @@
 	now += time.Second
 	ready := list("3", "1.1.1.3:1", "4", "1.1.1.4:1")
 	ready.Source = 1
-	m.Hear(now, ready)
+	m.HandleEvent(now, ready)
 	now += 10 * time.Minute // the drain counts for 5 minutes after its source has removed it
-	m.Pass(now)
+	m.HandleDue(now)
 	if got := serving(m); got != "134" {
 		t.Errorf("after a list: %q", got)
 	}
--- a/internal/members/kept/kept.go
+++ b/internal/members/kept/kept.go
@@ -33,29 +33,29 @@
 
 // List is the cached endpoint list of a pool.
 type List struct {
-	Pool string    `json:"pool"`
-	At   time.Time `json:"at"`
+	Pool    string    `json:"pool"`
+	SavedAt time.Time `json:"at"`
 
-	Sources []string `json:"sources"`
-	Boxes   []Box    `json:"boxes"`
+	Sources  []string  `json:"sources"`
+	Backends []Backend `json:"boxes"`
 }
 
-// Box is one backend of the list: what the pool received about it and, for operators, what each source reported.
-type Box struct {
-	ID       string        `json:"id"`
-	Named    bool          `json:"named,omitempty"` // a source has an id for it; else its address is its id
-	Address  string        `json:"address"`
-	Draining bool          `json:"draining,omitempty"`
-	Tier     int           `json:"tier,omitempty"`
-	Weight   float64       `json:"weight"`
-	Zone     int           `json:"zone,omitempty"`
-	Cell     int           `json:"cell,omitempty"`
-	Kind     int           `json:"kind,omitempty"`
-	Launched time.Duration `json:"launched,omitempty"`
-	Rule     string        `json:"rule,omitempty"`
-	Note     string        `json:"note,omitempty"`
-	Says     []string      `json:"says,omitempty"` // the vote of each source, in the order of Sources
-	Differs  bool          `json:"differs,omitempty"`
+// Backend is one backend of the list: what the pool received about it and, for operators, what each source reported.
+type Backend struct {
+	ID              string        `json:"id"`
+	HasID           bool          `json:"named,omitempty"` // a source has an id for it; else its address is its id
+	Address         string        `json:"address"`
+	Draining        bool          `json:"draining,omitempty"`
+	Tier            int           `json:"tier,omitempty"`
+	Weight          float64       `json:"weight"`
+	Zone            int           `json:"zone,omitempty"`
+	Cell            int           `json:"cell,omitempty"`
+	Kind            int           `json:"kind,omitempty"`
+	Launched        time.Duration `json:"launched,omitempty"`
+	Rule            string        `json:"rule,omitempty"`
+	Note            string        `json:"note,omitempty"`
+	Votes           []string      `json:"says,omitempty"` // the vote of each source, in the order of Sources
+	SourcesDisagree bool          `json:"differs,omitempty"`
 }
 
 // Path returns the file name of a pool's list in a folder. The name of the pool is encoded, because an operator may put any
@@ -111,14 +111,14 @@
 // Entries returns the list as entries of a source that are stale from now on.
 func (l *List) Entries(now time.Duration) []merge.Entry {
 	var list []merge.Entry
-	for _, b := range l.Boxes {
-		e := merge.Entry{Name: b.ID, Knows: merge.AllFacts, Tier: b.Tier, Until: now, Line: members.Line{ID: b.ID, Addr: b.Address,
+	for _, b := range l.Backends {
+		e := merge.Entry{Name: b.ID, Reports: merge.AllFacts, Tier: b.Tier, ExpiresAt: now, Endpoint: members.Endpoint{ID: b.ID, Addr: b.Address,
 			Member: balance.Member{Weight: cmp.Or(b.Weight, 1), Zone: b.Zone, Cell: b.Cell, Kind: b.Kind, Launched: b.Launched}}}
-		if !b.Named {
+		if !b.HasID {
 			e.ID = ""
 		}
 		if b.Draining {
-			e.Line.Phase = balance.Draining
+			e.Endpoint.Phase = balance.Draining
 		}
 		list = append(list, e)
 	}
--- a/internal/members/kept/kept_test.go
+++ b/internal/members/kept/kept_test.go
@@ -14,16 +14,16 @@
 	if l, err := Read(dir, "menu/1"); l != nil || err != nil {
 		t.Errorf("none: %v, %v", l, err)
 	}
-	l := List{Pool: "menu/1", At: time.Unix(5, 0), Boxes: []Box{{ID: "a", Named: true, Address: "10.0.0.1:80", Weight: 2, Draining: true},
+	l := List{Pool: "menu/1", SavedAt: time.Unix(5, 0), Backends: []Backend{{ID: "a", HasID: true, Address: "10.0.0.1:80", Weight: 2, Draining: true},
 		{ID: "b", Address: "10.0.0.2:80"}}}
 	if err := Write(dir, l); err != nil {
 		t.Fatal(err)
 	}
 	got, err := Read(dir, "menu/1")
-	if err != nil || len(got.Boxes) != 2 || !got.At.Equal(l.At) {
+	if err != nil || len(got.Backends) != 2 || !got.SavedAt.Equal(l.SavedAt) {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if e := got.Entries(7); e[0].ID != "a" || e[0].Line.Phase == 0 || e[0].Until != 7 || e[1].ID != "" || e[1].Member.Weight != 1 {
+	if e := got.Entries(7); e[0].ID != "a" || e[0].Endpoint.Phase == 0 || e[0].ExpiresAt != 7 || e[1].ID != "" || e[1].Member.Weight != 1 {
 		t.Errorf("%+v", e)
 	}
 	name := Path(dir, "menu/1")
--- a/internal/members/registry/follow.go
+++ b/internal/members/registry/follow.go
@@ -138,11 +138,11 @@
 func (r *run) beginCall(a pace.Action) {
 	ctx, cancel := context.WithCancel(r.ctx)
 	query, known, wait := "", r.textHash, time.Duration(0)
-	if !a.Whole {
+	if !a.Complete {
 		wait = r.terms().Wait
 		query = fmt.Sprintf("after=%d&wait_ms=%d", r.listRevision, wait.Milliseconds())
 	}
-	record := newCallRecord(a.Call, a.Whole, wait)
+	record := newCallRecord(a.Call, a.Complete, wait)
 	r.open[a.Call], r.lastCall = &openCall{cancel, record}, a.Call
 	r.history.add(record)
 	r.stats.Begun.Add(1)
@@ -192,7 +192,7 @@
 	}
 	isNew := !a.isKnown && (a.list.Complete || len(a.list.Members) > 0 || a.list.Revision != r.listRevision)
 	if !r.hasList || a.list.Revision != r.listRevision {
-		r.stats.ListsTaken.Add(1)
+		r.stats.ListsAccepted.Add(1)
 		r.listLog.Info("list taken", "revision", a.list.Revision, "before", r.listRevision, "entries", len(a.list.Members),
 			"after", a.arrivedAt.Sub(record.beganAt), "call", a.call)
 	}
@@ -218,7 +218,7 @@
 		r.stats.recordAccepted()
 	case answered:
 		record.close(callRejected)
-		r.stats.NotTaken.Add(1)
+		r.stats.Rejected.Add(1)
 	default:
 		record.close(callFailed)
 		r.stats.Failed.Add(1)
--- a/internal/members/registry/observe.go
+++ b/internal/members/registry/observe.go
@@ -17,7 +17,7 @@
 
 // Stats counts calls since the Source was created. Any goroutine may read it.
 type Stats struct {
-	Begun, GivenUp, Failed, AnsweredLate, NotTaken, ListsTaken atomic.Int64
+	Begun, GivenUp, Failed, AnsweredLate, Rejected, ListsAccepted atomic.Int64
 
 	lastAcceptedAt atomic.Int64 // ns after origin; 0: none was accepted yet
 	origin         time.Time
--- a/internal/members/registry/pace/calls.go
+++ b/internal/members/registry/pace/calls.go
@@ -215,5 +215,5 @@
 			p.nextAt += p.pause()
 		}
 	}
-	return append(out, Action{Kind: Begin, Call: p.lastCall, Whole: whole})
+	return append(out, Action{Kind: Begin, Call: p.lastCall, Complete: whole})
 }
--- a/internal/members/registry/pace/pace.go
+++ b/internal/members/registry/pace/pace.go
@@ -44,9 +44,9 @@
 
 // Action is an output of a Pace.
 type Action struct {
-	Kind  ActionKind
-	Call  int
-	Whole bool
+	Kind     ActionKind
+	Call     int
+	Complete bool
 }
 
 type openCall struct {
--- a/internal/members/registry/pace/pace_test.go
+++ b/internal/members/registry/pace/pace_test.go
@@ -16,7 +16,7 @@
 func TestCallsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.IntRange(0, 2).Draw(t, "terms")
-		terms := []Terms{Near(500*time.Millisecond, NearMost), Shared(), OnDemandTerms(500 * time.Millisecond)}[kind]
+		terms := []Terms{AgentTerms(500*time.Millisecond, MaxAgentCalls), SharedTerms(), OnDemandTerms(500 * time.Millisecond)}[kind]
 		p := New(terms, rapid.Bool().Draw(t, "holds"), rand.New(rand.NewPCG(1, 2)))
 		var now, lastBegun time.Duration
 		open, began := map[int]bool{}, map[int]time.Duration{}
--- a/internal/members/registry/pace/registry_test.go
+++ b/internal/members/registry/pace/registry_test.go
@@ -60,7 +60,7 @@
 		if a.Kind == Begin {
 			n.begun++
 			at := r.now
-			if !a.Whole && (n.heldRevision == 2 || r.now < outageStart+r.outageLength) { // a watch waits, but no longer than until the change
+			if !a.Complete && (n.heldRevision == 2 || r.now < outageStart+r.outageLength) { // a watch waits, but no longer than until the change
 				if at += r.terms.Wait; n.heldRevision == 1 && r.now < outageStart+r.outageLength {
 					at = min(at, outageStart+r.outageLength)
 				}
@@ -180,14 +180,14 @@
 		factor         time.Duration   // of the time of an answer, within which an answer is accepted then
 		grace          time.Duration   // from the first answer to any call until it is accepted; 0: not checked
 	}{
-		{"near", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(0, 0.3, 0.6, 1.1, 1.6, 2, 2.4, 3),
+		{"near", AgentTerms(grace, MaxAgentCalls), 1, seconds(0.3, 2, 6, 20, 60), seconds(0, 0.3, 0.6, 1.1, 1.6, 2, 2.4, 3),
 			seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
-		{"near, slow", Near(grace, NearMost), 1, seconds(0.3, 2, 6, 20, 60), seconds(5, 10), nil, grace / 4, 2, 0},
-		{"near, 40 nodes", Near(grace, NearMost), 40, seconds(6), seconds(0, 1.1, 3), seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
-		{"near, 167 nodes", Near(grace, NearMost), 167, seconds(6), seconds(1.1), seconds(0.03, 0.2), grace / 4, 2, grace},
-		{"near, few descriptors", Near(grace, NearLeast), 1, seconds(0.3, 6, 60), seconds(0, 0.3, 0.6), seconds(0.03, 0.1), grace / 4, 8, 0},
-		{"shared", Shared(), 1, seconds(0.3, 6, 60), seconds(0, 0.9, 2, 5), seconds(0.1, 0.5), AnswerTimeout + maxRetryPause*3/2, 2, 0},
-		{"shared, 167 callers", Shared(), 167, seconds(6), seconds(2), seconds(0.1, 0.5), AnswerTimeout + maxRetryPause*3/2, 2, 0},
+		{"near, slow", AgentTerms(grace, MaxAgentCalls), 1, seconds(0.3, 2, 6, 20, 60), seconds(5, 10), nil, grace / 4, 2, 0},
+		{"near, 40 nodes", AgentTerms(grace, MaxAgentCalls), 40, seconds(6), seconds(0, 1.1, 3), seconds(0.03, 0.1, 0.2), grace / 4, 2, grace},
+		{"near, 167 nodes", AgentTerms(grace, MaxAgentCalls), 167, seconds(6), seconds(1.1), seconds(0.03, 0.2), grace / 4, 2, grace},
+		{"near, few descriptors", AgentTerms(grace, MinAgentCalls), 1, seconds(0.3, 6, 60), seconds(0, 0.3, 0.6), seconds(0.03, 0.1), grace / 4, 8, 0},
+		{"shared", SharedTerms(), 1, seconds(0.3, 6, 60), seconds(0, 0.9, 2, 5), seconds(0.1, 0.5), AnswerTimeout + maxRetryPause*3/2, 2, 0},
+		{"shared, 167 callers", SharedTerms(), 167, seconds(6), seconds(2), seconds(0.1, 0.5), AnswerTimeout + maxRetryPause*3/2, 2, 0},
 		{"asked", OnDemandTerms(grace), 1, seconds(0.3, 6, 60), seconds(0, 2, 7, 15), seconds(0.5, 2), onDemandWatchWait + onDemandWatchTimeout, 2, 0},
 	} {
 		for _, lost := range []bool{true, false} {
--- a/internal/members/registry/pace/terms.go
+++ b/internal/members/registry/pace/terms.go
@@ -31,10 +31,10 @@
 	defaultDrainGrace = 500 * time.Millisecond
 	// minStep keeps a node with a tiny drain grace from being busy with nothing but calls.
 	minStep = 25 * time.Millisecond
-	// NearMost bounds the calls that are open to an agent at once, NearLeast where file descriptors are few: each call needs one.
+	// MaxAgentCalls bounds the calls that are open to an agent at once, MinAgentCalls where file descriptors are few: each call needs one.
 	// Only a silent or slow agent has more than one open call. Besides the three oldest and the three newest there are ten. Up to
 	// an age of evenSpacingGraces drain graces each is about one grace from the next, beyond that half of its age.
-	NearMost, NearLeast = 16, 6
+	MaxAgentCalls, MinAgentCalls = 16, 6
 	// keptNewestCalls is how many of the newest calls are never given up: each may use three intervals.
 	keptNewestCalls = 3
 	// evenSpacingGraces is how many drain graces an answer may take for a node to accept it within one grace of the first answer.
@@ -81,23 +81,23 @@
 	return float64(max(age, 1)) / 2
 }
 
-// Near returns the terms of an agent on the node's own machine. What the agent has counts as reported to the node, whether or not
+// AgentTerms returns the terms of an agent on the node's own machine. What the agent has counts as reported to the node, whether or not
 // a call is open. One drain grace later no new request may go to a draining backend. A call to the agent costs nothing. So the
 // next call begins at most one step after the agent can answer, and at most a wait and a step after a watch has failed: three
 // quarters of the grace. The rest is left for the answer. An agent that was held up or is slow still works on the earlier calls.
 // To give them up for new ones would delay its answer, and prevent it where it takes longer than a call stays open. So the earlier
-// calls continue beside the newer ones. maxCalls is NearMost, or less where file descriptors are few.
-func Near(grace time.Duration, maxCalls int) Terms {
+// calls continue beside the newer ones. maxCalls is MaxAgentCalls, or less where file descriptors are few.
+func AgentTerms(grace time.Duration, maxCalls int) Terms {
 	step := min(max(graceOrDefault(grace)/4, minStep), watchWait/2)
 	return Terms{Wait: 2 * step, listHedgeDelay: step, watchHedgeDelay: step,
-		maxOpen: min(max(maxCalls, NearLeast), NearMost), keepsCalls: true, evenSpacing: graceOrDefault(grace),
+		maxOpen: min(max(maxCalls, MinAgentCalls), MaxAgentCalls), keepsCalls: true, evenSpacing: graceOrDefault(grace),
 		silenceTimeout: (2 + silentSteps) * step, minPause: step * 2 / 3, maxPause: step * 2 / 3, reportInterval: AnswerTimeout}
 }
 
-// Shared returns the terms of a registry with many callers, whose changes are late in any case. One call is open at a time. A
+// SharedTerms returns the terms of a registry with many callers, whose changes are late in any case. One call is open at a time. A
 // silent call gets another beside it, after a growing pause. The silent call continues, so that a slow registry can still answer
 // it.
-func Shared() Terms {
+func SharedTerms() Terms {
 	return Terms{Wait: watchWait, listHedgeDelay: AnswerTimeout, watchHedgeDelay: AnswerTimeout,
 		maxOpen: MaxSharedCalls, keepsCalls: true, pausesBeforeHedge: true,
 		minPause: minRetryPause, maxPause: maxRetryPause}
--- a/internal/members/registry/registry.go
+++ b/internal/members/registry/registry.go
@@ -30,7 +30,7 @@
 	drainGrace atomic.Int64      // drain grace of the current settings, ns
 	stats      Stats
 
-	// Where discovery is asked only at the balancer's request, Ask passes Watch, Unwatch and Fetch on here. It is nil where lists
+	// Where discovery is asked only at the balancer's request, Request passes Watch, Unwatch and Fetch on here. It is nil where lists
 	// are pushed and the node follows on its own.
 	wanted chan balance.ActionKind
 
@@ -59,41 +59,41 @@
 	d := &Source{addr: addr, names: names, log: log,
 		onList: onList, onFailure: onFailure, addrChanged: make(chan struct{}, 1), http: newClient()}
 	d.stats.origin = time.Now()
-	d.Grace(names.Config.Rules.DrainGrace)
+	d.SetDrainGrace(names.Config.Rules.DrainGrace)
 	if names.Config.AskDiscovery {
 		d.wanted = make(chan balance.ActionKind, 16)
 	}
 	return d
 }
 
-// Near declares, before Run, that the registry is an agent on this machine, such as the platform's. What the agent has counts as
+// UseAgent declares, before Run, that the registry is an agent on this machine, such as the platform's. What the agent has counts as
 // reported to the node, and calls to it cost nothing. The Source then calls it as often as the drain grace of the settings
 // requires, with at most calls open at once. Near has no effect where discovery is asked at the balancer's request.
-func (d *Source) Near(calls int) { d.agentCalls = calls }
+func (d *Source) UseAgent(calls int) { d.agentCalls = calls }
 
 // Stats returns the counters of calls. Any goroutine may call it.
 func (d *Source) Stats() *Stats { return &d.stats }
 
-// Grace sets the drain grace for calls that begin from now on. Any goroutine may call it.
-func (d *Source) Grace(grace time.Duration) { d.drainGrace.Store(int64(grace)) }
+// SetDrainGrace sets the drain grace for calls that begin from now on. Any goroutine may call it.
+func (d *Source) SetDrainGrace(grace time.Duration) { d.drainGrace.Store(int64(grace)) }
 
-// Holds sets, before Run, the revision of the list that the balancer already has from a stored list. It may be old, since a watch
+// SetRevision sets, before Run, the revision of the list that the balancer already has from a stored list. It may be old, since a watch
 // from that revision brings all later changes.
-func (d *Source) Holds(revision int64) {
+func (d *Source) SetRevision(revision int64) {
 	d.listRevision, d.hasList, d.seenBackend = revision, true, true
 }
 
-// Ask passes on what the balancer requests of discovery. It never blocks.
-func (d *Source) Ask(kind balance.ActionKind) {
+// Request passes on what the balancer requests of discovery. It never blocks.
+func (d *Source) Request(kind balance.ActionKind) {
 	select {
 	case d.wanted <- kind:
 	default: // not received where lists are pushed; elsewhere a call is in progress
 	}
 }
 
-// Move continues at another address, at once. Answers still to come from the old one are ignored. The list of the old one stays in
+// SetAddr continues at another address, at once. Answers still to come from the old one are ignored. The list of the old one stays in
 // use until the new one has sent its complete list.
-func (d *Source) Move(addr string) {
+func (d *Source) SetAddr(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
@@ -118,16 +118,16 @@
 	case d.wanted != nil:
 		return pace.OnDemandTerms(grace)
 	case d.agentCalls > 0:
-		return pace.Near(grace, d.agentCalls)
+		return pace.AgentTerms(grace, d.agentCalls)
 	}
-	return pace.Shared()
+	return pace.SharedTerms()
 }
 
 // Run follows discovery until ctx ends.
 func (d *Source) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	r := &run{Source: d, ctx: ctx, beganAt: time.Now(), addr: d.currentAddr(),
-		answers: make(chan answer, pace.NearMost), open: map[int]*openCall{},
+		answers: make(chan answer, pace.MaxAgentCalls), open: map[int]*openCall{},
 		pace:       pace.New(d.terms(), d.hasList, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		failureLog: lograte.Limited{Log: d.log}, listLog: lograte.Limited{Log: d.log}}
 	defer r.calls.Wait()
--- a/internal/members/registry/registry_test.go
+++ b/internal/members/registry/registry_test.go
@@ -173,7 +173,7 @@
 	startFollowing(t, first.Addr, func(created *Source) { d = created; d.wanted = make(chan balance.ActionKind, 4) })
 	d.wanted <- balance.Watch
 	standin.Eventually(t, "a watch", func() bool { return len(first.Asked()) > 1 })
-	d.Move(second.Addr)
+	d.SetAddr(second.Addr)
 	standin.Eventually(t, "a watch at the new address", func() bool {
 		calls := second.Asked()
 		return len(calls) > 1 && calls[0] == "" && strings.HasPrefix(calls[1], "after=2&")
@@ -202,15 +202,15 @@
 			var news []int64
 			d := New("discovery:1", names, standin.Quiet(), func(l engine.List) { news = append(news, l.Revision) }, nil)
 			d.onFailure = func() {
-				if d.Ask(balance.Watch); strings.HasSuffix(c.name, "left") {
-					d.Move("discovery:2")
+				if d.Request(balance.Watch); strings.HasSuffix(c.name, "left") {
+					d.SetAddr("discovery:2")
 				}
 			}
 			var mu sync.Mutex // a call runs beside another
 			steps := strings.Split(c.script, "; ")
 			if steps[0] == "known" {
 				steps = steps[1:]
-				d.Holds(41)
+				d.SetRevision(41)
 			}
 			d.http = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 				mu.Lock()
@@ -245,7 +245,7 @@
 				}
 				return w.Result(), r.Context().Err()
 			})}
-			d.Ask(balance.Watch)
+			d.Request(balance.Watch)
 			d.Run(ctx)
 			if fmt.Sprint(news) != c.news {
 				t.Errorf("%s: the balancer received %v, want %s", c.name, news, c.news)
@@ -290,7 +290,7 @@
 					news = append(news, l.Revision)
 				}
 			}, func() {})
-			d.Near(pace.NearMost)
+			d.UseAgent(pace.MaxAgentCalls)
 			d.http.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 				here, there := net.Pipe()
 				go func() {
@@ -388,7 +388,7 @@
 		t.Fatal(err)
 	}
 	r := &run{Source: New("discovery:1", names, standin.Quiet(), nil, nil)}
-	r.Holds(41)
+	r.SetRevision(41)
 	past := engine.List{Complete: true, Revision: 40, Members: make([]engine.Member, 1)}
 	r.lastCall = 2 // calls 1 and 2 are open
 	for call := 1; call <= 2; call++ {
@@ -428,7 +428,7 @@
 		defer cancel()
 		s := &scenario{from: 2 * time.Second, to: 6 * time.Second, drainAt: 6 * time.Second, beganAt: time.Now()}
 		d := New("first:1", names, slog.New(slog.NewTextHandler(&log, nil)), func(engine.List) {}, func() {})
-		d.Near(pace.NearMost)
+		d.UseAgent(pace.MaxAgentCalls)
 		d.http.Transport.(*http.Transport).DialContext = endWithCall(s.connect)
 		time.AfterFunc(5900*ms, func() {
 			if age := d.Stats().ListAge(); age < 3900*ms || age > 4200*ms {
@@ -444,7 +444,7 @@
 				t.Errorf("no %s in\n%s", want, &log)
 			}
 		}
-		if n := d.Stats().ListsTaken.Load(); n != 2 {
+		if n := d.Stats().ListsAccepted.Load(); n != 2 {
 			t.Errorf("%d lists taken", n)
 		}
 	})
@@ -470,8 +470,8 @@
 	} {
 		var news []int64
 		source := New("discovery:1", names, standin.Quiet(), func(l engine.List) { news = append(news, l.Revision) }, func() {})
-		source.Near(pace.NearMost)
-		source.Holds(40)
+		source.UseAgent(pace.MaxAgentCalls)
+		source.SetRevision(40)
 		ctx, cancel := context.WithCancel(t.Context())
 		r := &run{Source: source, ctx: ctx, beganAt: time.Now(), addr: source.currentAddr(), answers: make(chan answer), open: map[int]*openCall{},
 			pace: pace.New(source.terms(), true, rand.New(rand.NewPCG(1, 2))), listLog: lograte.Limited{Log: source.log}}
@@ -487,8 +487,8 @@
 		r.handleAnswer(answer{call: 1, arrivedAt: time.Now(), textHash: 41, list: whole(41)})
 		c.behind.call, c.behind.arrivedAt = 2, time.Now()
 		r.handleAnswer(c.behind)
-		if r.listRevision != 41 || r.textHash != 41 || fmt.Sprint(news) != "[41]" || r.stats.NotTaken.Load() != c.failed {
-			t.Errorf("%s: revision %d, text %d, the balancer received %v, %d rejected", c.name, r.listRevision, r.textHash, news, r.stats.NotTaken.Load())
+		if r.listRevision != 41 || r.textHash != 41 || fmt.Sprint(news) != "[41]" || r.stats.Rejected.Load() != c.failed {
+			t.Errorf("%s: revision %d, text %d, the balancer received %v, %d rejected", c.name, r.listRevision, r.textHash, news, r.stats.Rejected.Load())
 		}
 		cancel()
 		r.calls.Wait()
--- a/internal/members/registry/silence_test.go
+++ b/internal/members/registry/silence_test.go
@@ -148,20 +148,20 @@
 				late = time.Since(s.beganAt) - s.reportedAt
 				cancel()
 			}
-		}, func() { time.AfterFunc(cmp.Or(s.retryDelay, 10*time.Second), func() { d.Ask(balance.Watch) }) })
-		d.Near(pace.NearMost)
+		}, func() { time.AfterFunc(cmp.Or(s.retryDelay, 10*time.Second), func() { d.Request(balance.Watch) }) })
+		d.UseAgent(pace.MaxAgentCalls)
 		if s.hasStoredList {
-			d.Holds(1)
+			d.SetRevision(1)
 		}
 		if s.moveAt > 0 {
-			time.AfterFunc(s.moveAt, func() { d.Move("second:1") })
+			time.AfterFunc(s.moveAt, func() { d.SetAddr("second:1") })
 		}
 		d.http.Transport.(*http.Transport).DialContext = endWithCall(s.connect)
-		d.Ask(balance.Watch)
+		d.Request(balance.Watch)
 		d.Run(ctx)
 		d.http.CloseIdleConnections()
-		time.Sleep(30 * time.Second)        // for what the agent still has to answer
-		if s.max.Load() > pace.NearMost+1 { // a call that is given up may close after the next is made
+		time.Sleep(30 * time.Second)             // for what the agent still has to answer
+		if s.max.Load() > pace.MaxAgentCalls+1 { // a call that is given up may close after the next is made
 			t.Errorf("%d connections at once", s.max.Load())
 		}
 	})
--- a/internal/members/script_test.go
+++ b/internal/members/script_test.go
@@ -46,15 +46,15 @@
 	if w.resolver, err = lookup.New(lookup.Config{Name: "_menu._tcp.khuree.mn", Servers: 2, Seed: 1}, 0); err != nil {
 		t.Fatal(err)
 	}
-	w.m = merge.NewMerge(merge.Config{GuardPart: 0.5, GuardWindow: 10 * time.Second, GuardHold: time.Minute, PanicPart: 0.5,
-		DrainFor: 2 * time.Minute, Sources: []merge.SourceConfig{
-			{Name: "registry", Keep: time.Hour}, {Name: "dns", Keep: time.Hour}, {Name: "file", Keep: time.Hour}}}, 0)
+	w.m = merge.NewMerge(merge.Config{GuardFraction: 0.5, GuardWindow: 10 * time.Second, GuardHold: time.Minute, PanicThreshold: 0.5,
+		RemovedDrainGrace: 2 * time.Minute, Sources: []merge.SourceConfig{
+			{Name: "registry", StaleGrace: time.Hour}, {Name: "dns", StaleGrace: time.Hour}, {Name: "file", StaleGrace: time.Hour}}}, 0)
 	return w
 }
 
 func (w *world) handleMerge(ev merge.Event) {
 	for _, c := range w.m.Handle(w.now, ev, nil) {
-		if c.Line.Phase == balance.Gone {
+		if c.Endpoint.Phase == balance.Gone {
 			delete(w.pool, c.ID)
 		} else {
 			w.pool[c.ID] = c
@@ -66,7 +66,7 @@
 }
 
 // answer returns what a name server sends over UDP or TCP; nil: nothing.
-func (w *world) answer(q lookup.Question) *dns.Msg {
+func (w *world) answer(q lookup.Query) *dns.Msg {
 	m := new(dns.Msg)
 	m.SetQuestion(q.Name, q.Type)
 	got := w.servers[q.Server].Answer(m)
@@ -84,20 +84,20 @@
 func (w *world) handleLookup(ev lookup.Event) {
 	for _, a := range w.resolver.Handle(w.now, ev, nil) {
 		switch {
-		case a.Ask != nil:
-			r := reply{w.now + 2*time.Millisecond, lookup.Event{Kind: lookup.Replied, Token: a.Ask.Token, Msg: w.answer(*a.Ask)}}
+		case a.Query != nil:
+			r := reply{w.now + 2*time.Millisecond, lookup.Event{Kind: lookup.Responded, Token: a.Query.Token, Msg: w.answer(*a.Query)}}
 			if r.ev.Msg == nil {
-				r.at, r.ev.Kind = w.now+a.Ask.Within, lookup.Lost
+				r.at, r.ev.Kind = w.now+a.Query.Timeout, lookup.NoResponse
 			}
 			w.replies = append(w.replies, r)
 		case a.Log != "":
 			fmt.Fprintln(&w.output, "log:", a.Log)
-		case a.Told != nil:
-			t := sources.Update{Complete: true, TTL: a.Told.Until - w.now, Decided: a.Told.Decided}
-			for _, b := range a.Told.Boxes {
-				t.Entries = append(t.Entries, merge.Entry{Name: b.Name(), Knows: merge.Existence | merge.Address | merge.Weight | merge.Tier, Tier: b.Tier,
-					Line: members.Line{Addr: b.Addr.String(), Member: balance.Member{Weight: b.Weight}}})
-				t.EntryTTLs = append(t.EntryTTLs, b.Until-w.now)
+		case a.Answer != nil:
+			t := sources.Update{Complete: true, TTL: a.Answer.ExpiresAt - w.now, Intended: a.Answer.Intended}
+			for _, b := range a.Answer.Backends {
+				t.Entries = append(t.Entries, merge.Entry{Name: b.Name(), Reports: merge.Existence | merge.Address | merge.Weight | merge.Tier, Tier: b.Tier,
+					Endpoint: members.Endpoint{Addr: b.Addr.String(), Member: balance.Member{Weight: b.Weight}}})
+				t.EntryTTLs = append(t.EntryTTLs, b.ExpiresAt-w.now)
 			}
 			w.handleMerge(t.Event(1, w.now))
 		}
@@ -160,7 +160,7 @@
 				ev := merge.Event{Kind: merge.Listed, Source: source, Complete: !d.HasArg("changes"), Revision: rev}
 				for line := range strings.Lines(d.Input) {
 					f := strings.Fields(line)
-					e := merge.Entry{Name: f[0], Knows: merge.AllFacts &^ merge.Tier, Line: members.Line{ID: f[0], Addr: f[1],
+					e := merge.Entry{Name: f[0], Reports: merge.AllFacts &^ merge.Tier, Endpoint: members.Endpoint{ID: f[0], Addr: f[1],
 						Member: balance.Member{Weight: 1, Phase: balance.Phase(slices.Index([]string{"ready", "draining", "gone"}, f[2]))}}}
 					if len(f) > 3 {
 						n, _ := strconv.Atoi(f[3])
@@ -190,11 +190,11 @@
 			case "file":
 				list(2)
 			case "failed":
-				w.handleMerge(merge.Event{Kind: merge.Failed, Source: map[string]int{"registry": 0, "file": 2}[d.CmdArgs[0].Key]})
+				w.handleMerge(merge.Event{Kind: merge.SourceFailed, Source: map[string]int{"registry": 0, "file": 2}[d.CmdArgs[0].Key]})
 			case "check":
-				w.handleMerge(merge.Event{Kind: merge.Checked, Box: arg("box", ""), Up: d.HasArg("up")})
+				w.handleMerge(merge.Event{Kind: merge.HealthChecked, BackendID: arg("box", ""), Up: d.HasArg("up")})
 			case "allow":
-				w.handleMerge(merge.Event{Kind: merge.Allowed})
+				w.handleMerge(merge.Event{Kind: merge.GuardReleased})
 			case "wait":
 				dur, err := time.ParseDuration(arg("for", ""))
 				if err != nil {
@@ -204,7 +204,7 @@
 			case "why":
 				for _, v := range w.m.Views() {
 					fmt.Fprintf(&w.output, "%s %s:", v.ID, merge.Rules[v.Rule].Name)
-					for _, s := range v.Says {
+					for _, s := range v.Votes {
 						fmt.Fprintf(&w.output, " %v", s.Vote)
 					}
 					fmt.Fprintln(&w.output)
@@ -222,7 +222,7 @@
 				if c.Tier > 0 {
 					text += " backup"
 				}
-				if c.Line.Phase == balance.Draining {
+				if c.Endpoint.Phase == balance.Draining {
 					text += " drains"
 				}
 				if c.Note != "" {
--- a/internal/members/sources.go
+++ b/internal/members/sources.go
@@ -15,7 +15,7 @@
 type Update struct {
 	Failed    bool
 	Complete  bool
-	Decided   bool // an empty list is intended
+	Intended  bool // an empty list is intended
 	Revision  int64
 	Entries   []merge.Entry
 	TTL       time.Duration   // of the list, from now on; 0: until the source fails
@@ -31,14 +31,14 @@
 // Event returns the update as an event of a Merge whose clock shows now.
 func (u *Update) Event(source int, now time.Duration) merge.Event {
 	if u.Failed {
-		return merge.Event{Kind: merge.Failed, Source: source}
+		return merge.Event{Kind: merge.SourceFailed, Source: source}
 	}
-	ev := merge.Event{Kind: merge.Listed, Source: source, Complete: u.Complete, Revision: u.Revision, Decided: u.Decided, Entries: u.Entries}
+	ev := merge.Event{Kind: merge.Listed, Source: source, Complete: u.Complete, Revision: u.Revision, Intended: u.Intended, Entries: u.Entries}
 	if u.TTL > 0 {
-		ev.Until = now + u.TTL
+		ev.ExpiresAt = now + u.TTL
 	}
 	for i, life := range u.EntryTTLs {
-		ev.Entries[i].Until = max(now+life, 1)
+		ev.Entries[i].ExpiresAt = max(now+life, 1)
 	}
 	return ev
 }
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	// bodyMost and headMost bound the body and the head of a message, in bytes.
-	bodyMost, headMost = 64 << 10, 16 << 10
-	// answerMost bounds the bytes read for one answer. A body in small chunks takes several times its own size
+	// maxBufferedBodyBytes and maxHeadBytes bound the body and the head of a message, in bytes.
+	maxBufferedBodyBytes, maxHeadBytes = 64 << 10, 16 << 10
+	// maxAnswerBytes bounds the bytes read for one answer. A body in small chunks takes several times its own size
 	// on the wire.
-	answerMost = headMost + 4*bodyMost
+	maxAnswerBytes = maxHeadBytes + 4*maxBufferedBodyBytes
 	// unknownLengthGrace is how long an answer of unknown length is held back. If it ends in this time, the
 	// client gets its length, and a broken end is seen before any of it is sent.
 	unknownLengthGrace = 100 * time.Millisecond
@@ -44,21 +44,21 @@
 
 var errTooLongAnswer = errors.New("answer too long")
 
-// exchanges sends attempts and probes to backends. Each runs in its own goroutine on one connection.
+// transport sends attempts and probes to backends. Each runs in its own goroutine on one connection.
 //
 // It doesn't use the connections of net/http. http.Transport sends a request again when a reused connection
 // breaks. ClientConn doesn't, but it reports a request as written (httptrace.WroteRequest) while the request is
 // still in a buffer. Neither reports whether the last byte has left, which decides whether an attempt may have
 // run. Here each request goes out in one Write. net/http is used to parse the answer.
-type exchanges struct {
+type transport struct {
 	pool       *pool
 	inline     bool // answers carry load reports in a header
 	limitedLog *lograte.Limited
 	jobs       chan func() // jobs for idle workers; a new goroutine would have to grow its stack again
 }
 
-func newExchanges(p *pool, inline bool, log *slog.Logger) *exchanges {
-	return &exchanges{pool: p, inline: inline, limitedLog: &lograte.Limited{Log: log}, jobs: make(chan func())}
+func newTransport(p *pool, inline bool, log *slog.Logger) *transport {
+	return &transport{pool: p, inline: inline, limitedLog: &lograte.Limited{Log: log}, jobs: make(chan func())}
 }
 
 // message is a client's request in the form in which it goes to backends.
@@ -70,12 +70,12 @@
 	header   http.Header
 	body     []byte   // first part of the body, at most bodyMost bytes
 	more     [][]byte // further pieces of a longer body that is held
-	up       *upload  // rest of a longer body that is not held
+	upload   *upload  // rest of a longer body that is not held
 	probe    bool
 	settings *activeSettings // settings under which the request was read
 	counters *classCounters  // nil if the message isn't counted
 
-	left0         time.Duration // time budget of the request from its last byte on
+	timeLeft      time.Duration // time budget of the request from its last byte on
 	reservedBytes int64         // bytes reserved in budget
 	budget        *budget
 
@@ -124,14 +124,14 @@
 // the first byte.
 func (c *call) bar() bool { return c.state.CompareAndSwap(callQueued, callBarred) }
 
-// Send starts an attempt. Send, Bar, GiveUp, Probe and Drop implement the engine's transport.
-func (x *exchanges) Send(a *engine.Attempt) {
+// Send starts an attempt. Send, PreventWrite, Cancel, Probe and CloseIdle implement the engine's transport.
+func (x *transport) Send(a *engine.Attempt) {
 	a.State = x.begin(a, a.To, a.Request.Message.(*message), a.Deadline, a.Done)
 }
 
-// Bar is call.bar. A barred attempt reads nothing of the client's body, so the next attempt, which follows at
+// PreventWrite is call.bar. A barred attempt reads nothing of the client's body, so the next attempt, which follows at
 // once, gets the body.
-func (x *exchanges) Bar(a *engine.Attempt) bool {
+func (x *transport) PreventWrite(a *engine.Attempt) bool {
 	c := a.State.(*call)
 	barred := c.bar()
 	if barred {
@@ -140,28 +140,28 @@
 	return barred
 }
 
-// GiveUp ends an attempt and closes its connection.
-func (x *exchanges) GiveUp(a *engine.Attempt) { a.State.(*call).cancel() }
+// Cancel ends an attempt and closes its connection.
+func (x *transport) Cancel(a *engine.Attempt) { a.State.(*call).cancel() }
 
-// Drop closes the idle connections to an endpoint.
-func (x *exchanges) Drop(to engine.Endpoint) { x.pool.drop(to) }
+// CloseIdle closes the idle connections to an endpoint.
+func (x *transport) CloseIdle(to engine.Endpoint) { x.pool.drop(to) }
 
 // attempt sends a message to an endpoint. It calls done from another goroutine with the result. An attempt that
 // is not over by the deadline ends then, and its connection is closed.
-func (x *exchanges) attempt(to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
+func (x *transport) attempt(to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
 	return x.begin(nil, to, m, deadline, done)
 }
 
 // begin is like attempt. If own is not nil, the engine can have its answer delivered as a stream.
-func (x *exchanges) begin(own *engine.Attempt, to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
+func (x *transport) begin(own *engine.Attempt, to engine.Endpoint, m *message, deadline time.Time, done func(engine.Result)) *call {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
-	if m.up != nil {
+	if m.upload != nil {
 		// The time budget starts with the last byte of the body.
 		cancel()
 		ctx, cancel = context.WithCancel(context.Background())
 	}
-	c := &call{cancel: cancel, attempt: own, upload: m.up}
-	m.up.claim(c)
+	c := &call{cancel: cancel, attempt: own, upload: m.upload}
+	m.upload.claim(c)
 	x.runJob(func() {
 		defer cancel()
 		if r, handed := x.roundTrip(ctx, c, to, m, deadline); !handed {
@@ -175,7 +175,7 @@
 const workerIdleTimeout = time.Second
 
 // runJob runs a job at once, in an idle worker or in a new goroutine.
-func (x *exchanges) runJob(job func()) {
+func (x *transport) runJob(job func()) {
 	select {
 	case x.jobs <- job:
 		return
@@ -198,14 +198,14 @@
 
 // roundTrip carries out one attempt once, on one connection. It reports true if it handed the answer on as a
 // stream and informed the engine.
-func (x *exchanges) roundTrip(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (engine.Result, bool) {
+func (x *transport) roundTrip(ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time) (engine.Result, bool) {
 	ended := func(st balance.Status) (engine.Result, bool) { return engine.Result{Status: st}, false }
-	if m.up != nil && m.up.owner.Load() != c {
+	if m.upload != nil && m.upload.owner.Load() != c {
 		return ended(balance.Unused) // another attempt has the body, or has sent a part of it
 	}
 	cn, text, stop, err := x.readyConn(ctx, c, to, m, deadline)
 	if err != nil {
-		m.up.unclaim(c)
+		m.upload.unclaim(c)
 	}
 	switch {
 	case errors.Is(err, errNoCapacity):
@@ -215,22 +215,22 @@
 	}
 	defer stop()
 	if ctx.Err() != nil || c.attempt != nil && c.attempt.TooLate() || m.checkClientGone() || !c.state.CompareAndSwap(callQueued, callWriting) {
-		m.up.unclaim(c)
+		m.upload.unclaim(c)
 		x.pool.discard(cn)
 		return ended(balance.Unused)
 	}
 	if n, all, err := m.send(cn, text); err != nil {
-		m.up.unclaim(c)
+		m.upload.unclaim(c)
 		x.pool.discard(cn)
-		if n < all || m.up != nil {
+		if n < all || m.upload != nil {
 			return ended(balance.DialFailed) // the last byte was not sent
 		}
 		return ended(x.brokenStatus(ctx, err))
 	}
-	if m.up != nil {
+	if m.upload != nil {
 		// This attempt is the last one, because it reads the rest of the body.
-		c.attempt.Started()
-		if err := m.up.pass(cn, m.up.length-m.size(), c.attempt.WriteBy); err != nil {
+		c.attempt.StreamStarted()
+		if err := m.upload.pass(cn, m.upload.length-m.size(), c.attempt.WriteBy); err != nil {
 			x.pool.discard(cn)
 			r := engine.Result{Status: balance.DialFailed, Body: &reply{neverRan: true}}
 			if errors.Is(err, errClient) {
@@ -238,7 +238,7 @@
 			}
 			return r, false
 		}
-		cn.SetDeadline(time.Now().Add(m.left0))
+		cn.SetDeadline(time.Now().Add(m.timeLeft))
 	}
 	if m.counters != nil {
 		m.counters.attempts.Add(1)
@@ -248,11 +248,11 @@
 		x.pool.discard(cn)
 		st := x.brokenStatus(ctx, err)
 		if st == balance.Dropped {
-			x.pool.breakRates.note(cn.idleAge, true)
+			x.pool.breakRates.record(cn.idleAge, true)
 		}
 		return ended(st)
 	}
-	x.pool.breakRates.note(cn.idleAge, false)
+	x.pool.breakRates.record(cn.idleAge, false)
 	r := engine.Result{Status: outcome(resp)}
 	if text := resp.Header.Get(reportHeader); text != "" && x.inline {
 		r.Load = x.parseReport(text)
@@ -278,7 +278,7 @@
 // readyConn returns a connection and the bytes to write on it. The check of the connection is the last step
 // before the write. Bytes that were readable before the request are no answer to it, and a connection that has
 // ended would lose the request.
-func (x *exchanges) readyConn(
+func (x *transport) readyConn(
 	ctx context.Context, c *call, to engine.Endpoint, m *message, deadline time.Time,
 ) (*conn, []byte, func() bool, error) {
 	for {
@@ -298,7 +298,7 @@
 		}
 		stop()
 		x.pool.discard(cn)
-		if !cn.kept {
+		if !cn.isReused {
 			return nil, nil, nil, errNewConnNotQuiet
 		}
 	}
@@ -306,12 +306,12 @@
 
 // brokenStatus returns the status of an attempt that was written whole and got no whole answer. The backend may
 // have run it.
-func (x *exchanges) brokenStatus(ctx context.Context, err error) balance.Status {
+func (x *transport) brokenStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balance.Expired
 	case ctx.Err() != nil:
-		return balance.Revoked
+		return balance.Cancelled
 	}
 	return balance.Dropped
 }
@@ -351,7 +351,7 @@
 	b = append(b, "X-Expires-In: "...)
 	b = strconv.AppendFloat(b, max(left, 0).Seconds(), 'f', 3, 64)
 	switch {
-	case m.up != nil && m.up.length < 0:
+	case m.upload != nil && m.upload.length < 0:
 		b = append(b, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)
 		b = strconv.AppendInt(b, m.size(), 16)
 		b = append(append(b, "\r\n"...), m.body...)
@@ -359,8 +359,8 @@
 			b = append(b, piece...)
 		}
 		return append(b, "\r\n"...)
-	case m.up != nil:
-		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), m.up.length, 10)
+	case m.upload != nil:
+		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), m.upload.length, 10)
 	case len(m.body) > 0 || m.method != http.MethodGet:
 		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), m.size(), 10)
 	}
@@ -373,7 +373,7 @@
 // stated length that is over bodyMost or has not ended unknownLengthGrace after its head. An answer without a
 // length is whole when its connection ends (RFC 9112, section 6.3).
 func (c *conn) readAnswer(method string, long bool) (*http.Response, []byte, error) {
-	c.limit.N = answerMost
+	c.limit.N = maxAnswerBytes
 	req := &http.Request{Method: method}
 	for range maxInformational {
 		resp, err := http.ReadResponse(c.read, req)
@@ -386,7 +386,7 @@
 		if resp.StatusCode == http.StatusSwitchingProtocols {
 			return nil, nil, errors.New("unexpected answer: 101 Switching Protocols") // requests never ask for an upgrade
 		}
-		if resp.ContentLength > bodyMost && !long {
+		if resp.ContentLength > maxBufferedBodyBytes && !long {
 			return nil, nil, errTooLongAnswer
 		}
 		var began time.Time
@@ -394,19 +394,19 @@
 			began = time.Now()
 		}
 		body := make([]byte, 0, 4<<10)
-		if n := resp.ContentLength; n >= 0 && n < bodyMost {
+		if n := resp.ContentLength; n >= 0 && n < maxBufferedBodyBytes {
 			body = make([]byte, 0, n+1)
 		}
-		for err == nil && len(body) <= bodyMost {
+		for err == nil && len(body) <= maxBufferedBodyBytes {
 			if len(body) == cap(body) {
-				grown := make([]byte, len(body), min(4*cap(body), bodyMost+1))
+				grown := make([]byte, len(body), min(4*cap(body), maxBufferedBodyBytes+1))
 				copy(grown, body)
 				body = grown
 			}
 			var n int
 			n, err = resp.Body.Read(body[len(body):cap(body)])
 			body = body[:len(body)+n]
-			if long && (resp.ContentLength > bodyMost || !began.IsZero() && time.Since(began) > unknownLengthGrace) {
+			if long && (resp.ContentLength > maxBufferedBodyBytes || !began.IsZero() && time.Since(began) > unknownLengthGrace) {
 				break
 			}
 		}
@@ -427,7 +427,7 @@
 }
 
 // Probe requests the load report of an endpoint.
-func (x *exchanges) Probe(to engine.Endpoint, done func(engine.Result)) {
+func (x *transport) Probe(to engine.Endpoint, done func(engine.Result)) {
 	x.attempt(to, &message{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.Addr, header: http.Header{}, probe: true},
 		time.Now().Add(probeTimeout), func(r engine.Result) {
 			if r.Status == balance.Delivered && r.Load.Has == 0 {
@@ -441,7 +441,7 @@
 }
 
 // parseReport parses a load report. It logs a malformed one at a bounded rate.
-func (x *exchanges) parseReport(text string) balance.Load {
+func (x *transport) parseReport(text string) balance.Load {
 	l, err := settings.ParseReport(text)
 	if err != nil {
 		x.limitedLog.Warn("malformed load report", "error", err)
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -21,12 +21,12 @@
 )
 
 // newTestExchanges returns exchanges with a connection pool of their own.
-func newTestExchanges(t *testing.T) *exchanges {
+func newTestExchanges(t *testing.T) *transport {
 	p := newPool(16, 2*time.Second, 5*time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.run(ctx)
 	t.Cleanup(cancel)
-	return newExchanges(p, true, discardLog())
+	return newTransport(p, true, discardLog())
 }
 
 // getMessage returns a GET message with this request id. Its Idempotency-Key makes http.Transport treat it as safe to send again.
@@ -36,7 +36,7 @@
 }
 
 // attemptOnce makes one attempt and returns its result.
-func attemptOnce(t *testing.T, x *exchanges, to engine.Endpoint, m *message) engine.Result {
+func attemptOnce(t *testing.T, x *transport, to engine.Endpoint, m *message) engine.Result {
 	t.Helper()
 	done := make(chan engine.Result, 1)
 	x.attempt(to, m, time.Now().Add(testTimeout/2), func(r engine.Result) { done <- r })
@@ -76,7 +76,7 @@
 // An answer that is misread as one that never ran leads to a retry of a request that may have run, and an incomplete or oversized
 // answer must not reach the client as a whole one. The cases differ in what the backend writes after it has read the request.
 func TestAttemptStatusByAnswer(t *testing.T) {
-	big := strings.Repeat("x", bodyMost)
+	big := strings.Repeat("x", maxBufferedBodyBytes)
 	for name, tc := range map[string]struct {
 		answer string
 		want   balance.Status
@@ -98,7 +98,7 @@
 		"ends with connection": {"HTTP/1.1 200 OK\r\n\r\nabc", balance.Delivered, "abc"},
 		"not HTTP":             {"hello\r\n\r\n", balance.Dropped, ""},
 		"too long":             {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big, balance.Dropped, ""},
-		"endless head":         {"HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(headMost+bodyMost)), balance.Dropped, ""},
+		"endless head":         {"HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(maxHeadBytes+maxBufferedBodyBytes)), balance.Dropped, ""},
 		"endless 1xx":          {strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000), balance.Dropped, ""},
 		"endless chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+big[:0x1000]+"\r\n", 40), balance.Dropped, ""},
 	} {
@@ -148,7 +148,7 @@
 	x := newTestExchanges(t)
 	x.pool.dialer.Control = smallBuffers
 	m := getMessage("partial")
-	m.method, m.body = "POST", make([]byte, bodyMost)
+	m.method, m.body = "POST", make([]byte, maxBufferedBodyBytes)
 	if r := attemptOnce(t, x, engine.Endpoint{Addr: l.Addr().String()}, m); r.Status != balance.DialFailed {
 		t.Errorf("connection reset before the last byte: status %v, want DialFailed", r.Status)
 	}
@@ -186,7 +186,7 @@
 		t.Fatalf("a fresh idle connection was not reused: %d connections", n)
 	}
 	x.pool.mu.Lock()
-	x.pool.idle[to][0].idleAt = time.Now().Add(-x.pool.keep)
+	x.pool.idle[to][0].idleAt = time.Now().Add(-x.pool.idleTimeout)
 	x.pool.mu.Unlock()
 	if r := attemptOnce(t, x, to, getMessage("later")); r.Status != balance.Delivered {
 		t.Fatalf("first attempt: status %v", r.Status)
@@ -226,7 +226,7 @@
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
-	if r := receive(t, "the result of the attempt", done); r.Status != balance.Revoked {
+	if r := receive(t, "the result of the attempt", done); r.Status != balance.Cancelled {
 		t.Errorf("cancelled attempt: status %v, want Revoked", r.Status)
 	}
 	x.pool.mu.Lock()
@@ -242,7 +242,7 @@
 	serve := serveAnswers(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
 	x := newTestExchanges(t)
-	x.pool.most = 1
+	x.pool.maxConns = 1
 	for _, l := range []*rawBackend{a, b} {
 		if r := attemptOnce(t, x, engine.Endpoint{Addr: l.Addr().String()}, getMessage("id")); r.Status != balance.Delivered {
 			t.Errorf("attempt with room in the pool: status %v, want Delivered", r.Status)
--- a/internal/node/bodies.go
+++ b/internal/node/bodies.go
@@ -23,11 +23,11 @@
 	maxUploadBytes = 40 << 20
 	// copyBufferBytes is the buffer size of a stream.
 	copyBufferBytes = 32 << 10
-	// silentMost is how long a client may send no byte of its body. backendSilenceTimeout is how long a backend
-	// may send no byte of its answer or read no byte of a request. readerSilent is how long a client may read
+	// bodySilenceTimeout is how long a client may send no byte of its body. backendSilenceTimeout is how long a backend
+	// may send no byte of its answer or read no byte of a request. readerTimeout is how long a client may read
 	// no byte of its answer.
-	silentMost, backendSilenceTimeout, readerSilent = stalledRequestTimeout, 10 * time.Second, 20 * time.Second
-	// minUploadRate is the minimum rate of a body in bytes per second, after an initial silentMost. Without it a
+	bodySilenceTimeout, backendSilenceTimeout, readerTimeout = stalledRequestTimeout, 10 * time.Second, 20 * time.Second
+	// minUploadRate is the minimum rate of a body in bytes per second, after an initial bodySilenceTimeout. Without it a
 	// client that sends a byte now and then would hold its place. Clients at 64 kB per second must be served.
 	minUploadRate = 16 << 10
 )
@@ -39,30 +39,30 @@
 )
 
 // budget bounds the bytes of all bodies that are held beyond their first bodyMost bytes.
-type budget struct{ left atomic.Int64 }
+type budget struct{ available atomic.Int64 }
 
 // take reserves n bytes. It reports whether so many are left.
 func (b *budget) take(n int64) bool {
-	if b.left.Add(-n) >= 0 {
+	if b.available.Add(-n) >= 0 {
 		return true
 	}
-	b.left.Add(n)
+	b.available.Add(n)
 	return false
 }
 
-// patient reads a client's body. Its timeout is on silence and on a low rate, because a slow client has not
+// pacedReader reads a client's body. Its timeout is on silence and on a low rate, because a slow client has not
 // left.
-type patient struct {
+type pacedReader struct {
 	body      io.Reader
 	rc        *http.ResponseController
 	beganAt   time.Time
 	bytesRead int64
 }
 
-func (p *patient) Read(b []byte) (int, error) {
+func (p *pacedReader) Read(b []byte) (int, error) {
 	now := time.Now()
-	pace := p.beganAt.Add(silentMost + time.Duration(p.bytesRead)*time.Second/minUploadRate)
-	if silent := now.Add(silentMost); silent.Before(pace) {
+	pace := p.beganAt.Add(bodySilenceTimeout + time.Duration(p.bytesRead)*time.Second/minUploadRate)
+	if silent := now.Add(bodySilenceTimeout); silent.Before(pace) {
 		pace = silent
 	}
 	p.rc.SetReadDeadline(pace)
@@ -80,13 +80,13 @@
 	if hr.ContentLength == 0 {
 		return nil
 	}
-	maxBytes := f.bodyMost.Load()
+	maxBytes := f.maxBodyBytes.Load()
 	if hr.ContentLength > maxBytes {
 		return errTooLong
 	}
 	rc := http.NewResponseController(w)
-	from := &patient{body: hr.Body, rc: rc, beganAt: time.Now()}
-	size := int64(bodyMost)
+	from := &pacedReader{body: hr.Body, rc: rc, beganAt: time.Now()}
+	size := int64(maxBufferedBodyBytes)
 	if hr.ContentLength > 0 {
 		size = min(size, hr.ContentLength)
 	}
@@ -94,19 +94,19 @@
 	if err != nil {
 		return errIncompleteBody
 	}
-	if hr.ContentLength > 0 && hr.ContentLength <= bodyMost {
+	if hr.ContentLength > 0 && hr.ContentLength <= maxBufferedBodyBytes {
 		whole = true
 	}
 	total := size
-	fits := !whole && f.held.take(max(hr.ContentLength-total, 0)) // without room for the whole body, holding a part is of no use
+	fits := !whole && f.bodyBudget.take(max(hr.ContentLength-total, 0)) // without room for the whole body, holding a part is of no use
 	if fits {
-		m.reservedBytes, m.budget = max(hr.ContentLength-total, 0), &f.held
+		m.reservedBytes, m.budget = max(hr.ContentLength-total, 0), &f.bodyBudget
 	}
 	for !whole && fits {
-		piece := int64(bodyMost)
+		piece := int64(maxBufferedBodyBytes)
 		if hr.ContentLength > 0 {
 			piece = min(piece, hr.ContentLength-total)
-		} else if fits = f.held.take(piece); !fits {
+		} else if fits = f.bodyBudget.take(piece); !fits {
 			break
 		} else {
 			m.reservedBytes += piece
@@ -121,7 +121,7 @@
 		}
 	}
 	if !whole {
-		m.up = &upload{from: from, length: hr.ContentLength, rc: rc, within: maxBytes - total}
+		m.upload = &upload{from: from, length: hr.ContentLength, rc: rc, remaining: maxBytes - total}
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 // readPiece reads size bytes or up to the end of the body. It reports whether it reached the end.
 func (m *message) readPiece(from io.Reader, size int64) (end bool, err error) {
 	var piece []byte
-	if m.body == nil && size == bodyMost {
+	if m.body == nil && size == maxBufferedBodyBytes {
 		piece = make([]byte, 0, 4<<10) // most bodies of unknown length are short
 	} else {
 		piece = make([]byte, 0, size)
@@ -158,7 +158,7 @@
 // release returns the message's bytes to the budget.
 func (m *message) release() {
 	if m.budget != nil {
-		m.budget.left.Add(m.reservedBytes)
+		m.budget.available.Add(m.reservedBytes)
 		m.budget = nil
 	}
 }
@@ -174,12 +174,12 @@
 
 // upload is the rest of a body that is passed on as it arrives. Only one attempt may send it, once.
 type upload struct {
-	from   *patient
-	rc     *http.ResponseController
-	length int64 // of the whole body; -1 if unknown
-	within int64 // how many more bytes may arrive
+	from      *pacedReader
+	rc        *http.ResponseController
+	length    int64 // of the whole body; -1 if unknown
+	remaining int64 // how many more bytes may arrive
 
-	owner      atomic.Pointer[call] // attempt that may read the body; set on the engine's loop, cleared by the attempt or its Bar
+	owner      atomic.Pointer[call] // attempt that may read the body; set on the engine's loop, cleared by the attempt or its PreventWrite
 	hasBegun   atomic.Bool          // a part has been read
 	clientGone atomic.Bool          // the client has left, or was silent for too long
 
@@ -200,7 +200,7 @@
 	}
 	u.hasBegun.Store(true)
 	n, err := u.from.Read(b)
-	if u.within -= int64(n); u.within < 0 {
+	if u.remaining -= int64(n); u.remaining < 0 {
 		return 0, errTooLong
 	}
 	u.ended = u.ended || err == io.EOF
@@ -231,9 +231,9 @@
 		u.mu.Lock()
 	}
 	defer u.mu.Unlock()
-	if !u.ended && u.within > 0 && !u.clientGone.Load() { // if the client has left, a flush would send an empty 200
+	if !u.ended && u.remaining > 0 && !u.clientGone.Load() { // if the client has left, a flush would send an empty 200
 		u.rc.Flush()
-		io.CopyN(io.Discard, u.from, u.within)
+		io.CopyN(io.Discard, u.from, u.remaining)
 	}
 	u.rc.SetReadDeadline(time.Time{})
 }
@@ -257,7 +257,7 @@
 			}
 			cn.SetWriteDeadline(end)
 			if !chunked && left == int64(n) && !cn.usable() {
-				return errEarly
+				return errEarlyData
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
 				return err
@@ -269,7 +269,7 @@
 		switch {
 		case errors.Is(err, io.EOF) && chunked:
 			if !cn.usable() {
-				return errEarly
+				return errEarlyData
 			}
 			if err := to.Close(); err != nil {
 				return err
@@ -332,7 +332,7 @@
 
 // startStream hands an answer that has begun to the client's goroutine as a stream, if the request may have it.
 // It returns the result of the attempt if it doesn't.
-func (x *exchanges) startStream(
+func (x *transport) startStream(
 	ctx context.Context, own *engine.Attempt, stop func() bool, m *message, s *stream, load balance.Load,
 ) (engine.Result, bool) {
 	if !stop() {
@@ -368,7 +368,7 @@
 	}
 	w.WriteHeader(http.StatusOK)
 	rc := http.NewResponseController(w)
-	rc.SetWriteDeadline(time.Now().Add(readerSilent))
+	rc.SetWriteDeadline(time.Now().Add(readerTimeout))
 	if _, err := w.Write(s.body); err != nil || rc.Flush() != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -378,7 +378,7 @@
 		s.cn.SetReadDeadline(time.Now().Add(backendSilenceTimeout))
 		n, err := s.rest.Read(buf)
 		if n > 0 {
-			rc.SetWriteDeadline(time.Now().Add(readerSilent))
+			rc.SetWriteDeadline(time.Now().Add(readerTimeout))
 			if _, err := w.Write(buf[:n]); err != nil {
 				panic(http.ErrAbortHandler)
 			}
@@ -401,7 +401,7 @@
 // how many there are. Writing them may take long, so bytes that the backend sends before the last piece are no
 // answer.
 func (m *message) send(cn *conn, text []byte) (n, all int64, err error) {
-	if len(m.more) == 0 || m.up != nil && m.up.length < 0 { // the first chunk contains the whole held part
+	if len(m.more) == 0 || m.upload != nil && m.upload.length < 0 { // the first chunk contains the whole held part
 		k, err := cn.Write(text)
 		return int64(k), int64(len(text)), err
 	}
@@ -411,7 +411,7 @@
 	}
 	for i, p := range pieces {
 		if i == len(pieces)-1 && !cn.usable() {
-			return n, all, errEarly
+			return n, all, errEarlyData
 		}
 		k, err := cn.Write(p)
 		n += int64(k)
--- a/internal/node/bounds.go
+++ b/internal/node/bounds.go
@@ -11,19 +11,19 @@
 // them in a table.
 
 const (
-	// leastSockets is the smallest limit on descriptors with which a node starts. otherSockets is how many
+	// minSockets is the smallest limit on descriptors with which a node starts. reservedSockets is how many
 	// descriptors the node reserves for everything other than clients and backends. The worst case is 33:
 	// - standard streams: 3
 	// - the runtime's poller: 2, and its check of the CPU limit: 2
 	// - sockets for clients, operators and datagrams: 3
 	// - lock files shared with another process: 2
 	// - files that are read or written: 3
-	// - calls to discovery: 7 (pace.NearLeast, and one given up that is not closed yet)
-	// - connections of operators: 11 (adminLast silent ones, and one that is being accepted)
+	// - calls to discovery: 7 (pace.MinAgentCalls, and one given up that is not closed yet)
+	// - connections of operators: 11 (maxAdminConns silent ones, and one that is being accepted)
 	// Clients and connections to backends, dials included, are counted before they are accepted or dialed. If
-	// there are more than leastSockets descriptors, calls to discovery may use one in discoveryDivisor of them, at
-	// most pace.NearMost.
-	leastSockets, otherSockets, discoveryDivisor = 64, 34, 16
+	// there are more than minSockets descriptors, calls to discovery may use one in discoveryDivisor of them, at
+	// most pace.MaxAgentCalls.
+	minSockets, reservedSockets, discoveryDivisor = 64, 34, 16
 	// backendPercent is the share of the remaining descriptors for backends, in percent. A request in flight
 	// holds a connection on each side. Clients need more because some connections have no request in flight.
 	backendPercent = 45
@@ -41,33 +41,33 @@
 	// peerMessageBytes. A slow loop or a flooding peer must not fill the memory, so messages get at most one
 	// part in peerMessagesDivisor of it. Dropping one is allowed because a datagram may be lost anyway.
 	messagesPerPeer, peerMessageBytes, peerMessagesDivisor = 2, 200, 64
-	// tellLeast is the minimum size of the send queue, in datagrams. There is always room for one to each peer.
-	tellLeast = 64
+	// minQueuedDatagrams is the minimum size of the send queue, in datagrams. There is always room for one to each peer.
+	minQueuedDatagrams = 64
 	// probeConns is how many connections to backends are reserved for probes.
 	probeConns = 4
 )
 
 // bounds are the limits on what a process of a node may hold at once.
 type bounds struct {
-	clients, backends    int   // connections
-	requests             int   // open requests
-	discoveryCalls       int   // calls to discovery
-	heapBytes, heldBytes int64 // bytes: memory limit of the garbage collector, and of bodies over bodyMost
-	hear, tell           int   // messages of peers queued for the loop, and datagrams queued for sending
+	clients, backends                     int   // connections
+	requests                              int   // open requests
+	discoveryCalls                        int   // calls to discovery
+	heapBytes, heldBytes                  int64 // bytes: memory limit of the garbage collector, and of bodies over bodyMost
+	maxQueuedMessages, maxQueuedDatagrams int   // messages of peers queued for the loop, and datagrams queued for sending
 }
 
 // boundsOf derives the bounds of a process from its limits and the number of its peers.
 func boundsOf(l Limits, peers int) bounds {
 	sockets := cmp.Or(l.Sockets, defaultSockets)
-	calls := min(max(sockets/discoveryDivisor, pace.NearLeast), pace.NearMost)
-	n := max(sockets-otherSockets-(calls-pace.NearLeast), leastSockets-otherSockets)
+	calls := min(max(sockets/discoveryDivisor, pace.MinAgentCalls), pace.MaxAgentCalls)
+	n := max(sockets-reservedSockets-(calls-pace.MinAgentCalls), minSockets-reservedSockets)
 	memory := cmp.Or(l.MemoryMB, defaultMemoryMB) << 20
 	b := bounds{discoveryCalls: calls, backends: n * backendPercent / 100,
 		heapBytes: l.MemoryMB << 20 / 10 * heapTenths, heldBytes: memory / heldBodiesDivisor}
 	b.clients = n - b.backends
 	b.requests = min(b.clients, b.backends-probeConns)
-	b.hear = max(minDerivedBound, min(messagesPerPeer*peers, int(memory/peerMessagesDivisor/peerMessageBytes)))
-	b.tell = max(tellLeast, peers)
+	b.maxQueuedMessages = max(minDerivedBound, min(messagesPerPeer*peers, int(memory/peerMessagesDivisor/peerMessageBytes)))
+	b.maxQueuedDatagrams = max(minQueuedDatagrams, peers)
 	return b
 }
 
@@ -75,5 +75,5 @@
 func (b bounds) LogValue() slog.Value {
 	return slog.GroupValue(slog.Int("clients", b.clients), slog.Int("backends", b.backends),
 		slog.Int("requests", b.requests), slog.Int("discovery", b.discoveryCalls),
-		slog.Int64("heap", b.heapBytes), slog.Int64("bodies", b.heldBytes), slog.Int("hear", b.hear), slog.Int("tell", b.tell))
+		slog.Int64("heap", b.heapBytes), slog.Int64("bodies", b.heldBytes), slog.Int("hear", b.maxQueuedMessages), slog.Int("tell", b.maxQueuedDatagrams))
 }
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -25,7 +25,7 @@
 	text := listText(1, true, members...)
 	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
 	count := func() (known int) {
-		n.runOnLoop(t, func() { known = n.loop.Backends() })
+		n.runOnLoop(t, func() { known = n.loop.BackendCount() })
 		return known
 	}
 	if got := count(); got != total {
@@ -33,9 +33,9 @@
 	}
 	// All backends leave the list at once. A call for each of them still names a known backend.
 	n.runOnLoop(t, func() {
-		n.hand.Take(nil, true, n.loop.Clock())
+		n.tracker.ApplyList(nil, true, n.loop.Clock())
 		for _, m := range members {
-			if _, _, known := n.hand.Say(m.ID, true, n.loop.Clock()); !known {
+			if _, _, known := n.tracker.SetOutOfService(m.ID, true, n.loop.Clock()); !known {
 				t.Errorf("%s is unknown right after it left the list", m.ID)
 				return
 			}
@@ -52,22 +52,22 @@
 		cfg.Peers = append(cfg.Peers, fmt.Sprintf("127.0.0.1:%d", 1000+i))
 	}
 	b := boundsOf(Limits{MemoryMB: 32, Sockets: 256}, total)
-	p, err := listenPeers(t.Context(), &cfg, b.tell, discardLog())
+	p, err := listenPeers(t.Context(), &cfg, b.maxQueuedDatagrams, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.conn.Close()
 	for i := range total {
-		p.tell(i, []byte{1})
+		p.send(i, []byte{1})
 	}
-	if got := len(p.out); got != total {
+	if got := len(p.sendQueue); got != total {
 		t.Errorf("%d of %d datagrams wait to be sent", got, total)
 	}
 	n := &Node{cfg: cfg, bounds: b, loop: engine.New(engine.Config{})} // its loop doesn't run
 	for i := range total {
-		n.hear(i, nil)
+		n.receivePeerMessage(i, nil)
 	}
-	if got := n.hears.Load(); got != total {
+	if got := n.queuedMessages.Load(); got != total {
 		t.Errorf("%d of %d received messages wait", got, total)
 	}
 }
@@ -78,13 +78,13 @@
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, _ *bufio.Reader) { io.Copy(io.Discard, c) }) // it never answers
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
-	cfg.Limits.Sockets = leastSockets
+	cfg.Limits.Sockets = minSockets
 	n := startNode(t, cfg)
-	n.front.table.KeepAll() // no idle connection is closed to make room
+	n.front.table.DisableEviction() // no idle connection is closed to make room
 	var silent []net.Conn
-	for !n.listener.Full() {
+	for !n.listener.IsFull() {
 		silent = append(silent, n.dial(t))
-		eventually(t, "an accepted connection", func() bool { return n.listener.Holds() >= len(silent) })
+		eventually(t, "an accepted connection", func() bool { return n.listener.OpenCount() >= len(silent) })
 	}
 	c := n.dial(t)
 	began := time.Now()
@@ -131,7 +131,7 @@
 			receive(t, "a request at the backend", arrived)
 			began := time.Now()
 			n.stop()
-			eventually(t, "the start of the shutdown", n.front.leaving.Load)
+			eventually(t, "the start of the shutdown", n.front.isLeaving.Load)
 			if err := n.Reload(testConfig(t, reg, text, `"deadline":10000000000`, c.deadline)); err != nil {
 				t.Fatal(err)
 			}
@@ -144,8 +144,8 @@
 			if d := time.Since(began); d > c.maxDuration {
 				t.Errorf("the node ended too late, after %v", d)
 			}
-			if b := &n.front.book; b.Taken.Load() != 1 || b.Answered.Load() != 1 || b.Open() != 0 {
-				t.Errorf("accepted %d, answered %d, open %d", b.Taken.Load(), b.Answered.Load(), b.Open())
+			if b := &n.front.requestCounts; b.Accepted.Load() != 1 || b.Answered.Load() != 1 || b.Open() != 0 {
+				t.Errorf("accepted %d, answered %d, open %d", b.Accepted.Load(), b.Answered.Load(), b.Open())
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 		_, body := doRequest(t, newTestRequest(t, "http://"+n.Addr().String()+"/api/x", "order"))
 		answer <- body
 	}()
-	eventually(t, "a connection in the backlog", func() bool { waiting, _ := sock.Waiting(n.listener.Listener); return waiting })
+	eventually(t, "a connection in the backlog", func() bool { waiting, _ := sock.HasQueuedConn(n.listener.Listener); return waiting })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := n.Run(ctx); err != nil {
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -31,17 +31,17 @@
 	// must get an error or a close within 3 s. Half a second of that is for a queue before Accept and for late
 	// timers.
 	stalledRequestTimeout = 2500 * time.Millisecond
-	// headWithin is how long a client may take from its connection, or from the first byte of a further
+	// headTimeout is how long a client may take from its connection, or from the first byte of a further
 	// request, to the last byte of the head. clientIdleTimeout is how long a connection may stay without a
 	// request.
-	headWithin, clientIdleTimeout = stalledRequestTimeout, 4 * time.Second
+	headTimeout, clientIdleTimeout = stalledRequestTimeout, 4 * time.Second
 	// maxDiscardedBytes bounds how many bytes are read of the body of a rejected request.
-	maxDiscardedBytes = 4 * bodyMost
+	maxDiscardedBytes = 4 * maxBufferedBodyBytes
 	// answerReadTimeout is how long a client may take to read its answer.
 	answerReadTimeout = 20 * time.Second
-	// early is how much sooner than the client's deadline a request ends. The request's way to the node and the
+	// deadlineMargin is how much sooner than the client's deadline a request ends. The request's way to the node and the
 	// answer's way back take part of the time, and the node can't measure either.
-	early = 8 * time.Millisecond
+	deadlineMargin = 8 * time.Millisecond
 	// defaultDeadline is the deadline of a class that has none.
 	defaultDeadline = time.Minute
 	// clientCheckInterval is the interval at which the node checks whether a waiting client has left. net/http
@@ -53,34 +53,34 @@
 
 // front is the client side. It reads requests, passes them to the loop for a decision and writes the answers.
 type front struct {
-	loop           *engine.Engine
-	tuning         atomic.Pointer[activeSettings]
-	held           budget       // for bodies over bodyMost
-	bodyMost       atomic.Int64 // longest body in bytes
-	log            *slog.Logger
-	most           atomic.Int64 // limit on requests in flight
-	inFlight       atomic.Int64
-	isReady        atomic.Bool  // the lifecycle permits readiness
-	leaving        atomic.Bool  // the node is shutting down
-	closing        atomic.Bool  // answers close their connections
-	isTimingWrites atomic.Bool  // the time for writing answers is measured
-	meanWriteNanos atomic.Int64 // mean time for encoding and writing an answer, in ns
-	book           living.Book
-	table          *clients.Table
+	loop              *engine.Engine
+	settings          atomic.Pointer[activeSettings]
+	bodyBudget        budget       // for bodies over bodyMost
+	maxBodyBytes      atomic.Int64 // longest body in bytes
+	log               *slog.Logger
+	maxInFlight       atomic.Int64 // limit on requests in flight
+	inFlight          atomic.Int64
+	isReady           atomic.Bool  // the lifecycle permits readiness
+	isLeaving         atomic.Bool  // the node is shutting down
+	closesConnections atomic.Bool  // answers close their connections
+	isTimingWrites    atomic.Bool  // the time for writing answers is measured
+	meanWriteNanos    atomic.Int64 // mean time for encoding and writing an answer, in ns
+	requestCounts     living.RequestCounts
+	table             *clients.Table
 }
 
 // newFront returns the client side of a node with these limits on connections of clients and to backends.
 func newFront(l *engine.Engine, names settings.Settings, maxClients, maxBackends int, counts *counters, log *slog.Logger) *front {
-	f := &front{loop: l, log: log, table: clients.NewTable(maxClients, clients.Platform)}
-	f.tuning.Store(newActiveSettings(names, counts))
-	f.bodyMost.Store(maxUploadBytes)
+	f := &front{loop: l, log: log, table: clients.NewTable(maxClients, clients.PlatformThresholds)}
+	f.settings.Store(newActiveSettings(names, counts))
+	f.maxBodyBytes.Store(maxUploadBytes)
 	f.setLimits(maxClients, maxBackends)
 	return f
 }
 
 // setLimits changes the limits on connections of clients and to backends.
 func (f *front) setLimits(maxClients, maxBackends int) {
-	f.most.Store(int64(min(maxClients, maxBackends-probeConns)))
+	f.maxInFlight.Store(int64(min(maxClients, maxBackends-probeConns)))
 	f.table.Resize(maxClients)
 }
 
@@ -88,9 +88,9 @@
 func (f *front) server() *http.Server {
 	return &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: headWithin, // a body has its own timeout, see patient
+		ReadHeaderTimeout: headTimeout, // a body has its own timeout, see patient
 		IdleTimeout:       clientIdleTimeout,
-		MaxHeaderBytes:    headMost,
+		MaxHeaderBytes:    maxHeadBytes,
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 		ConnState:         f.table.Track,
 		ConnContext:       clients.WithConn,
@@ -109,7 +109,7 @@
 				f.answerPanic(w, hr, p)
 				answered = true
 				if !taken {
-					f.book.Taken.Add(1)
+					f.requestCounts.Accepted.Add(1)
 					taken = true
 				}
 			}
@@ -119,12 +119,12 @@
 		f.countOutcome(taken, answered)
 	}()
 	// Otherwise the write deadline of the previous request on this connection would apply.
-	http.NewResponseController(w).SetWriteDeadline(received.Add(headWithin + answerReadTimeout))
+	http.NewResponseController(w).SetWriteDeadline(received.Add(headTimeout + answerReadTimeout))
 	// Closing an idle connection may cross a request that is under way. Closing after an answer can't.
-	setConnectionClose(w, hr.Context(), f.closing.Load() || f.table.Crowded())
+	setConnectionClose(w, hr.Context(), f.closesConnections.Load() || f.table.IsCrowded())
 	if frame := clients.FromContext(hr.Context()); frame != nil {
 		switch {
-		case frame.Unsure.Load(), hr.ProtoMajor == 1 && hr.ProtoMinor == 0 && frame.Chunked.Load():
+		case frame.HasAmbiguousLength.Load(), hr.ProtoMajor == 1 && hr.ProtoMinor == 0 && frame.Chunked.Load():
 			// The request has two lengths, or chunks, which HTTP/1.0 doesn't have. Its body may hide another
 			// request.
 			w.Header().Set("Connection", "close")
@@ -136,24 +136,24 @@
 	}
 	switch hr.URL.Path {
 	case "/health/ready":
-		f.health(w, f.loop.Ready() && f.isReady.Load())
+		f.health(w, f.loop.HasReadyBackend() && f.isReady.Load())
 		return
 	case "/health/live":
 		f.health(w, true)
 		return
 	}
 	r, status, err := f.readRequest(w, hr, received)
-	f.book.Taken.Add(1)
+	f.requestCounts.Accepted.Add(1)
 	taken = true
 	if err != nil {
 		answered = true
-		if c := clients.FromContext(hr.Context()); c != nil && c.Cut() {
+		if c := clients.FromContext(hr.Context()); c != nil && c.IsBodyCut() {
 			w.Header().Set("Connection", "close")
 			writeRejected(w, fullRetryAfter)
 			return
 		}
 		f.rejectMalformed(w, hr, err, status)
-		if t := f.tuning.Load(); t.Class(hr.Header.Get("X-Qos")) >= 0 {
+		if t := f.settings.Load(); t.Class(hr.Header.Get("X-Qos")) >= 0 {
 			t.counters[t.Class(hr.Header.Get("X-Qos"))].failed.Add(1)
 		}
 		return
@@ -162,8 +162,8 @@
 	count := m.counters
 	defer m.release()
 	defer m.closeStreams()
-	if m.up != nil {
-		defer m.up.stop()
+	if m.upload != nil {
+		defer m.upload.stop()
 	}
 	if !f.table.Begin(hr.Context()) { // the connection is being closed to make room, or the node is shutting down
 		answered = true
@@ -172,7 +172,7 @@
 	}
 	// Only whole requests count. Otherwise a few clients that send slowly would cause the rejection of all
 	// others.
-	if f.inFlight.Add(1) > f.most.Load() {
+	if f.inFlight.Add(1) > f.maxInFlight.Load() {
 		f.inFlight.Add(-1)
 		answered = true
 		f.rejectUnsent(w, hr.Context(), count)
@@ -199,9 +199,9 @@
 		return
 	}
 	if answered {
-		f.book.Answered.Add(1)
+		f.requestCounts.Answered.Add(1)
 	} else {
-		f.book.Left.Add(1) // the client's connection is broken
+		f.requestCounts.ClientLeft.Add(1) // the client's connection is broken
 	}
 }
 
@@ -215,7 +215,7 @@
 // rejectMalformed answers a request that can't be read, and closes the connection.
 func (f *front) rejectMalformed(w http.ResponseWriter, hr *http.Request, err error, status int) {
 	w.Header().Set("Connection", "close")
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(silentMost)) // for the rest of the body
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodySilenceTimeout)) // for the rest of the body
 	text := err.Error() + "\n"
 	w.Header().Set("Content-Type", "text/plain")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -242,7 +242,7 @@
 // bytes have been read behind the request, because net/http would drop them.
 func setConnectionClose(w http.ResponseWriter, ctx context.Context, want bool) {
 	switch c := clients.FromContext(ctx); {
-	case c != nil && c.Behind():
+	case c != nil && c.HasPipelined():
 		w.Header().Del("Connection")
 	case want:
 		w.Header().Set("Connection", "close")
@@ -254,14 +254,14 @@
 	m := r.Message.(*message)
 	m.markClientGone = sync.OnceFunc(func() {
 		m.clientHasGone.Store(true)
-		f.loop.PostFirst(func() { f.loop.Gone(r) }) // if the loop has not received the request yet, it never will
+		f.loop.PostFirst(func() { f.loop.ClientGone(r) }) // if the loop has not received the request yet, it never will
 		close(m.clientGoneSignal)
 	})
 	f.loop.Post(func() {
 		if m.clientHasGone.Load() {
 			return // the client left while this was queued for the loop
 		}
-		if !m.settings.accepts(f.tuning.Load(), r.Class) {
+		if !m.settings.accepts(f.settings.Load(), r.Class) {
 			// Nothing has run. When the client sends it again, the request gets the class that the name has
 			// now.
 			r.Reply <- engine.Answer{Kind: engine.Refused}
@@ -274,7 +274,7 @@
 	for {
 		select {
 		case a := <-r.Reply:
-			setConnectionClose(w, ctx, f.closing.Load())
+			setConnectionClose(w, ctx, f.closesConnections.Load())
 			if a.Kind == engine.Failed && replyOf(a.Body).neverRan {
 				a.Kind = engine.Refused // the only attempt broke before its last byte
 			}
@@ -282,7 +282,7 @@
 			m.counters.answered(a.Kind)
 			return
 		case s := <-m.streams:
-			setConnectionClose(w, ctx, f.closing.Load())
+			setConnectionClose(w, ctx, f.closesConnections.Load())
 			f.writeStream(w, s, m.counters)
 			return
 		case <-look.C:
@@ -290,8 +290,8 @@
 		case <-ctx.Done():
 			m.markClientGone()
 		case <-m.clientGoneSignal:
-			if m.up != nil {
-				m.up.clientGone.Store(true)
+			if m.upload != nil {
+				m.upload.clientGone.Store(true)
 			}
 			// If the handler returned, net/http would send an empty 200.
 			panic(http.ErrAbortHandler)
@@ -306,7 +306,7 @@
 // checkClientGone reports whether the client has left. It is called right before the write of each attempt. The
 // loop and net/http may not have seen it yet. net/http never sees it if a byte came after the request.
 func (m *message) checkClientGone() bool {
-	if !m.clientHasGone.Load() && m.client.Gone() {
+	if !m.clientHasGone.Load() && m.client.HasClientClosed() {
 		m.markClientGone()
 	}
 	return m.clientHasGone.Load()
@@ -338,14 +338,14 @@
 		w.WriteHeader(http.StatusOK)
 		w.Write(r.body)
 	case engine.Refused:
-		writeRejected(w, a.RetryIn)
+		writeRejected(w, a.RetryAfter)
 	case engine.Failed:
 		status := http.StatusBadGateway
 		if a.Late {
 			status = http.StatusGatewayTimeout
 		}
 		writeFailed(w, status)
-	case engine.Doubled:
+	case engine.Duplicate:
 		http.Error(w, "X-Trace-Id: another request with this id is open: give each request an id of its own", http.StatusConflict)
 	}
 }
@@ -375,7 +375,7 @@
 	bad := func(format string, args ...any) (*engine.Request, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
-	h, t := hr.Header, f.tuning.Load()
+	h, t := hr.Header, f.settings.Load()
 	for _, name := range []string{"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In", "Idempotency-Key"} {
 		if len(h[name]) > 1 {
 			return bad("%s: given more than once: send it once", name)
@@ -426,12 +426,12 @@
 		r.Key, r.HasKey = sum.Sum64()>>11, true
 	}
 	m := &message{settings: t, counters: t.counters[r.Class],
-		method: method, uri: hr.RequestURI, url: hr.URL, host: hr.Host, header: h, left0: left - early,
+		method: method, uri: hr.RequestURI, url: hr.URL, host: hr.Host, header: h, timeLeft: left - deadlineMargin,
 		streams: make(chan *stream, 1), client: clients.FromContext(hr.Context()), clientGoneSignal: make(chan struct{})}
 	switch err := f.readBody(w, hr, m); {
 	case errors.Is(err, errTooLong):
 		m.release()
-		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("%w: send at most %d bytes", err, f.bodyMost.Load())
+		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("%w: send at most %d bytes", err, f.maxBodyBytes.Load())
 	case err != nil:
 		m.release()
 		return nil, http.StatusRequestTimeout, fmt.Errorf("%w, or it came too slowly: send all that its head tells, without a pause", err)
@@ -440,10 +440,10 @@
 	if hr.ContentLength != 0 {
 		received = time.Now()
 	}
-	if m.client != nil && m.up == nil {
-		received = received.Add(-m.client.Stood(received))
+	if m.client != nil && m.upload == nil {
+		received = received.Add(-m.client.QueueTime(received))
 	}
-	r.Deadline = received.Add(left - early)
+	r.Deadline = received.Add(left - deadlineMargin)
 	// A read deadline that passes while the request is served would look as if the client had left.
 	rc := http.NewResponseController(w)
 	rc.SetReadDeadline(time.Time{})
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -50,7 +50,7 @@
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("") }))
 	n := startNodeWithBackends(t, b.Addr().String())
-	n.front.bodyMost.Store(bodyMost)
+	n.front.maxBodyBytes.Store(maxBufferedBodyBytes)
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
@@ -74,10 +74,10 @@
 		"safe as a POST":    {"read", func(r *http.Request) { r.Method = "POST" }, 405, "use GET"},
 		"other method":      {"order", func(r *http.Request) { r.Method = "DELETE" }, 405, "use POST"},
 		"body too long": {"order", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", bodyMost+1))), bodyMost+1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBufferedBodyBytes+1))), maxBufferedBodyBytes+1
 		}, 413, "send at most 65536 bytes"},
 		"chunked body too long": {"order", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", bodyMost+1))), -1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBufferedBodyBytes+1))), -1
 		}, 413, "send at most 65536 bytes"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 		"not HTTP":        "\x16\x03\x01 hello\r\n\r\n",
 		"negative length": "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n",
 		"two lengths":     "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
-		"huge head":       "GET /api/x HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 2*headMost) + "\r\n\r\n",
+		"huge head":       "GET /api/x HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 2*maxHeadBytes) + "\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, err := net.Dial("tcp", n.Addr().String())
@@ -214,7 +214,7 @@
 	}))
 	n := startNodeWithBackends(t, b.Addr().String())
 	n.runOnLoop(t, func() {})
-	n.front.inFlight.Store(n.front.most.Load() - 1) // one request below the limit
+	n.front.inFlight.Store(n.front.maxInFlight.Load() - 1) // one request below the limit
 	first := make(chan int, 1)
 	go func() {
 		resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order"))
@@ -229,7 +229,7 @@
 	if status := receive(t, "the answer to the accepted request", first); status != 200 {
 		t.Errorf("accepted request: %d", status)
 	}
-	n.front.inFlight.Add(1 - n.front.most.Load())
+	n.front.inFlight.Add(1 - n.front.maxInFlight.Load())
 }
 
 // Idle client connections that fill the node are closed in favor of new connections. Otherwise clients with a request wait in the
@@ -238,7 +238,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
-	cfg.Limits.Sockets = leastSockets
+	cfg.Limits.Sockets = minSockets
 	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.share()
 	for range 2 * clients {
--- a/internal/node/compare.go
+++ b/internal/node/compare.go
@@ -12,15 +12,15 @@
 // This file exports the parsing of protocol messages for tests that compare front ends. The node itself calls
 // the unexported functions.
 
-// Early is how much sooner than the client's deadline a request ends (see early).
-const Early = early
+// DeadlineMargin is how much sooner than the client's deadline a request ends (see early).
+const DeadlineMargin = deadlineMargin
 
 // Decode reads a client's request as the node does.
 func Decode(names settings.Settings, hr *http.Request, received time.Time) (*engine.Request, error) {
 	f := &front{}
-	f.bodyMost.Store(maxUploadBytes)
-	f.held.left.Store(boundsOf(Limits{}, 0).heldBytes)
-	f.tuning.Store(newActiveSettings(names, &counters{}))
+	f.maxBodyBytes.Store(maxUploadBytes)
+	f.bodyBudget.available.Store(boundsOf(Limits{}, 0).heldBytes)
+	f.settings.Store(newActiveSettings(names, &counters{}))
 	r, _, err := f.readRequest(discard{}, hr, received)
 	return r, err
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -137,8 +137,8 @@
 	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
 		return errors.New("limits: negative limit: use 0 or a positive number")
 	}
-	if s := c.Limits.Sockets; s > 0 && s < leastSockets {
-		return fmt.Errorf("limits: sockets: %d descriptors are too few for clients and backends: set %d or more", s, leastSockets)
+	if s := c.Limits.Sockets; s > 0 && s < minSockets {
+		return fmt.Errorf("limits: sockets: %d descriptors are too few for clients and backends: set %d or more", s, minSockets)
 	}
 	return nil
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -98,12 +98,12 @@
 		if n, err = New(t.Context(), valid, discardLog()); err != nil {
 			t.Fatal(err)
 		}
-		before := n.front.tuning.Load()
-		if err := n.Reload(cfg); err == nil || !strings.HasSuffix(err.Error(), c.want) || n.figures.reloadsFailed.Load() != 1 {
+		before := n.front.settings.Load()
+		if err := n.Reload(cfg); err == nil || !strings.HasSuffix(err.Error(), c.want) || n.counters.reloadsFailed.Load() != 1 {
 			t.Errorf("at SIGHUP: %s: %v", c.new, err)
 		}
 		n.loop.Step()
-		if n.front.tuning.Load() != before {
+		if n.front.settings.Load() != before {
 			t.Errorf("%s: applied", c.new)
 		}
 		n.close()
--- a/internal/node/connection_check_test.go
+++ b/internal/node/connection_check_test.go
@@ -31,7 +31,7 @@
 
 // waitReadable waits until a connection has something to read or has been closed.
 func waitReadable(t *testing.T, c net.Conn) {
-	eventually(t, "something on the connection", func() bool { return !sock.Quiet(c) })
+	eventually(t, "something on the connection", func() bool { return !sock.IsIdle(c) })
 }
 
 // A backend may write to a pooled connection or close it after the node has chosen it and before the node writes. The request goes
@@ -77,7 +77,7 @@
 	}
 	peer := receive(t, "the connection", conns)
 	c := x.pool.idle[to][0]
-	c.kept = false // as on a connection that has just been dialed
+	c.isReused = false // as on a connection that has just been dialed
 	c.Conn = &hookedConn{c.Conn.(*net.TCPConn), func(c net.Conn) { io.WriteString(peer, ok200("noise")); waitReadable(t, c) }}
 	if r := attemptOnce(t, x, to, getMessage("two")); r.Status != balance.DialFailed || x.pool.open != 0 {
 		t.Errorf("status %v, %d connections open; want DialFailed and none", r.Status, x.pool.open)
@@ -89,8 +89,8 @@
 func TestEarlyBytesStopTheLastPiece(t *testing.T) {
 	for name, m := range map[string]*message{
 		"buffered in pieces": {more: [][]byte{make([]byte, 10), make([]byte, 10)}},
-		"with length":        {up: &upload{length: 20}},
-		"chunks":             {up: &upload{length: -1}},
+		"with length":        {upload: &upload{length: 20}},
+		"chunks":             {upload: &upload{length: -1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,22 +111,22 @@
 			cn := &conn{Conn: netConn}
 			cn.read = bufio.NewReader(netConn)
 			noise := func() { io.WriteString(peer, ok200("noise")); waitReadable(t, netConn) }
-			if m.up == nil {
+			if m.upload == nil {
 				noise()
-				if n, all, err := m.send(cn, []byte("head")); err != errEarly || n >= all {
+				if n, all, err := m.send(cn, []byte("head")); err != errEarlyData || n >= all {
 					t.Errorf("%d of %d bytes written, error %v", n, all, err)
 				}
 				return
 			}
 			w := &http.ResponseController{}
-			m.up.from = &patient{body: io.MultiReader(strings.NewReader("0123456789"), hookReader(noise), strings.NewReader("0123456789")), rc: w}
-			m.up.within = 1000
-			if err := m.up.pass(cn, m.up.length, time.Time{}); err != errEarly {
+			m.upload.from = &pacedReader{body: io.MultiReader(strings.NewReader("0123456789"), hookReader(noise), strings.NewReader("0123456789")), rc: w}
+			m.upload.remaining = 1000
+			if err := m.upload.pass(cn, m.upload.length, time.Time{}); err != errEarlyData {
 				t.Errorf("pass returned %v", err)
 			}
 			cn.Close()
 			got, _ := io.ReadAll(peer)
-			if strings.HasSuffix(string(got), "0\r\n\r\n") || strings.Count(string(got), "9") > 1 && m.up.length > 0 {
+			if strings.HasSuffix(string(got), "0\r\n\r\n") || strings.Count(string(got), "9") > 1 && m.upload.length > 0 {
 				t.Errorf("the last byte was written: %q", got)
 			}
 		})
@@ -141,7 +141,7 @@
 // An answer without a length that is truncated by the limit on answers must not count as complete. An answer that switches protocols
 // is Dropped, and its connection is not reused for HTTP.
 func TestTruncatedAndUpgradedAnswersAreDropped(t *testing.T) {
-	head := "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", answerMost-1000) + "\r\n\r\n"
+	head := "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", maxAnswerBytes-1000) + "\r\n\r\n"
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -104,8 +104,8 @@
 		line("discovery.calls_given_up", d.GivenUp.Load())
 		line("discovery.calls_failed", d.Failed.Load())
 		line("discovery.answers_late", d.AnsweredLate.Load())
-		line("discovery.answers_not_taken", d.NotTaken.Load())
-		line("discovery.lists_taken", d.ListsTaken.Load())
+		line("discovery.answers_not_taken", d.Rejected.Load())
+		line("discovery.lists_taken", d.ListsAccepted.Load())
 	}
 	return b
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -20,7 +20,7 @@
 )
 
 // limitedNodeEnv names the environment variable with which the test binary runs as a node. Its value is the configuration. The process
-// limits itself to leastSockets descriptors, prints its addresses, and when its standard input ends the peak of its open descriptors.
+// limits itself to minSockets descriptors, prints its addresses, and when its standard input ends the peak of its open descriptors.
 const limitedNodeEnv = "GLENCART_TEST_CRAMPED"
 
 func init() {
@@ -36,7 +36,7 @@
 	}
 	cfg, err := ParseConfig([]byte(text))
 	exitOnError(err)
-	exitOnError(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: leastSockets, Max: leastSockets}))
+	exitOnError(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: minSockets, Max: minSockets}))
 	n, err := New(context.Background(), cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	exitOnError(err)
 	ctx, stop := context.WithCancel(context.Background())
@@ -50,8 +50,8 @@
 			peak.Store(max(peak.Load(), int64(len(list)-1))) // without the one that reads the folder
 		}
 	})
-	go every(ctx, 20*time.Millisecond, func() { n.peers.tell(0, []byte("word")) })
-	fmt.Println(n.Addr(), n.admin.Addr())
+	go every(ctx, 20*time.Millisecond, func() { n.peers.send(0, []byte("word")) })
+	fmt.Println(n.Addr(), n.adminListener.Addr())
 	exitOnError(n.Run(ctx))
 	fmt.Println(peak.Load())
 	os.Exit(0)
@@ -137,7 +137,7 @@
 	raw, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.Addr().String(), "seed": "8c1f30d27a5be964",
 		"management": "127.0.0.1:0", "shared": t.TempDir(), "peer_listen": "127.0.0.1:0", "peers": []string{peer.LocalAddr().String()},
-		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: leastSockets}, "settings": json.RawMessage(testSettings),
+		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}, "settings": json.RawMessage(testSettings),
 		"known": json.RawMessage(listText(1, true, known...)),
 	})
 	if err != nil {
@@ -171,7 +171,7 @@
 	}
 	eventually(t, "readiness", func() bool { status, _ := call(addr, "/health/ready"); return status == 200 })
 
-	b := boundsOf(Limits{MemoryMB: 192, Sockets: leastSockets}, 1)
+	b := boundsOf(Limits{MemoryMB: 192, Sockets: minSockets}, 1)
 	var slow sync.WaitGroup
 	var answered atomic.Int32
 	for range b.requests - 1 {
@@ -200,7 +200,7 @@
 			close(resumed)
 		}
 		flood(addr, 3*b.clients)
-		flood(admin, 2*adminLast)
+		flood(admin, 2*maxAdminConns)
 		for range many {
 			call(addr, "/api/x") // probes run in between
 		}
@@ -242,8 +242,8 @@
 	if err := waitForEnd(); err != nil {
 		t.Errorf("the node ended with %v", err)
 	}
-	t.Logf("peak of open descriptors: %d of %d; clients %d, backends %d, others %d", peak, leastSockets, b.clients, b.backends, otherSockets)
-	if peak == 0 || peak >= leastSockets || strings.Contains(log.String(), "too many open files") {
-		t.Errorf("%d of %d descriptors were open; the node's log: %s", peak, leastSockets, log.String())
+	t.Logf("peak of open descriptors: %d of %d; clients %d, backends %d, others %d", peak, minSockets, b.clients, b.backends, reservedSockets)
+	if peak == 0 || peak >= minSockets || strings.Contains(log.String(), "too many open files") {
+		t.Errorf("%d of %d descriptors were open; the node's log: %s", peak, minSockets, log.String())
 	}
 }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -106,7 +106,7 @@
 			text := listText(1, true, listedBackend{ID: "s-0", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready"},
 				listedBackend{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready"})
 			cfg := testConfig(t, newRegistry(t, text).Addr, text)
-			cfg.Settings.Config.Limits.FreeRetries = 20
+			cfg.Settings.Config.Limits.RetriesPerSecond = 20
 			accepted := &recordingListener{}
 			n := startChangedNode(t, cfg, func(n *Node) {
 				accepted.Listener, n.listener.Listener = n.listener.Listener, accepted
@@ -118,7 +118,7 @@
 					return nil
 				}
 			})
-			eventually(t, "the node accepting clients", n.running.Load)
+			eventually(t, "the node accepting clients", n.isServing.Load)
 			i := 0
 			for way, leave := range disconnects {
 				if waitsFor == "for its first attempt" && way != "a byte, and closes" {
@@ -135,7 +135,7 @@
 				if waitsFor == "for the loop" {
 					n.loop.Post(func() { <-next })
 				}
-				before := n.front.book.Left.Load()
+				before := n.front.requestCounts.ClientLeft.Load()
 				c := n.dial(t)
 				io.WriteString(c, readRequestText(i))
 				eventually(t, "the accepted request", func() bool { return n.front.inFlight.Load() == 1 })
@@ -146,7 +146,7 @@
 					receive(t, "the first attempt", began)
 				}
 				leave(c)
-				eventually(t, "the disconnect", func() bool { return sock.Gone(accepted.lastConn()) || n.front.connections() == 0 })
+				eventually(t, "the disconnect", func() bool { return sock.PeerClosed(accepted.lastConn()) || n.front.connections() == 0 })
 				release()
 				eventually(t, "the release of the request and its connection", func() bool {
 					return n.openRequests(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
@@ -156,7 +156,7 @@
 					t.Errorf("%s: an attempt for %s began after its client had disconnected", way, id)
 				default:
 				}
-				if left := n.front.book.Left.Load() - before; left != 1 {
+				if left := n.front.requestCounts.ClientLeft.Load() - before; left != 1 {
 					t.Errorf("%s: %d clients counted as disconnected", way, left)
 				}
 			}
@@ -182,7 +182,7 @@
 		n.listener.Listener = gatedListener{n.listener.Listener, gate}
 	})
 	defer openGate() // before the node ends
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	const clientCount = 24
 	var conns []net.Conn
 	for i := range clientCount {
@@ -199,7 +199,7 @@
 		c.Close()
 	}
 	openGate()
-	eventually(t, "all connections accepted", func() bool { return n.front.book.Taken.Load() == clientCount })
+	eventually(t, "all connections accepted", func() bool { return n.front.requestCounts.Accepted.Load() == clientCount })
 	eventually(t, "the release of the requests and their connections", func() bool {
 		return n.openRequests(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0
 	})
--- a/internal/node/disk_test.go
+++ b/internal/node/disk_test.go
@@ -19,7 +19,7 @@
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.Management, cfg.Shared = "127.0.0.1:0", t.TempDir()
 	n := startNode(t, cfg)
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	// A folder of the name of the new file makes the write fail.
 	blocked := filepath.Join(cfg.Shared, "glencart.state.new")
 	if err := os.MkdirAll(filepath.Join(blocked, "x"), 0o700); err != nil {
@@ -45,7 +45,7 @@
 	defer successor.Close()
 	eventually(t, "the stored call", func() bool {
 		calls := successor.Calls()
-		return len(calls) == 1 && calls[0].ID == "s" && calls[0].Out
+		return len(calls) == 1 && calls[0].ID == "s" && calls[0].OutOfService
 	})
 	if status, _ := n.callManagement(t, "POST", "/control/backends/s/offline"); status != http.StatusOK {
 		t.Errorf("call repeated after the failure: %d", status)
--- a/internal/node/emptylist_test.go
+++ b/internal/node/emptylist_test.go
@@ -13,7 +13,7 @@
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	reg := newRegistry(t, text)
 	n := startNode(t, testConfig(t, reg.Addr, text))
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Fatalf("before the empty list: %d", resp.StatusCode)
 	}
--- a/internal/node/floods_test.go
+++ b/internal/node/floods_test.go
@@ -41,12 +41,12 @@
 	cfg.Management = "127.0.0.1:0"
 	n := startChangedNode(t, cfg, func(n *Node) {
 		n.listener.Listener = &failingListener{Listener: n.listener.Listener, errs: errs}
-		n.admin = &failingListener{Listener: n.admin, errs: errs}
+		n.adminListener = &failingListener{Listener: n.adminListener, errs: errs}
 	})
 	if resp, body := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
 		t.Errorf("answered %d %q", resp.StatusCode, body)
 	}
-	if resp, _ := doRequest(t, newTestRequest(t, "http://"+n.admin.Addr().String()+"/control/ready", "read")); resp.StatusCode != 200 {
+	if resp, _ := doRequest(t, newTestRequest(t, "http://"+n.adminListener.Addr().String()+"/control/ready", "read")); resp.StatusCode != 200 {
 		t.Errorf("the management endpoint answered %d", resp.StatusCode)
 	}
 }
@@ -72,7 +72,7 @@
 		return ok200("{}")
 	}))
 	n := startNodeWithBackends(t, b.Addr().String())
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	before := openDescriptors(t)
 	texts := []string{
 		strings.Replace(readRequestText(1), "leaves", "cut", 1),
@@ -116,7 +116,7 @@
 	}
 	wg.Wait()
 	eventually(t, "the release of all requests and connections", func() bool {
-		return n.openRequests(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0 && n.listener.Holds() == 0
+		return n.openRequests(t) == 0 && n.front.inFlight.Load() == 0 && n.front.connections() == 0 && n.listener.OpenCount() == 0
 	})
 	eventually(t, "the release of all descriptors", func() bool { return openDescriptors(t) <= before+8 }) // probes and discovery vary
 	if got := attempts.Load(); got > 0 {
@@ -138,7 +138,7 @@
 		return ok200("x")
 	}))
 	n := startNodeWithBackends(t, b.Addr().String())
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	var unread []net.Conn
 	for i := range 4 { // in sequence; some may be rejected, since the backend is slow
 		c := n.dial(t)
@@ -161,7 +161,7 @@
 	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
 		t.Errorf("request of another client: %d", resp.StatusCode)
 	}
-	if d := time.Since(began); d > readerSilent/4 {
+	if d := time.Since(began); d > readerTimeout/4 {
 		t.Errorf("the other client waited for %v", d)
 	}
 	for _, c := range unread {
@@ -186,7 +186,7 @@
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{peer.LocalAddr().String()}
 	n := startNode(t, cfg)
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	release := make(chan struct{})
 	n.loop.Post(func() { <-release })
 	peak := int32(0)
@@ -194,11 +194,11 @@
 		for i := range 200 {
 			peer.WriteTo([]byte(fmt.Sprintf("noise %d", i)), n.peers.conn.LocalAddr())
 		}
-		peak = max(peak, n.hears.Load())
-		return int(peak) >= n.bounds.hear
+		peak = max(peak, n.queuedMessages.Load())
+		return int(peak) >= n.bounds.maxQueuedMessages
 	})
-	if int(peak) > n.bounds.hear+1 { // the one that is being rejected
-		t.Errorf("%d messages wait, limit %d", peak, n.bounds.hear)
+	if int(peak) > n.bounds.maxQueuedMessages+1 { // the one that is being rejected
+		t.Errorf("%d messages wait, limit %d", peak, n.bounds.maxQueuedMessages)
 	}
 	close(release)
 	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 {
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -26,7 +26,7 @@
 	addr := b.Addr().String()
 	text := listText(1, true, listedBackend{ID: "first", Addr: addr, Phase: "ready", Up: 0})
 	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "the list of discovery", func() bool { return n.loop.Ready() })
+	eventually(t, "the list of discovery", func() bool { return n.loop.HasReadyBackend() })
 	slow := make(chan string, 1)
 	go func() {
 		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
@@ -43,10 +43,10 @@
 			id := fmt.Sprintf("s-%d", i)
 			l := engine.List{Members: []engine.Member{member(id, balance.Ready), member("never-named", balance.Gone)}}
 			if i%2 == 0 {
-				n.loop.TakeList(balance.MembersChanged, l)
+				n.loop.UpdateBackends(balance.MembersChanged, l)
 			} else {
 				l.Members, l.Complete = l.Members[:1], true
-				n.loop.TakeList(balance.MembersAll, l)
+				n.loop.UpdateBackends(balance.MembersAll, l)
 			}
 			number := backendNumber(n, id)
 			if seen[number] {
@@ -54,7 +54,7 @@
 			}
 			seen[number] = true
 			if i%2 == 0 {
-				n.loop.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{member(id, balance.Gone)}})
+				n.loop.UpdateBackends(balance.MembersChanged, engine.List{Members: []engine.Member{member(id, balance.Gone)}})
 			}
 		}
 		if !hasBackend(n, "first") {
@@ -66,8 +66,8 @@
 		t.Errorf("slow request: %q", body)
 	}
 	n.runOnLoop(t, func() {
-		if n.loop.Backends() > 1 {
-			t.Errorf("%d backends kept", n.loop.Backends())
+		if n.loop.BackendCount() > 1 {
+			t.Errorf("%d backends kept", n.loop.BackendCount())
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	addr := b.Addr().String()
 	reg := newRegistry(t, listText(1, true, listedBackend{ID: "old", Addr: addr, Phase: "ready", Up: 0}))
 	n := startNode(t, testConfig(t, reg.Addr, "null"))
-	eventually(t, "the list", n.loop.Ready)
+	eventually(t, "the list", n.loop.HasReadyBackend)
 	slow := make(chan string, 1)
 	go func() {
 		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
@@ -125,7 +125,7 @@
 		c.Close()
 	}
 	eventually(t, "empty tables and no timer", func() (empty bool) {
-		n.runOnLoop(t, func() { empty = n.loop.Open() == 0 && !hasTimer(n) })
+		n.runOnLoop(t, func() { empty = n.loop.OpenRequests() == 0 && !hasTimer(n) })
 		return empty && n.front.connections() == 0
 	})
 }
@@ -180,6 +180,6 @@
 
 // suspectedRestarts returns the number of backends whose restart is suspected.
 func (s *testNode) suspectedRestarts(t *testing.T) (count int) {
-	s.runOnLoop(t, func() { count = s.hand.InDoubt() })
+	s.runOnLoop(t, func() { count = s.tracker.RefusedCount() })
 	return count
 }
--- a/internal/node/idlebreaks.go
+++ b/internal/node/idlebreaks.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// wear learns at which idle age kept connections break under the next request. A device on the path, or a
+// idleBreakRates learns at which idle age kept connections break under the next request. A device on the path, or a
 // backend with a shorter idle timeout than configured, may drop them silently. A request that meets such a
 // connection may have run. If it must not run twice, it has failed. If no connections break, wear changes
 // nothing.
-type wear struct {
-	mu    sync.Mutex
-	fresh rate // of connections dialed for the request or used just before
-	aged  [idleAgeClasses]rate
+type idleBreakRates struct {
+	mu        sync.Mutex
+	fresh     rate // of connections dialed for the request or used just before
+	byIdleAge [idleAgeClasses]rate
 }
 
 const (
@@ -42,8 +42,8 @@
 
 func (r *rate) value() float64 { return r.broke / max(r.seen, 1) }
 
-// class returns the class of an idle age, or -1 for a fresh connection.
-func (w *wear) class(age time.Duration) int {
+// ageClass returns the class of an idle age, or -1 for a fresh connection.
+func (w *idleBreakRates) ageClass(age time.Duration) int {
 	i := -1
 	for from := minIdleAge; age >= from && i < idleAgeClasses-1; from *= 2 {
 		i++
@@ -51,13 +51,13 @@
 	return i
 }
 
-// note records whether an exchange broke on a connection with this idle age.
-func (w *wear) note(age time.Duration, broke bool) {
+// record records whether an exchange broke on a connection with this idle age.
+func (w *idleBreakRates) record(age time.Duration, broke bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &w.fresh
-	if i := w.class(age); i >= 0 {
-		r = &w.aged[i]
+	if i := w.ageClass(age); i >= 0 {
+		r = &w.byIdleAge[i]
 	}
 	r.fade(time.Now())
 	r.seen++
@@ -66,15 +66,15 @@
 	}
 }
 
-// worn reports whether connections of this idle age break so often that a request should use a fresh one. If
+// breaksTooOften reports whether connections of this idle age break so often that a request should use a fresh one. If
 // little is known of an age, the result for the next lower class with enough data applies.
-func (w *wear) worn(age time.Duration) bool {
+func (w *idleBreakRates) breaksTooOften(age time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	w.fresh.fade(now)
-	for i := w.class(age); i >= 0; i-- {
-		r := &w.aged[i]
+	for i := w.ageClass(age); i >= 0; i-- {
+		r := &w.byIdleAge[i]
 		r.fade(now)
 		switch {
 		case r.broke-chanceBreaks > r.seen*(w.fresh.value()+maxExcessBreakRate):
--- a/internal/node/idlebreaks_test.go
+++ b/internal/node/idlebreaks_test.go
@@ -48,22 +48,22 @@
 // Breaks that new connections suffer as often, or that happened long ago, must not make the node stop reusing connections. Dialing
 // costs round trips and work at the backend.
 func TestIdleBreakRateIsComparedWithNewConnections(t *testing.T) {
-	var w wear
+	var w idleBreakRates
 	for i := range 400 {
-		w.note(0, i%10 == 0)
-		w.note(400*time.Millisecond, i%10 == 0)
+		w.record(0, i%10 == 0)
+		w.record(400*time.Millisecond, i%10 == 0)
 	}
-	if w.worn(400 * time.Millisecond) {
+	if w.breaksTooOften(400 * time.Millisecond) {
 		t.Error("idle connections rejected although new ones break as often")
 	}
 	for i := range 100 {
-		w.note(400*time.Millisecond, i%2 == 0)
+		w.record(400*time.Millisecond, i%2 == 0)
 	}
-	if !w.worn(400*time.Millisecond) || !w.worn(3*time.Second) || w.worn(200*time.Millisecond) || w.worn(0) {
+	if !w.breaksTooOften(400*time.Millisecond) || !w.breaksTooOften(3*time.Second) || w.breaksTooOften(200*time.Millisecond) || w.breaksTooOften(0) {
 		t.Error("half of the connections idle for 400 ms broke, but not exactly these and older ones are rejected")
 	}
-	w.aged[w.class(400*time.Millisecond)].at = time.Now().Add(-time.Minute)
-	if w.worn(400 * time.Millisecond) {
+	w.byIdleAge[w.ageClass(400*time.Millisecond)].at = time.Now().Add(-time.Minute)
+	if w.breaksTooOften(400 * time.Millisecond) {
 		t.Error("breaks of a minute ago still count")
 	}
 }
--- a/internal/node/incomplete_test.go
+++ b/internal/node/incomplete_test.go
@@ -39,12 +39,12 @@
 				b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
 				text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 				cfg := testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, `"deadline":400000000`)
-				cfg.Limits.Sockets = leastSockets
+				cfg.Limits.Sockets = minSockets
 				n := startNode(t, cfg)
-				eventually(t, "the node accepting clients", n.running.Load)
+				eventually(t, "the node accepting clients", n.isServing.Load)
 				c := n.dial(t)
 				io.WriteString(c, sent)
-				eventually(t, "the first bytes read", func() bool { return n.front.table.Counts().Begun == 1 })
+				eventually(t, "the first bytes read", func() bool { return n.front.table.Counts().Partial == 1 })
 				forceClose(t, n)
 				c.SetReadDeadline(time.Now().Add(testTimeout))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/node/invalid_clients_test.go
+++ b/internal/node/invalid_clients_test.go
@@ -32,7 +32,7 @@
 func TestInvalidClientsAreDisconnected(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("") }))
 	n := startNodeWithBackends(t, b.Addr().String())
-	n.front.bodyMost.Store(1 << 20)
+	n.front.maxBodyBytes.Store(1 << 20)
 	repeat := func(piece string, pause time.Duration) func(net.Conn) {
 		return func(c net.Conn) {
 			for {
@@ -101,7 +101,7 @@
 				t.Errorf("%s: answered %d", name, resp.StatusCode)
 			}
 			// The limit is 3 s for a head, and as much for a body that is sent too slowly.
-			if d := time.Since(began); d > headWithin+silentMost+time.Second {
+			if d := time.Since(began); d > headTimeout+bodySilenceTimeout+time.Second {
 				t.Errorf("%s: took %v", name, d)
 			}
 		})
@@ -125,7 +125,7 @@
 	}))
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
-	cfg.Limits.Sockets = leastSockets
+	cfg.Limits.Sockets = minSockets
 	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.share()
 	slow := make(chan int, 1)
@@ -148,7 +148,7 @@
 		t.Errorf("normal client: %d", resp.StatusCode)
 	}
 	// If they were not disconnected, they would hold all connections until their timeout.
-	if d := time.Since(began); d > headWithin-300*time.Millisecond {
+	if d := time.Since(began); d > headTimeout-300*time.Millisecond {
 		t.Errorf("normal client waited %v", d)
 	}
 	close(release)
@@ -166,7 +166,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
 	n := startNodeWithBackends(t, b.Addr().String())
 	n.runOnLoop(t, func() {})
-	n.front.inFlight.Store(n.front.most.Load() - 1) // one request below the limit
+	n.front.inFlight.Store(n.front.maxInFlight.Load() - 1) // one request below the limit
 	for i := range 8 {
 		fmt.Fprintf(n.dial(t), "%sX-Trace-Id: slow-%d\r\nContent-Length: 10\r\n\r\nabc", orderHead, i)
 	}
@@ -175,5 +175,5 @@
 	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	n.front.inFlight.Add(1 - n.front.most.Load())
+	n.front.inFlight.Add(1 - n.front.maxInFlight.Load())
 }
--- a/internal/node/lastbyte_test.go
+++ b/internal/node/lastbyte_test.go
@@ -60,7 +60,7 @@
 				}()
 				text := listText(1, true, listedBackend{ID: "s", Addr: l.Addr().String(), Phase: "ready"})
 				n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
-				eventually(t, "the node accepting clients", n.running.Load)
+				eventually(t, "the node accepting clients", n.isServing.Load)
 				c := n.dial(t)
 				fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: late-%d\r\nX-Qos: order\r\nX-Customer: acme\r\nX-Expires-In: %s\r\n"+
 					"Content-Length: %d\r\n\r\n%s", lastID.Add(1), map[string]string{"leaves": "9", "time is up": "0.4"}[ending], length, strings.Repeat("x", length))
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -24,47 +24,47 @@
 // lifecycleFront carries out the lifecycle actions for a node.
 type lifecycleFront struct{ *Node }
 
-func (n lifecycleFront) Ready(ready bool) {
+func (n lifecycleFront) SetReady(ready bool) {
 	n.front.isReady.Store(ready)
 	if !ready {
-		n.front.leaving.Store(true)
+		n.front.isLeaving.Store(true)
 	}
 }
 
 func (n lifecycleFront) AnswerBy(by time.Time) {
-	n.loop.PostFirst(func() { n.loop.AnswerBy(by) })
+	n.loop.PostFirst(func() { n.loop.LimitDeadlines(by) })
 	// A second call at by ends answers that are still streaming.
-	time.AfterFunc(time.Until(by), func() { n.loop.PostFirst(func() { n.loop.AnswerBy(by) }) })
+	time.AfterFunc(time.Until(by), func() { n.loop.PostFirst(func() { n.loop.LimitDeadlines(by) }) })
 }
 
 func (n lifecycleFront) StopAccepting() {
 	n.listener.Close()
-	n.front.table.KeepAll()
+	n.front.table.DisableEviction()
 }
 
-func (n lifecycleFront) CloseAnswered() { n.front.closing.Store(true) }
+func (n lifecycleFront) CloseAfterAnswer() { n.front.closesConnections.Store(true) }
 
-func (n lifecycleFront) CloseQuiet(half bool) { n.front.table.CloseQuiet(half) }
+func (n lifecycleFront) CloseIdle(half bool) { n.front.table.CloseIdle(half) }
 
 // shutDown shuts the node down in order. The node keeps serving for as long as new requests can be answered in
 // time. After that it closes each connection after its answer. Clients reuse their connections. If this node
 // closed one early while other nodes are down for a restart, the client could have no connection left. served
 // receives a value when the server no longer accepts connections.
 func (n *Node) shutDown(srv *http.Server, served <-chan error) error {
-	followed := n.place != nil && n.place.Followed()
+	followed := n.handover != nil && n.handover.HasSuccessor()
 	text := "leaving"
 	if followed {
 		text = "leaving: a successor process takes over"
 	}
 	n.front.isTimingWrites.Store(true)
-	ended := n.lifecycle.Tell(life.Event{Kind: life.Told, Followed: followed})
-	n.log.Info(text, "most", n.lifecycle.Left())
+	ended := n.lifecycle.Handle(life.Event{Kind: life.ShutdownRequested, HasSuccessor: followed})
+	n.log.Info(text, "most", n.lifecycle.Remaining())
 	if !ended {
-		n.lifecycle.Leave(served, n.observe)
+		n.lifecycle.RunShutdown(served, n.observe)
 	}
-	counts := &n.front.book
-	n.log.Info("left", "taken", counts.Taken.Load(), "answered", counts.Answered.Load(),
-		"client_left", counts.Left.Load(), "open", counts.Open())
+	counts := &n.front.requestCounts
+	n.log.Info("left", "taken", counts.Accepted.Load(), "answered", counts.Answered.Load(),
+		"client_left", counts.ClientLeft.Load(), "open", counts.Open())
 	if counts.Open() > 0 {
 		n.logOpenRequests()
 	}
@@ -76,21 +76,21 @@
 
 // observe returns an event with the current state of the connections and the loop.
 func (n *Node) observe(accepting bool) life.Event {
-	ev := life.Event{Kind: life.Seen, Queued: accepting && n.listener.Queued(), Conns: n.listener.Holds(), Asked: n.front.table.Asked()}
-	ev.Lag = n.loopLag.Measure(n.loop.Post) + time.Duration(ev.Asked)*time.Duration(n.front.meanWriteNanos.Load())
+	ev := life.Event{Kind: life.Snapshot, MayHaveQueue: accepting && n.listener.HasQueued(), Conns: n.listener.OpenCount(), OpenRequests: n.front.table.UnansweredCount()}
+	ev.Lag = n.loopLag.Measure(n.loop.Post) + time.Duration(ev.OpenRequests)*time.Duration(n.front.meanWriteNanos.Load())
 	return ev
 }
 
 // logOpenRequests logs the ids of some requests that the end of the node cuts.
 func (n *Node) logOpenRequests() {
 	named := make(chan []string, 1)
-	if !n.loop.PostFirst(func() { named <- n.loop.OpenIDs(maxLoggedIDs) }) {
+	if !n.loop.PostFirst(func() { named <- n.loop.OpenRequestIDs(maxLoggedIDs) }) {
 		return
 	}
 	select {
 	case ids := <-named:
 		n.log.Error("shutdown: requests cut without an answer", "ids", ids)
-	case <-time.After(living.LookEvery):
+	case <-time.After(living.SnapshotInterval):
 		n.log.Error("shutdown: requests cut without an answer; the loop is too busy to list their ids")
 	}
 }
@@ -98,6 +98,6 @@
 // useCachedListInTime lets the node report readiness on the cached endpoint list if discovery sends no list in
 // time.
 func (n *Node) useCachedListInTime(ctx context.Context) {
-	pause(ctx, life.RememberFor)
-	n.lifecycle.Tell(life.Event{Kind: life.Tick})
+	pause(ctx, life.CachedListGrace)
+	n.lifecycle.Handle(life.Event{Kind: life.Tick})
 }
--- a/internal/node/local_errors_test.go
+++ b/internal/node/local_errors_test.go
@@ -33,7 +33,7 @@
 			}
 			time.AfterFunc(heldFor, func() { occupant.Close() })
 			n := startNode(t, cfg)
-			eventually(t, "the node accepting clients", n.running.Load)
+			eventually(t, "the node accepting clients", n.isServing.Load)
 		})
 	}
 }
