--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -18,16 +18,16 @@
 
 const (
 	// maxWaitingAdminConns bounds the connections of operators whose request has not fully arrived. Beyond it
-	// the oldest silent one is closed, and beyond adminLast the oldest of all. They are part of otherSockets.
-	maxWaitingAdminConns, adminLast = 6, 10
+	// the oldest silent one is closed, and beyond maxAdminConns the oldest of all. They are part of reservedSockets.
+	maxWaitingAdminConns, maxAdminConns = 6, 10
 	// adminFirstByteGrace is how long a caller may take for its first byte before it counts as silent.
 	adminFirstByteGrace = 20 * time.Millisecond
 	// adminTimeout is how long a request may take to arrive, and its answer to be read. A request is answered
 	// after adminAnswerTimeout even if the loop has not handled it, because operators must get an answer within
 	// 1 s.
 	adminTimeout, adminAnswerTimeout = 5 * time.Second, 700 * time.Millisecond
-	// idMost bounds the length of a backend id in a request.
-	idMost = 256
+	// maxIDBytes bounds the length of a backend id in a request.
+	maxIDBytes = 256
 )
 
 // adminEndpoint is the management endpoint. It has its own listener and serves one request per connection.
@@ -52,7 +52,7 @@
 		writeText(w, http.StatusOK, "ready\n")
 	})
 	mux.HandleFunc("GET /control/counters", func(w http.ResponseWriter, _ *http.Request) {
-		writeText(w, http.StatusOK, string(n.figures.format(n.front.inFlight.Load())))
+		writeText(w, http.StatusOK, string(n.counters.format(n.front.inFlight.Load())))
 	})
 	mux.HandleFunc("POST /control/backends/{id}/offline", func(w http.ResponseWriter, r *http.Request) { d.setOffline(w, r, true) })
 	mux.HandleFunc("POST /control/backends/{id}/online", func(w http.ResponseWriter, r *http.Request) { d.setOffline(w, r, false) })
@@ -61,7 +61,7 @@
 			d.requestArrived(adminConn(r.Context()))
 			w.Header().Set("Connection", "close")
 			defer d.activeRequests.Add(-1)
-			if d.activeRequests.Add(1) > adminLast {
+			if d.activeRequests.Add(1) > maxAdminConns {
 				writeText(w, http.StatusServiceUnavailable, "too many calls at once\n")
 				return
 			}
@@ -109,7 +109,7 @@
 	}
 }
 
-// connToClose returns the oldest connection, other than except, that has no unread bytes. Beyond adminLast it
+// connToClose returns the oldest connection, other than except, that has no unread bytes. Beyond maxAdminConns it
 // returns the oldest of all. A request that arrived together with many silent connections may be unread when
 // the last of them is accepted.
 func (d *adminEndpoint) connToClose(except net.Conn) net.Conn {
@@ -125,7 +125,7 @@
 			quiet = c
 		}
 	}
-	if quiet == nil && d.waitingConns > adminLast {
+	if quiet == nil && d.waitingConns > maxAdminConns {
 		return oldest
 	}
 	return quiet
@@ -144,27 +144,27 @@
 // setOffline takes a backend offline or back online. It answers with success once the Balancer has the change.
 func (d *adminEndpoint) setOffline(w http.ResponseWriter, r *http.Request, offline bool) {
 	id := r.PathValue("id")
-	if len(id) > idMost {
+	if len(id) > maxIDBytes {
 		writeText(w, http.StatusBadRequest, "backend: the id is too long\n")
 		return
 	}
 	n := d.node
-	var before []members.Call // an online call at this process may follow an offline call at the other
-	if n.place != nil {
-		before = n.place.Calls()
+	var before []members.Override // an online call at this process may follow an offline call at the other
+	if n.handover != nil {
+		before = n.handover.Calls()
 	}
 	done := make(chan bool, 1)
 	if !n.loop.PostFirst(func() {
-		n.applyLines(n.hand.Hear(before, n.loop.Clock()))
+		n.applyLines(n.tracker.MergeOverrides(before, n.loop.Clock()))
 		call, known := n.setOffline(id, offline)
-		if n.place == nil || call.At == 0 {
+		if n.handover == nil || call.ChangedAt == 0 {
 			done <- known
 			return
 		}
 		go func() { // file operations may be slow or fail
 			ctx, cancel := context.WithTimeout(r.Context(), adminAnswerTimeout)
 			defer cancel()
-			if n.place.Persist(ctx, []members.Call{call}) == nil {
+			if n.handover.Persist(ctx, []members.Override{call}) == nil {
 				done <- known
 			}
 		}()
@@ -198,11 +198,11 @@
 // before the loop runs.
 func (n *Node) takeList(kind balance.EventKind, list engine.List) {
 	now := n.loop.Clock()
-	list.Members = n.hand.Take(list.Members, list.Complete, now)
-	if kind != balance.MembersRemembered {
-		n.hand.Heard(now)
+	list.Members = n.tracker.ApplyList(list.Members, list.Complete, now)
+	if kind != balance.MembersCached {
+		n.tracker.ListComplete(now)
 	}
-	n.loop.TakeList(kind, list)
+	n.loop.UpdateBackends(kind, list)
 	n.countBackends()
 }
 
@@ -210,10 +210,10 @@
 func (n *Node) observeResult(id string, res engine.Result) {
 	switch {
 	case res.Refused:
-		n.hand.Refused(id, n.loop.Clock())
-	case n.hand.InDoubt() == 0: // the usual case
+		n.tracker.Refused(id, n.loop.Clock())
+	case n.tracker.RefusedCount() == 0: // the usual case
 	case res.Status == balance.Delivered, res.Status == balance.AppError, res.Status == balance.Shed:
-		if lines := n.hand.Answered(id, n.loop.Clock()); len(lines) > 0 {
+		if lines := n.tracker.Answered(id, n.loop.Clock()); len(lines) > 0 {
 			n.log.Info("backend answers after a refused connection: treated as a new process", "id", id)
 			n.loop.Post(func() { n.applyLines(lines) }) // after the current event
 		}
@@ -221,8 +221,8 @@
 }
 
 // setOffline applies an operator's call and reports whether the backend id is known. It runs on the loop.
-func (n *Node) setOffline(id string, offline bool) (members.Call, bool) {
-	lines, call, known := n.hand.Say(id, offline, n.loop.Clock())
+func (n *Node) setOffline(id string, offline bool) (members.Override, bool) {
+	lines, call, known := n.tracker.SetOutOfService(id, offline, n.loop.Clock())
 	if len(lines) > 0 {
 		action := "brought back online"
 		if offline {
@@ -235,18 +235,18 @@
 }
 
 // applyLines passes lines that an operator's call has changed to the engine. It runs on the loop.
-func (n *Node) applyLines(lines []members.Line) {
+func (n *Node) applyLines(lines []members.Endpoint) {
 	if len(lines) > 0 {
-		n.loop.TakeList(balance.MembersChanged, engine.List{Members: lines})
+		n.loop.UpdateBackends(balance.MembersChanged, engine.List{Members: lines})
 	}
 	n.countBackends()
 }
 
 // countBackends copies the numbers of backends that the loop owns. It runs on the loop.
 func (n *Node) countBackends() {
-	listed, offline := n.hand.Counts()
-	n.figures.knownBackends.Store(int64(listed))
-	n.figures.excludedBackends.Store(int64(offline + n.loop.Balancer.Avoided()))
+	listed, offline := n.tracker.Counts()
+	n.counters.knownBackends.Store(int64(listed))
+	n.counters.excludedBackends.Store(int64(offline + n.loop.Balancer.AvoidedBackends()))
 }
 
 // countBackendsPeriodically calls countBackends at intervals until ctx ends, because each answer may change
@@ -258,8 +258,8 @@
 // canServe reports whether this process can serve. It needs a list with a backend that can receive requests,
 // and must not be shutting down.
 func (n *Node) canServe() bool {
-	if n.loop.Ready() {
+	if n.loop.HasReadyBackend() {
 		n.hadUsableBackend.Store(true)
 	}
-	return n.hadUsableBackend.Load() && n.running.Load() && !n.front.leaving.Load()
+	return n.hadUsableBackend.Load() && n.isServing.Load() && !n.front.isLeaving.Load()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,23 +31,23 @@
 	cfg              Config
 	log              *slog.Logger
 	bounds           bounds
-	hears            atomic.Int32 // messages of peers that are queued for the loop
+	queuedMessages   atomic.Int32 // messages of peers that are queued for the loop
 	listener         *clients.Listener
 	peers            *peers
 	pool             *pool
 	loop             *engine.Engine
 	front            *front
 	latest           *activeSettings // the settings of the last accepted reload; used only by the goroutine that calls Reload
-	disco            *registry.Source
-	admin            net.Listener    // for operators; nil if there is no management address
-	place            *handover.Place // the folder shared with a predecessor or successor; nil if there is none
-	hand             members.Hand    // used only on the loop
-	figures          *counters
+	discovery        *registry.Source
+	adminListener    net.Listener       // for operators; nil if there is no management address
+	handover         *handover.Handover // the folder shared with a predecessor or successor; nil if there is none
+	tracker          members.Tracker    // used only on the loop
+	counters         *counters
 	hadUsableBackend atomic.Bool // a list has named a backend that can receive requests
 	hasList          atomic.Bool // discovery has sent a list
-	running          atomic.Bool // clients are accepted
-	lifecycle        *living.Living
-	loopLag          living.Lag
+	isServing        atomic.Bool // clients are accepted
+	lifecycle        *living.Runner
+	loopLag          living.LoopLag
 }
 
 // New returns a node that is ready to run. New fails if ctx ends while it still opens what the node needs.
@@ -59,8 +59,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, log: log, figures: &counters{}}
-	n.hand.WarmWithin = cfg.Settings.Config.Rules.WarmWithin
+	n := &Node{cfg: cfg, log: log, counters: &counters{}}
+	n.tracker.WarmWithin = cfg.Settings.Config.Rules.WarmWithin
 	n.lifecycle = living.New(life.New(life.Platform, longestDeadline(cfg.Settings)), lifecycleFront{n})
 	limits := cfg.Settings.Config.Limits
 	n.bounds = boundsOf(cfg.Limits, len(cfg.Peers))
@@ -68,11 +68,11 @@
 	log.Info("bounds", "most", n.bounds)
 	n.pool = newPool(backends, limits.ConnectTimeout, limits.IdleClose)
 	n.loop = engine.New(engine.Config{Balancer: bal, Log: log, Origin: cfg.origin,
-		Transport: newExchanges(n.pool, cfg.Settings.Config.Reports == balance.InlineReports, log)})
-	n.front = newFront(n.loop, cfg.Settings, maxClients, backends, n.figures, log)
-	n.front.held.left.Store(n.bounds.heldBytes)
-	n.latest = n.front.tuning.Load()
-	n.disco = registry.New(cfg.Discovery, cfg.Settings, log,
+		Transport: newTransport(n.pool, cfg.Settings.Config.Reports == balance.InlineReports, log)})
+	n.front = newFront(n.loop, cfg.Settings, maxClients, backends, n.counters, log)
+	n.front.bodyBudget.available.Store(n.bounds.heldBytes)
+	n.latest = n.front.settings.Load()
+	n.discovery = registry.New(cfg.Discovery, cfg.Settings, log,
 		func(list engine.List) {
 			kind := balance.MembersChanged
 			if list.Complete {
@@ -81,18 +81,18 @@
 			n.loop.Post(func() {
 				n.takeList(kind, list)
 				n.hasList.Store(true)
-				n.lifecycle.Tell(life.Event{Kind: life.Heard})
+				n.lifecycle.Handle(life.Event{Kind: life.ListReceived})
 			})
 		},
-		func() { n.loop.Post(func() { n.loop.Handle(balance.Event{Kind: balance.MembersRefused}) }) })
-	n.disco.Near(n.bounds.discoveryCalls)
-	n.figures.discovery = n.disco.Stats()
-	n.loop.Ask, n.loop.Saw = n.disco.Ask, n.observeResult
+		func() { n.loop.Post(func() { n.loop.Handle(balance.Event{Kind: balance.DiscoveryFailed}) }) })
+	n.discovery.UseAgent(n.bounds.discoveryCalls)
+	n.counters.discovery = n.discovery.Stats()
+	n.loop.RequestDiscovery, n.loop.OnResult = n.discovery.Request, n.observeResult
 	if cfg.PeerListen != "" {
-		if n.peers, err = listenPeers(ctx, &cfg, n.bounds.tell, log); err != nil {
+		if n.peers, err = listenPeers(ctx, &cfg, n.bounds.maxQueuedDatagrams, log); err != nil {
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
-		n.loop.Tell = n.peers.tell
+		n.loop.SendToPeer = n.peers.send
 	}
 	n.applyCachedList(cfg)
 	if err := n.open(ctx, maxClients); err != nil {
@@ -106,18 +106,18 @@
 func (n *Node) open(ctx context.Context, maxClients int) (err error) {
 	if n.cfg.Management != "" {
 		listen := func(context.Context) (net.Listener, error) { return net.Listen("tcp", n.cfg.Management) }
-		if n.admin, err = openListener(ctx, listen); err != nil {
+		if n.adminListener, err = openListener(ctx, listen); err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
 	}
 	if n.cfg.Shared != "" {
 		if err = retryOpen(ctx, func(context.Context) (err error) {
-			n.place, err = handover.Open(n.cfg.Shared, n.cfg.Name, n.log)
+			n.handover, err = handover.Open(n.cfg.Shared, n.cfg.Name, n.log)
 			return err
 		}); err != nil {
 			return err
 		}
-		n.hand.Hear(n.place.Read(), n.loop.Clock())
+		n.tracker.MergeOverrides(n.handover.Read(), n.loop.Clock())
 	}
 	if ctx.Err() != nil { // the process got SIGTERM already
 		return ctx.Err()
@@ -134,9 +134,9 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	n.listener = clients.Limit(l, maxClients)
-	n.listener.HeadWithin = headWithin
-	n.lifecycle.Tell(life.Event{Kind: life.Opened})
-	if n.place != nil && n.place.Follows() {
+	n.listener.HeadTimeout = headTimeout
+	n.lifecycle.Handle(life.Event{Kind: life.AcceptStarted})
+	if n.handover != nil && n.handover.IsSuccessor() {
 		n.shareMachine(true)
 	}
 	return nil
@@ -149,10 +149,10 @@
 		n.log.Warn("known: the cached endpoint list can't be read: waiting for discovery", "error", cfg.knownErr)
 	}
 	if cached.Complete && len(cached.Members) > 0 {
-		n.disco.Holds(cached.Revision)
+		n.discovery.SetRevision(cached.Revision)
 	}
 	cached.Complete = true
-	n.takeList(balance.MembersRemembered, cached)
+	n.takeList(balance.MembersCached, cached)
 }
 
 // close closes the sockets of a node that was never run.
@@ -163,24 +163,24 @@
 	if n.listener != nil {
 		n.listener.Close()
 	}
-	if n.admin != nil {
-		n.admin.Close()
+	if n.adminListener != nil {
+		n.adminListener.Close()
 	}
-	if n.place != nil {
-		n.place.Close()
+	if n.handover != nil {
+		n.handover.Close()
 	}
 }
 
 // Addr returns the address on which the node listens for clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// hear queues a peer's message for the loop. It drops the message if too many are queued already.
-func (n *Node) hear(peer int, payload []byte) {
-	if int(n.hears.Add(1)) > n.bounds.hear || !n.loop.Post(func() {
-		n.hears.Add(-1)
+// receivePeerMessage queues a peer's message for the loop. It drops the message if too many are queued already.
+func (n *Node) receivePeerMessage(peer int, payload []byte) {
+	if int(n.queuedMessages.Add(1)) > n.bounds.maxQueuedMessages || !n.loop.Post(func() {
+		n.queuedMessages.Add(-1)
 		n.loop.Handle(balance.Event{Kind: balance.PeerMessage, Peer: peer, Payload: payload})
 	}) {
-		n.hears.Add(-1)
+		n.queuedMessages.Add(-1)
 	}
 }
 
@@ -192,30 +192,30 @@
 	defer stop()
 	wg.Go(func() { n.loop.Run(work.Done()) })
 	wg.Go(func() { n.pool.run(work) })
-	wg.Go(func() { every(work, clients.RelieveEvery, n.front.table.Relieve) })
-	wg.Go(func() { n.disco.Run(work) })
+	wg.Go(func() { every(work, clients.EvictInterval, n.front.table.EvictExcess) })
+	wg.Go(func() { n.discovery.Run(work) })
 	if n.peers != nil {
 		wg.Go(func() {
-			n.peers.run(work, n.hear)
+			n.peers.run(work, n.receivePeerMessage)
 		})
 	}
 	srv, limitedLog := n.front.server(), &lograte.Limited{Log: n.log}
-	if n.admin != nil {
+	if n.adminListener != nil {
 		admin := newAdminEndpoint(n)
-		wg.Go(func() { admin.srv.Serve(clients.Accepting(n.admin, limitedLog)) })
+		wg.Go(func() { admin.srv.Serve(clients.Accepting(n.adminListener, limitedLog)) })
 		wg.Go(func() { n.countBackendsPeriodically(work) })
 		defer admin.srv.Close()
 	}
-	if n.place != nil {
-		defer n.place.Close()
+	if n.handover != nil {
+		defer n.handover.Close()
 		wg.Go(func() {
-			n.place.Run(work, n.shareMachine, func(calls []members.Call) {
-				n.loop.PostFirst(func() { n.applyLines(n.hand.Hear(calls, n.loop.Clock())) })
+			n.handover.Run(work, n.shareMachine, func(calls []members.Override) {
+				n.loop.PostFirst(func() { n.applyLines(n.tracker.MergeOverrides(calls, n.loop.Clock())) })
 			})
 		})
 		n.awaitList(ctx)
 	}
-	n.running.Store(true)
+	n.isServing.Store(true)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(clients.Accepting(n.listener, limitedLog)) }()
 	wg.Go(func() { n.useCachedListInTime(work) })
@@ -232,7 +232,7 @@
 func longestDeadline(s settings.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range s.Config.Classes {
-		if c.Gone {
+		if c.IsRemoved {
 			continue
 		}
 		longest = max(longest, cmp.Or(c.Deadline, defaultDeadline))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -153,7 +153,7 @@
 
 // openRequests returns the number of requests in the table of the loop.
 func (s *testNode) openRequests(t *testing.T) (n int) {
-	s.runOnLoop(t, func() { n = s.loop.Open() })
+	s.runOnLoop(t, func() { n = s.loop.OpenRequests() })
 	return n
 }
 
@@ -228,7 +228,7 @@
 	receive(t, "the slow request at the backend", arrived)
 	began := time.Now()
 	n.stop()
-	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
+	eventually(t, "the start of the shutdown", func() bool { return n.front.isLeaving.Load() })
 	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
 		t.Errorf("readiness during shutdown: %d", resp.StatusCode)
 	}
@@ -268,10 +268,10 @@
 		listedBackend{ID: "s-0", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0},
 		listedBackend{ID: "s-1", Addr: newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), Phase: "ready", Up: 0})
 	cfg := testConfig(t, newRegistry(t, text).Addr, text)
-	cfg.Limits.Sockets = leastSockets
+	cfg.Limits.Sockets = minSockets
 	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.share()
-	n.front.table.KeepAll() // no idle connection is closed to make room
+	n.front.table.DisableEviction() // no idle connection is closed to make room
 	slow := make(chan string, 1)
 	go func() {
 		_, body := doRequest(t, newTestRequest(t, n.url+"/api/slow", "order"))
@@ -287,14 +287,14 @@
 		defer c.Close()
 		silent = append(silent, c)
 	}
-	eventually(t, "a full node", n.listener.Full)
+	eventually(t, "a full node", n.listener.IsFull)
 	queued := make(chan string, 1)
 	go func() {
 		_, body := doRequest(t, newTestRequest(t, n.url+"/api/waits", "order"))
 		queued <- body
 	}()
 	n.stop()
-	time.Sleep(life.Platform.Still + life.Late + 100*time.Millisecond)
+	time.Sleep(life.Platform.NewConnectionsWindow + life.ShutdownMargin + 100*time.Millisecond)
 	for _, c := range silent {
 		c.Close()
 	}
@@ -392,7 +392,7 @@
 	}
 	began := time.Now()
 	n.stop()
-	eventually(t, "the start of the shutdown", func() bool { return n.front.leaving.Load() })
+	eventually(t, "the start of the shutdown", func() bool { return n.front.isLeaving.Load() })
 	for {
 		resp, err := request()
 		if err != nil {
@@ -407,7 +407,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	// The node has 3 s and 0.7 s before SIGKILL, of which the longest request may need 0.5 s.
-	if d := time.Since(began); d < 2*(life.Platform.Still+life.Late) {
+	if d := time.Since(began); d < 2*(life.Platform.NewConnectionsWindow+life.ShutdownMargin) {
 		t.Errorf("connections closed too early, after %v", d)
 	}
 	if err := receive(t, "the end of the node", n.result); err != nil {
@@ -436,8 +436,8 @@
 			cfg := testConfig(t, newRegistry(t, text).Addr, text)
 			cfg.Shared = t.TempDir()
 			n := startNode(t, cfg)
-			eventually(t, "the node accepting clients", n.running.Load)
-			n.front.held.left.Store(0) // uploads are streamed, not buffered
+			eventually(t, "the node accepting clients", n.isServing.Load)
+			n.front.bodyBudget.available.Store(0) // uploads are streamed, not buffered
 			type answer struct {
 				what   string
 				status int
@@ -470,11 +470,11 @@
 			}()
 			if hasSuccessor {
 				startNode(t, cfg)
-				eventually(t, "a successor", n.place.Followed)
+				eventually(t, "a successor", n.handover.HasSuccessor)
 			}
 			began := time.Now()
 			n.stop()
-			eventually(t, "the start of the shutdown", n.front.leaving.Load)
+			eventually(t, "the start of the shutdown", n.front.isLeaving.Load)
 			sent := 2
 			if !hasSuccessor { // with a successor the node accepts no more connections
 				send("late", "order")
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -19,7 +19,7 @@
 // callManagement makes one call to the management endpoint of a node.
 func (s *testNode) callManagement(t *testing.T, method, path string) (int, string) {
 	t.Helper()
-	r, err := http.NewRequest(method, "http://"+s.admin.Addr().String()+path, nil)
+	r, err := http.NewRequest(method, "http://"+s.adminListener.Addr().String()+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,8 +89,8 @@
 	var ran sync.Map
 	n := startNodeWithManagement(t, &ran)
 	var closedCallers atomic.Int64 // callers whose connection was closed
-	for i := range 3 * adminLast {
-		c, err := net.Dial("tcp", n.admin.Addr().String())
+	for i := range 3 * maxAdminConns {
+		c, err := net.Dial("tcp", n.adminListener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,15 +111,15 @@
 		{"POST", "/control/backends/a/offline", 200}, {"POST", "/control/backends/a/online", 200},
 		{"POST", "/control/backends/nobody/offline", 404}, {"POST", "/control/backends/nobody/online", 404},
 		{"GET", "/control/backends/a/offline", 405}, {"POST", "/control/counters", 405}, {"GET", "/control/", 404},
-		{"POST", "/control/backends/" + strings.Repeat("x", idMost+1) + "/offline", 400},
+		{"POST", "/control/backends/" + strings.Repeat("x", maxIDBytes+1) + "/offline", 400},
 	} {
 		began := time.Now()
 		if status, _ := n.callManagement(t, tc.method, tc.path); status != tc.want || time.Since(began) > time.Second {
 			t.Errorf("%s %.40s: %d after %v, want %d", tc.method, tc.path, status, time.Since(began), tc.want)
 		}
 	}
-	if n := closedCallers.Load(); n < 2*adminLast {
-		t.Errorf("%d of %d silent callers were disconnected", n, 3*adminLast)
+	if n := closedCallers.Load(); n < 2*maxAdminConns {
+		t.Errorf("%d of %d silent callers were disconnected", n, 3*maxAdminConns)
 	}
 	blocked, unblock := make(chan bool), make(chan bool)
 	n.loop.Post(func() { close(blocked); <-unblock })
@@ -282,7 +282,7 @@
 			c := n.dial(t)
 			fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Qos: %s\r\nX-Customer: acme\r\nX-Expires-In: 9\r\nX-Trace-Id: half\r\n"+
 				"Idempotency-Key: k\r\nContent-Length: 6\r\n\r\nabc", class)
-			eventually(t, "the head of the request", func() bool { return n.front.table.Counts().Begun > 0 })
+			eventually(t, "the head of the request", func() bool { return n.front.table.Counts().Partial > 0 })
 			time.Sleep(50 * time.Millisecond) // so that the head is read under the old settings
 			if err := n.Reload(testConfig(t, n.cfg.Discovery, listText(1, true), effect, tc.change)); err != nil {
 				t.Fatal(err)
@@ -358,7 +358,7 @@
 	}
 	for range 3 {
 		successor := startProcess()
-		if !successor.place.Follows() {
+		if !successor.handover.IsSuccessor() {
 			t.Error("the successor did not find its predecessor")
 		}
 		if got := successor.counter(t, "backends_excluded"); got != 1 {
@@ -368,7 +368,7 @@
 		if err := receive(t, "the end of the predecessor", current.result); err != nil {
 			t.Error(err)
 		}
-		eventually(t, "the end of the handover at the successor", func() bool { return !successor.place.Follows() })
+		eventually(t, "the end of the handover at the successor", func() bool { return !successor.handover.IsSuccessor() })
 		current = successor
 	}
 	// A second process runs beside the current one, which isn't stopped. An operator's call to either applies to both.
@@ -429,13 +429,13 @@
 		}
 	})
 	n := startNodeWithBackends(t, b.Addr().String())
-	n.front.held.left.Store(1 << 20)
+	n.front.bodyBudget.available.Store(1 << 20)
 	body := func(size int, length int64) func(*http.Request) {
 		return func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", size))), length
 		}
 	}
-	for _, size := range []int{1, bodyMost - 1, bodyMost, bodyMost + 1, 500_000, 1<<20 + bodyMost, 3 << 20} {
+	for _, size := range []int{1, maxBufferedBodyBytes - 1, maxBufferedBodyBytes, maxBufferedBodyBytes + 1, 500_000, 1<<20 + maxBufferedBodyBytes, 3 << 20} {
 		for _, length := range []int64{int64(size), -1} {
 			if resp, got := doRequest(t, newTestRequest(t, n.url+"/api/count", "order", body(size, length))); resp.StatusCode != 200 || got != fmt.Sprint(size) {
 				t.Errorf("%d bytes, length %d: %d %q", size, length, resp.StatusCode, got)
@@ -455,7 +455,7 @@
 		t.Errorf("a broken answer looks complete with %d bytes", len(got))
 	}
 	resp.Body.Close()
-	if left := n.front.held.left.Load(); left != 1<<20 {
+	if left := n.front.bodyBudget.available.Load(); left != 1<<20 {
 		t.Errorf("%d bytes of the budget were not released", 1<<20-left)
 	}
 	eventually(t, "an empty request table", func() bool { return n.openRequests(t) == 0 })
@@ -473,7 +473,7 @@
 		resetConn(c)
 	})
 	n := startNodeWithBackends(t, b.Addr().String())
-	n.front.held.left.Store(0)
+	n.front.bodyBudget.available.Store(0)
 	resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order", func(r *http.Request) {
 		r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 8<<20))), 8<<20
 	}))
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -11,11 +11,11 @@
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "the node accepting clients", n.running.Load)
-	tuning := n.front.tuning.Load()
-	n.front.tuning.Store(nil) // makes the handler panic on a nil pointer
+	eventually(t, "the node accepting clients", n.isServing.Load)
+	tuning := n.front.settings.Load()
+	n.front.settings.Store(nil) // makes the handler panic on a nil pointer
 	resp, err := http.DefaultTransport.RoundTrip(newTestRequest(t, n.url+"/api/x", "order"))
-	n.front.tuning.Store(tuning)
+	n.front.settings.Store(tuning)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
@@ -26,8 +26,8 @@
 	if resp, _ := doRequest(t, newTestRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("next request: %d", resp.StatusCode)
 	}
-	book := &n.front.book
-	if book.Open() != 0 || book.Taken.Load() != 2 || book.Answered.Load() != 2 {
-		t.Errorf("accepted %d, answered %d, open %d", book.Taken.Load(), book.Answered.Load(), book.Open())
+	book := &n.front.requestCounts
+	if book.Open() != 0 || book.Accepted.Load() != 2 || book.Answered.Load() != 2 {
+		t.Errorf("accepted %d, answered %d, open %d", book.Accepted.Load(), book.Answered.Load(), book.Open())
 	}
 }
--- a/internal/node/paths_test.go
+++ b/internal/node/paths_test.go
@@ -32,7 +32,7 @@
 	})
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	for _, path := range []string{"/api/x", "/api/a%2Fb%7e", `/api/"quoted"|{x}^`, "//api//x/", "/api/x?", "/api/x?a=%zz&b=;c", "/api/../x/./y", "/api/\xc3\xbc?\xfc"} {
 		c := n.dial(t)
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: path-%d\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n", path, lastID.Add(1))
@@ -52,7 +52,7 @@
 func TestLibraryAnswersNoRequest(t *testing.T) {
 	text := listText(1, true, listedBackend{ID: "s", Addr: "127.0.0.1:1", Phase: "ready"})
 	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	for _, line := range []string{"OPTIONS * HTTP/1.1", "OPTIONS /api/x HTTP/1.1", "TRACE /api/x HTTP/1.1", "CONNECT x:1 HTTP/1.1", "PRI * HTTP/2.0", "HEAD /api/x HTTP/1.1"} {
 		c := n.dial(t)
 		fmt.Fprintf(c, "%s\r\nHost: x\r\nX-Trace-Id: odd-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n", line, lastID.Add(1))
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -19,15 +19,15 @@
 // readRetryDelay is the pause after a failed read of a datagram.
 const readRetryDelay = 10 * time.Millisecond
 
-// datagramMost is the maximum size of a datagram between nodes, in bytes.
-const datagramMost = 256
+// maxDatagramBytes is the maximum size of a datagram between nodes, in bytes.
+const maxDatagramBytes = 256
 
 // peers exchanges datagrams with the other nodes.
 type peers struct {
 	conn       *net.UDPConn
 	addrs      []netip.AddrPort // by peer number
 	allAddr    netip.AddrPort
-	out        chan datagram
+	sendQueue  chan datagram
 	limitedLog lograte.Limited // rate-limited log of ignored datagrams
 }
 
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peers{out: make(chan datagram, maxQueued), limitedLog: lograte.Limited{Log: log}}
+	p := &peers{sendQueue: make(chan datagram, maxQueued), limitedLog: lograte.Limited{Log: log}}
 	for _, s := range cfg.Peers {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
@@ -80,9 +80,9 @@
 	return p, nil
 }
 
-// tell sends a datagram to one peer or to all of them. It never blocks. If the queue is full, it drops the
+// send sends a datagram to one peer or to all of them. It never blocks. If the queue is full, it drops the
 // datagram, since datagrams may be lost anyway.
-func (p *peers) tell(peer int, payload []byte) {
+func (p *peers) send(peer int, payload []byte) {
 	to := p.allAddr
 	if peer != balance.AllPeers {
 		if peer < 0 || peer >= len(p.addrs) {
@@ -90,11 +90,11 @@
 		}
 		to = p.addrs[peer]
 	}
-	if !to.IsValid() || len(payload) > datagramMost {
+	if !to.IsValid() || len(payload) > maxDatagramBytes {
 		return
 	}
 	select {
-	case p.out <- datagram{to, append([]byte(nil), payload...)}:
+	case p.sendQueue <- datagram{to, append([]byte(nil), payload...)}:
 	default:
 	}
 }
@@ -109,7 +109,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case d := <-p.out:
+			case d := <-p.sendQueue:
 				p.conn.WriteToUDPAddrPort(d.payload, d.to)
 			}
 		}
@@ -118,7 +118,7 @@
 	for i, a := range p.addrs {
 		number[a] = i
 	}
-	buf := make([]byte, datagramMost+1)
+	buf := make([]byte, maxDatagramBytes+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -132,7 +132,7 @@
 			continue
 		}
 		i, ok := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !ok || n > datagramMost {
+		if !ok || n > maxDatagramBytes {
 			p.limitedLog.Warn("datagram ignored: too long, or its sender is not in peers", "from", from, "bytes", n)
 			continue
 		}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -29,7 +29,7 @@
 	peer, stranger := listenUDP(t), listenUDP(t)
 	var logged bytes.Buffer // read when run has ended
 	p, err := listenPeers(t.Context(), &Config{PeerListen: "127.0.0.1:0", PeersAll: peer.LocalAddr().String(),
-		Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()}}, tellLeast, slog.New(slog.NewTextHandler(&logged, nil)))
+		Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()}}, minQueuedDatagrams, slog.New(slog.NewTextHandler(&logged, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,17 +47,17 @@
 	to := p.conn.LocalAddr().(*net.UDPAddr)
 	// Datagrams of strangers and oversized ones are ignored. Datagrams on loopback keep their order.
 	stranger.WriteToUDP([]byte("stranger"), to)
-	peer.WriteToUDP([]byte(strings.Repeat("x", datagramMost+1)), to)
+	peer.WriteToUDP([]byte(strings.Repeat("x", maxDatagramBytes+1)), to)
 	peer.WriteToUDP([]byte("hello"), to)
 	if got := receive(t, "a datagram", deliveries); got != (delivery{1, "hello"}) {
 		t.Errorf("received %+v", got)
 	}
 	// Oversized datagrams and those for an unknown peer are not sent.
-	p.tell(1, make([]byte, datagramMost+1))
-	p.tell(7, []byte("nobody"))
-	p.tell(1, []byte("one"))
-	p.tell(balance.AllPeers, []byte("all"))
-	buf := make([]byte, 2*datagramMost)
+	p.send(1, make([]byte, maxDatagramBytes+1))
+	p.send(7, []byte("nobody"))
+	p.send(1, []byte("one"))
+	p.send(balance.AllPeers, []byte("all"))
+	buf := make([]byte, 2*maxDatagramBytes)
 	for _, want := range []string{"one", "all"} {
 		n, _, err := peer.ReadFromUDP(buf)
 		if err != nil || string(buf[:n]) != want {
@@ -74,10 +74,10 @@
 // A peer that floods the node, or a loop that falls behind, must not fill the memory with queued messages.
 func TestQueuedPeerMessagesAreBounded(t *testing.T) {
 	n := &Node{loop: engine.New(engine.Config{}), bounds: boundsOf(Limits{}, 40)} // its loop doesn't run
-	for range 3 * n.bounds.hear {
-		n.hear(1, nil)
+	for range 3 * n.bounds.maxQueuedMessages {
+		n.receivePeerMessage(1, nil)
 	}
-	if got := n.hears.Load(); int(got) != n.bounds.hear {
+	if got := n.queuedMessages.Load(); int(got) != n.bounds.maxQueuedMessages {
 		t.Errorf("%d messages wait, want the limit", got)
 	}
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -16,12 +16,12 @@
 // conn is a connection to a backend. It carries one request at a time.
 type conn struct {
 	net.Conn
-	to      engine.Endpoint
-	limit   io.LimitedReader // bounds the bytes of one answer
-	read    *bufio.Reader
-	idleAt  time.Time
-	idleAge time.Duration // idle time when it was last taken
-	kept    bool          // it has carried an answer before
+	to       engine.Endpoint
+	limit    io.LimitedReader // bounds the bytes of one answer
+	read     *bufio.Reader
+	idleAt   time.Time
+	idleAge  time.Duration // idle time when it was last taken
+	isReused bool          // it has carried an answer before
 }
 
 var (
@@ -29,16 +29,16 @@
 	errNoCapacity = errors.New("no room for another backend connection")
 	// errNewConnNotQuiet reports that a new connection ended, or had bytes to read, before anything was written.
 	errNewConnNotQuiet = errors.New("new backend connection closed or readable before the request")
-	// errEarly reports the same before the last byte of a request was written.
-	errEarly = errors.New("backend answered or closed before the last byte of the request")
+	// errEarlyData reports the same before the last byte of a request was written.
+	errEarlyData = errors.New("backend answered or closed before the last byte of the request")
 )
 
 // pool holds the idle connections to backends, and counts all connections.
 type pool struct {
-	dialer     net.Dialer
-	most       int           // limit on connections, idle or in use
-	keep       time.Duration // how long a connection may be idle
-	breakRates wear
+	dialer      net.Dialer
+	maxConns    int           // limit on connections, idle or in use
+	idleTimeout time.Duration // how long a connection may be idle
+	breakRates  idleBreakRates
 
 	mu   sync.Mutex
 	idle map[engine.Endpoint][]*conn // the most recently used connection is last
@@ -50,10 +50,10 @@
 	return &pool{
 		// The dial timeout is for a machine that answers no SYN. Keep-alive is off because its packets would
 		// detect nothing.
-		dialer: net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
-		most:   maxConns,
-		keep:   keep,
-		idle:   map[engine.Endpoint][]*conn{},
+		dialer:      net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
+		maxConns:    maxConns,
+		idleTimeout: keep,
+		idle:        map[engine.Endpoint][]*conn{},
 	}
 }
 
@@ -78,7 +78,7 @@
 func (p *pool) setTimes(connectTimeout, idleClose time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dialer.Timeout, p.keep = poolTimes(connectTimeout, idleClose)
+	p.dialer.Timeout, p.idleTimeout = poolTimes(connectTimeout, idleClose)
 }
 
 // get returns an idle connection, or dials one. A probe gets the connection that has been idle longest, even if
@@ -115,7 +115,7 @@
 		nc, err = dialer.DialContext(ctx, "tcp", addr)
 		return err
 	})
-	if sock.LocalFailure(err) {
+	if sock.IsLocalError(err) {
 		err = errors.Join(errNoCapacity, err)
 	}
 	return nc, err
@@ -134,12 +134,12 @@
 		if probe {
 			c = list[0]
 			copy(list, list[1:])
-		} else if p.breakRates.worn(time.Since(c.idleAt)) {
+		} else if p.breakRates.breaksTooOften(time.Since(c.idleAt)) {
 			return nil // the others are older
 		}
 		list[last] = nil
 		p.setIdle(to, list[:last])
-		if c.idleAge = time.Since(c.idleAt); c.idleAge < p.keep {
+		if c.idleAge = time.Since(c.idleAt); c.idleAge < p.idleTimeout {
 			return c
 		}
 		c.Close()
@@ -160,7 +160,7 @@
 func (p *pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open < p.most {
+	if p.open < p.maxConns {
 		p.open++
 		return true
 	}
@@ -187,7 +187,7 @@
 func (p *pool) resize(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = maxConns
+	p.maxConns = maxConns
 	for p.open > maxConns && p.closeOldestIdle() {
 		p.open--
 	}
@@ -201,10 +201,10 @@
 
 // put returns a connection to the pool after a whole answer.
 func (p *pool) put(c *conn) {
-	c.idleAt, c.kept = time.Now(), true
+	c.idleAt, c.isReused = time.Now(), true
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open > p.most { // the limit was higher when it was dialed
+	if p.open > p.maxConns { // the limit was higher when it was dialed
 		c.Close()
 		p.open--
 		return
@@ -233,7 +233,7 @@
 func (p *pool) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		keep := p.keep
+		keep := p.idleTimeout
 		p.mu.Unlock()
 		pause(ctx, min(max(keep/8, time.Millisecond), time.Second)) // at least 1 ms to avoid a busy loop, at most 1 s to notice a shorter keep
 		p.sweep(keep)
@@ -262,5 +262,5 @@
 	if c.read.Buffered() > 0 {
 		return false
 	}
-	return sock.Quiet(c.Conn)
+	return sock.IsIdle(c.Conn)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -44,7 +44,7 @@
 	u := newActiveSettings(s, counts)
 	for i := range s.Classes {
 		switch {
-		case !s.Config.Classes[i].Gone:
+		case !s.Config.Classes[i].IsRemoved:
 		case i < len(t.removedAt) && !t.removedAt[i].IsZero():
 			u.removedAt[i] = t.removedAt[i]
 		default:
@@ -58,15 +58,15 @@
 // settings change. Settings that are fixed from start to end and the other keys are logged if they differ. Only
 // one goroutine may call Reload.
 func (n *Node) Reload(cfg Config) error {
-	if at := settings.Missing(n.cfg.keys, cfg.keys); n.cfg.keys != nil && cfg.keys != nil && at != "" {
+	if at := settings.MissingKey(n.cfg.keys, cfg.keys); n.cfg.keys != nil && cfg.keys != nil && at != "" {
 		return n.LogReloadFailure(fmt.Errorf("configuration: %s: missing: the configuration in use has this key: add it",
 			strings.TrimPrefix(at, ".")))
 	}
 	old := n.latest // the loop may not have applied the last file yet
-	if err := errors.Join(cfg.check(), cfg.Settings.CheckInService(old.Settings)); err != nil {
+	if err := errors.Join(cfg.check(), cfg.Settings.CheckReplacement(old.Settings)); err != nil {
 		return n.LogReloadFailure(fmt.Errorf("configuration: settings: %w", err))
 	}
-	if names := n.figures.classesWith(cfg.Settings.Classes); names > maxClassNames {
+	if names := n.counters.classesWith(cfg.Settings.Classes); names > maxClassNames {
 		return n.LogReloadFailure(fmt.Errorf(
 			"configuration: settings: classes: %d names since the start, limit %d: each name keeps its counters: restart the node",
 			names, maxClassNames))
@@ -94,23 +94,23 @@
 		n.log.Warn("changes that need a restart", "keys", strings.Join(fixed, " "))
 	}
 	n.cfg.keys = cfg.keys
-	next := old.adopt(cfg.Settings, n.figures, time.Now())
+	next := old.adopt(cfg.Settings, n.counters, time.Now())
 	if !reflect.DeepEqual(old.Config, next.Config) || !slices.Equal(old.Classes, next.Classes) {
 		n.log.Info("settings changed", "classes", next.inUse())
 		n.latest = next
 		// The Balancer gets a new class before any request can use it.
 		n.loop.Post(func() {
 			n.loop.Handle(balance.Event{Kind: balance.SettingsChanged, Settings: &next.Config})
-			n.front.tuning.Store(next)
-			n.hand.WarmWithin = next.Config.Rules.WarmWithin
-			n.disco.Grace(next.Config.Rules.DrainGrace)
+			n.front.settings.Store(next)
+			n.tracker.WarmWithin = next.Config.Rules.WarmWithin
+			n.discovery.SetDrainGrace(next.Config.Rules.DrainGrace)
 			n.pool.setTimes(next.Config.Limits.ConnectTimeout, next.Config.Limits.IdleClose)
-			n.lifecycle.Tell(life.Event{Kind: life.Changed, Deadline: longestDeadline(next.Settings)})
+			n.lifecycle.Handle(life.Event{Kind: life.SettingsChanged, Deadline: longestDeadline(next.Settings)})
 		})
 	}
-	n.figures.reloadsOK.Add(1)
+	n.counters.reloadsOK.Add(1)
 	n.log.Info("configuration reloaded", "discovery", cfg.Discovery)
-	n.disco.Move(cfg.Discovery)
+	n.discovery.SetAddr(cfg.Discovery)
 	return nil
 }
 
@@ -126,7 +126,7 @@
 func (t *activeSettings) inUse() []string {
 	var names []string
 	for i, name := range t.Classes {
-		if !t.Config.Classes[i].Gone {
+		if !t.Config.Classes[i].IsRemoved {
 			names = append(names, name)
 		}
 	}
@@ -135,7 +135,7 @@
 
 // LogReloadFailure logs and counts a rejected configuration. The old one stays in effect as a whole.
 func (n *Node) LogReloadFailure(err error) error {
-	n.figures.reloadsFailed.Add(1)
+	n.counters.reloadsFailed.Add(1)
 	n.log.Error("configuration not reloaded: the old one stays in effect", "error", err)
 	return err
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -147,7 +147,7 @@
 	}
 	close(unblock)
 	n.runOnLoop(t, func() {})
-	current := n.front.tuning.Load()
+	current := n.front.settings.Load()
 	if got := strings.Join(current.inUse(), " "); got != "read order token" || len(current.Classes) != 5 {
 		t.Errorf("classes in use: %q of %q", got, current.Classes)
 	}
--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -18,7 +18,7 @@
 
 // engineFixture is an engine that sends over exchanges to two backends. The test can advance its clock.
 type engineFixture struct {
-	transport    *exchanges
+	transport    *transport
 	loop         *engine.Engine
 	clockAdvance atomic.Int64
 	results      chan engine.Result
@@ -28,18 +28,18 @@
 	p := &engineFixture{transport: newTestExchanges(t), results: make(chan engine.Result, 8)}
 	bal, err := balance.New(balance.Config{
 		Classes: []balance.Class{{Aim: time.Second, Deadline: testTimeout, Effect: balance.Keyed, Window: window, Scope: balance.ScopeAll, Points: 1}},
-		Limits:  balance.Limits{MaxAttempts: 2, FreeRetries: 10},
+		Limits:  balance.Limits{MaxAttempts: 2, RetriesPerSecond: 10},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.loop = engine.New(engine.Config{Balancer: bal, Transport: p.transport, Saw: func(_ string, r engine.Result) { p.results <- r },
+	p.loop = engine.New(engine.Config{Balancer: bal, Transport: p.transport, OnResult: func(_ string, r engine.Result) { p.results <- r },
 		Now: func() time.Time { return time.Now().Add(time.Duration(p.clockAdvance.Load())) }})
 	var l engine.List
 	for _, a := range addrs {
 		l.Members = append(l.Members, engine.Member{ID: a, Addr: a, Member: balance.Member{Weight: 1}})
 	}
-	p.loop.TakeList(balance.MembersChanged, l)
+	p.loop.UpdateBackends(balance.MembersChanged, l)
 	quit := make(chan struct{})
 	go p.loop.Run(quit)
 	t.Cleanup(func() { close(quit); <-p.loop.Done() })
@@ -49,7 +49,7 @@
 // place places a request with this message.
 func (p *engineFixture) place(m *message) *engine.Request {
 	r := &engine.Request{ID: "x", Deadline: p.loop.Now().Add(testTimeout), Message: m, Reply: make(chan engine.Answer, 1)}
-	p.loop.Place(r)
+	p.loop.Submit(r)
 	return r
 }
 
@@ -110,8 +110,8 @@
 		})
 	}
 	for name, addBody := range map[string]func(m *message){
-		"one piece": func(m *message) { m.body = make([]byte, bodyMost) },
-		"in pieces": func(m *message) { m.body = make([]byte, 1); m.more = [][]byte{make([]byte, bodyMost)} },
+		"one piece": func(m *message) { m.body = make([]byte, maxBufferedBodyBytes) },
+		"in pieces": func(m *message) { m.body = make([]byte, 1); m.more = [][]byte{make([]byte, maxBufferedBodyBytes)} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var accepted atomic.Int32
@@ -185,12 +185,12 @@
 		return nil
 	}
 	m := getMessage("x")
-	m.method, m.left0, m.streams = "POST", testTimeout, make(chan *stream, 1)
-	m.up = &upload{from: &patient{body: strings.NewReader(body), rc: &http.ResponseController{}}, length: int64(len(body)), within: 100}
+	m.method, m.timeLeft, m.streams = "POST", testTimeout, make(chan *stream, 1)
+	m.upload = &upload{from: &pacedReader{body: strings.NewReader(body), rc: &http.ResponseController{}}, length: int64(len(body)), remaining: 100}
 	r := p.place(m)
 	addr := receive(t, "the first dial", dialing)
 	p.loop.Post(func() {
-		p.loop.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
+		p.loop.UpdateBackends(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
 			Member: balance.Member{Weight: 1, Phase: balance.Draining}}}})
 	})
 	ans := receive(t, "the answer", r.Reply)
--- a/internal/node/shutdown_inflight_test.go
+++ b/internal/node/shutdown_inflight_test.go
@@ -34,7 +34,7 @@
 		"half a head": func(t *testing.T, n *testNode, c net.Conn, shutDown func()) {
 			text := post("half", 0)
 			io.WriteString(c, text[:30])
-			eventually(t, "the half head", func() bool { return n.front.table.Counts().Begun == 1 })
+			eventually(t, "the half head", func() bool { return n.front.table.Counts().Partial == 1 })
 			shutDown()
 			time.Sleep(1800 * time.Millisecond)
 			io.WriteString(c, text[30:])
@@ -115,13 +115,13 @@
 			c.SetDeadline(time.Now().Add(testTimeout))
 			run(t, n, c, func() {
 				n.stop()
-				eventually(t, "the start of the shutdown", n.front.leaving.Load)
+				eventually(t, "the start of the shutdown", n.front.isLeaving.Load)
 			})
 			if err := receive(t, "the end of the node", n.result); err != nil {
 				t.Error(err)
 			}
-			if b := &n.front.book; b.Open() != 0 || b.Taken.Load() != b.Answered.Load() {
-				t.Errorf("accepted %d, answered %d, client left %d", b.Taken.Load(), b.Answered.Load(), b.Left.Load())
+			if b := &n.front.requestCounts; b.Open() != 0 || b.Accepted.Load() != b.Answered.Load() {
+				t.Errorf("accepted %d, answered %d, client left %d", b.Accepted.Load(), b.Answered.Load(), b.ClientLeft.Load())
 			}
 		})
 	}
--- a/internal/node/shutdown_load_test.go
+++ b/internal/node/shutdown_load_test.go
@@ -42,7 +42,7 @@
 		if class == "order" {
 			text += "abc"
 		}
-		if !first && !sock.Quiet(c) {
+		if !first && !sock.IsIdle(c) {
 			return // closed between two requests, which the client sees before it writes
 		}
 		writtenAt := time.Since(counts.began)
@@ -113,7 +113,7 @@
 	}))
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline)))
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	counts := &clientTally{began: time.Now()}
 	var clients sync.WaitGroup
 	connect := func() { // a client that can't connect sends nothing
@@ -126,7 +126,7 @@
 	for range first {
 		connect()
 	}
-	eventually(t, "all connected", func() bool { return n.listener.Holds() == first })
+	eventually(t, "all connected", func() bool { return n.listener.OpenCount() == first })
 	done := make(chan struct{})
 	clients.Go(func() {
 		const every = 5 * time.Millisecond
@@ -141,7 +141,7 @@
 	})
 	stoppedAt := time.Since(counts.began)
 	n.stop()
-	for time.Since(counts.began)-stoppedAt < life.Platform.Still {
+	for time.Since(counts.began)-stoppedAt < life.Platform.NewConnectionsWindow {
 		connect()
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -161,15 +161,15 @@
 		addFault(is, "%s: closed without an answer, but it ran", id)
 	}
 	accepted, written, answered, killAt := counts.lastAccepted-stoppedAt, counts.lastWritten-stoppedAt, counts.lastAnswered-stoppedAt, deadline+life.Platform.Grace
-	book := &n.front.book
-	acceptedRequests, open, left := int(book.Taken.Load()), book.Open(), book.Left.Load()
+	book := &n.front.requestCounts
+	acceptedRequests, open, left := int(book.Accepted.Load()), book.Open(), book.ClientLeft.Load()
 	t.Logf("%d written, %d answered (%d served), %d crossed by a close; last connection after %v, last write %v, last answer %v, end %v of %v; timers late by %v",
 		counts.written, counts.answered, counts.served, len(counts.crossedByClose), accepted, written, answered, ended, killAt, late)
 	addFault(len(counts.lost) > 0, "lost: %q", counts.lost)
 	addFault(counts.newConnRefused > 0, "%d new connections closed without an answer", counts.newConnRefused)
 	addFault(acceptedRequests != counts.answered || open != 0 || left != 0, "accepted %d, open %d, left %d; clients have %d answers", acceptedRequests, open, left, counts.answered)
 	// Late timers of the machine delay the node too.
-	addFault(answered > killAt-life.Late/2+late || ended >= killAt+late, "last answer after %v, end after %v, SIGKILL after %v", answered, ended, killAt)
-	addFault(accepted < life.Platform.Still/2-late || counts.served == 0 || len(counts.crossedByClose) > counts.written/20, "accepted connections for %v, %d served, %d crossed by a close", accepted, counts.served, len(counts.crossedByClose))
+	addFault(answered > killAt-life.ShutdownMargin/2+late || ended >= killAt+late, "last answer after %v, end after %v, SIGKILL after %v", answered, ended, killAt)
+	addFault(accepted < life.Platform.NewConnectionsWindow/2-late || counts.served == 0 || len(counts.crossedByClose) > counts.written/20, "accepted connections for %v, %d served, %d crossed by a close", accepted, counts.served, len(counts.crossedByClose))
 	return faults, late
 }
--- a/internal/node/shutdown_pipelined_test.go
+++ b/internal/node/shutdown_pipelined_test.go
@@ -12,9 +12,9 @@
 // Only the last answer closes it. Closing with the first would lose a request that the node has read.
 func TestPipelinedRequestIsAnsweredBeforeClose(t *testing.T) {
 	for name, c := range map[string]struct{ before, during func(*front) }{
-		"closing before":     {before: func(f *front) { f.closing.Store(true) }},
-		"closing while open": {during: func(f *front) { f.closing.Store(true) }},
-		"above the limit":    {before: func(f *front) { f.most.Store(0) }},
+		"closing before":     {before: func(f *front) { f.closesConnections.Store(true) }},
+		"closing while open": {during: func(f *front) { f.closesConnections.Store(true) }},
+		"above the limit":    {before: func(f *front) { f.maxInFlight.Store(0) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -25,7 +25,7 @@
 				return ok200("x")
 			}))
 			n := startNodeWithBackends(t, b.Addr().String())
-			eventually(t, "the node accepting clients", n.running.Load)
+			eventually(t, "the node accepting clients", n.isServing.Load)
 			n.runOnLoop(t, func() {})
 			if c.before != nil {
 				c.before(n.front)
@@ -33,7 +33,7 @@
 			conn := n.dial(t)
 			request := orderHead + "X-Trace-Id: ID\r\nContent-Length: 3\r\n\r\nabc"
 			io.WriteString(conn, strings.Replace(request, "ID", "first", 1)+strings.Replace(request, "ID", "behind", 1))
-			if n.front.most.Load() > 0 {
+			if n.front.maxInFlight.Load() > 0 {
 				receive(t, "the first request at the backend", arrived)
 			}
 			if c.during != nil {
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -77,7 +77,7 @@
 	n := startChangedNode(t, testConfig(t, newRegistry(t, text).Addr, text), func(n *Node) {
 		n.listener.Listener = stalledListener{n.listener.Listener, delay}
 	})
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	c := n.dial(t)
 	r := bufio.NewReader(c)
 	for i, part := range []struct{ head, body string }{
--- a/internal/node/stalled_requests_test.go
+++ b/internal/node/stalled_requests_test.go
@@ -17,7 +17,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
 	text := listText(1, true, listedBackend{ID: "s", Addr: b.Addr().String(), Phase: "ready"})
 	n := startNode(t, testConfig(t, newRegistry(t, text).Addr, text))
-	eventually(t, "the node accepting clients", n.running.Load)
+	eventually(t, "the node accepting clients", n.isServing.Load)
 	order := func(length string) string {
 		return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: stops-%d\r\nX-Qos: order\r\nX-Customer: acme\r\n%s\r\n\r\n",
 			lastID.Add(1), length)
--- a/internal/node/successor.go
+++ b/internal/node/successor.go
@@ -25,18 +25,18 @@
 func (n *Node) awaitList(ctx context.Context) {
 	since, began := n.loop.Clock(), time.Now()
 	defer func() {
-		for n.place.Follows() && time.Since(began) < learnedTimeout {
-			if l, ok := n.place.ReadLearned(since-learnedMaxLead, n.loop.Clock()); ok {
+		for n.handover.IsSuccessor() && time.Since(began) < learnedTimeout {
+			if l, ok := n.handover.ReadLearned(since-learnedMaxLead, n.loop.Clock()); ok {
 				n.restoreLearned(l)
 				return
 			}
-			pause(ctx, living.LookEvery)
+			pause(ctx, living.SnapshotInterval)
 		}
 	}()
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	for ctx.Err() == nil && !(n.hasList.Load() && n.loop.Ready()) {
-		pause(ctx, living.LookEvery)
+	for ctx.Err() == nil && !(n.hasList.Load() && n.loop.HasReadyBackend()) {
+		pause(ctx, living.SnapshotInterval)
 	}
 }
 
@@ -49,7 +49,7 @@
 	done := make(chan struct{})
 	if !n.loop.PostFirst(func() {
 		defer close(done)
-		names := n.front.tuning.Load().Classes
+		names := n.front.settings.Load().Classes
 		classes := make([]balance.LearnedClass, len(names))
 		for i, name := range names {
 			if at := slices.Index(l.Classes, name); at >= 0 && at < len(l.Balance.Classes) {
@@ -57,7 +57,7 @@
 			}
 		}
 		l.Balance.Classes = classes
-		n.loop.Balancer.Relearn(l.Balance)
+		n.loop.Balancer.Restore(l.Balance)
 	}) {
 		return
 	}
@@ -69,9 +69,9 @@
 // calls it.
 func (n *Node) saveLearned() {
 	n.loop.PostFirst(func() {
-		l := handover.Learned{At: n.loop.Clock(), Classes: n.front.tuning.Load().Classes, Balance: n.loop.Balancer.Learned()}
+		l := handover.Learned{At: n.loop.Clock(), Classes: n.front.settings.Load().Classes, Balance: n.loop.Balancer.Learned()}
 		go func() {
-			if err := n.place.WriteLearned(l); err != nil {
+			if err := n.handover.WriteLearned(l); err != nil {
 				n.log.Warn("learned state not written: the next process starts without it", "error", err)
 			}
 		}()
@@ -86,7 +86,7 @@
 	if shared {
 		limits, nodes = limits.halved(), 2*nodes
 	}
-	if shared && n.place.Followed() {
+	if shared && n.handover.HasSuccessor() {
 		n.saveLearned()
 	}
 	n.log.Info("share of the machine", "another process of this node runs", shared)
@@ -97,5 +97,5 @@
 	if heap := limits.Heap(); heap > 0 {
 		debug.SetMemoryLimit(heap)
 	}
-	n.loop.PostFirst(func() { n.loop.Handle(balance.Event{Kind: balance.InstancesCounted, Instances: nodes}) })
+	n.loop.PostFirst(func() { n.loop.Handle(balance.Event{Kind: balance.InstancesChanged, Instances: nodes}) })
 }
--- a/internal/node/unusual_settings_test.go
+++ b/internal/node/unusual_settings_test.go
@@ -52,7 +52,7 @@
 			var wg sync.WaitGroup
 			wg.Go(func() { n.loop.Run(ctx.Done()) })
 			wg.Go(func() { n.pool.run(ctx) })
-			wg.Go(func() { n.disco.Run(ctx) })
+			wg.Go(func() { n.discovery.Run(ctx) })
 			wg.Go(func() { srv.Serve(n.listener) })
 			defer wg.Wait()
 			defer srv.Close()
--- a/internal/settings/adopt.go
+++ b/internal/settings/adopt.go
@@ -8,10 +8,10 @@
 	"glencart/balance"
 )
 
-// Missing returns the path of a key that is in the old JSON object but not in the next one, at any depth. It returns an
+// MissingKey returns the path of a key that is in the old JSON object but not in the next one, at any depth. It returns an
 // empty string if there is none. Each object in a list of next needs the keys that all objects in the old list have. Both
 // are values that encoding/json decodes into an any.
-func Missing(old, next any) string {
+func MissingKey(old, next any) string {
 	switch old := old.(type) {
 	case map[string]any:
 		next, ok := next.(map[string]any)
@@ -23,7 +23,7 @@
 			if !ok || value == nil && old[key] != nil {
 				return "." + key
 			}
-			if path := Missing(old[key], value); path != "" {
+			if path := MissingKey(old[key], value); path != "" {
 				return "." + key + path
 			}
 		}
@@ -34,7 +34,7 @@
 		}
 		required := commonKeys(old)
 		for i, value := range next {
-			if path := Missing(required, value); len(required) > 0 && path != "" {
+			if path := MissingKey(required, value); len(required) > 0 && path != "" {
 				return fmt.Sprintf("[%d]%s", i, path)
 			}
 		}
@@ -55,10 +55,10 @@
 	return shared
 }
 
-// CheckInService reports an error if the settings can't replace old ones in use. A deadline or a number of attempts may be
+// CheckReplacement reports an error if the settings can't replace old ones in use. A deadline or a number of attempts may be
 // left to its default only if the old settings did so.
-func (s Settings) CheckInService(old Settings) error {
-	oldHasDefault := slices.ContainsFunc(old.Config.Classes, func(c balance.Class) bool { return c.Deadline == 0 && !c.Gone })
+func (s Settings) CheckReplacement(old Settings) error {
+	oldHasDefault := slices.ContainsFunc(old.Config.Classes, func(c balance.Class) bool { return c.Deadline == 0 && !c.IsRemoved })
 	if err := s.Check(); err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 	}
 	adopted.Classes, adopted.Config.Classes = slices.Clone(s.Classes), slices.Clone(s.Config.Classes)
 	for i := range adopted.Config.Classes {
-		adopted.Config.Classes[i].Gone = true
+		adopted.Config.Classes[i].IsRemoved = true
 	}
 	var added []int
 	for i, name := range next.Classes {
@@ -97,8 +97,8 @@
 		}
 	}
 	for _, i := range added {
-		index := slices.IndexFunc(adopted.Config.Classes, func(c balance.Class) bool { return c.Gone })
-		for ; index >= 0 && index < len(adopted.Classes) && !(adopted.Config.Classes[index].Gone && free(index)); index++ {
+		index := slices.IndexFunc(adopted.Config.Classes, func(c balance.Class) bool { return c.IsRemoved })
+		for ; index >= 0 && index < len(adopted.Classes) && !(adopted.Config.Classes[index].IsRemoved && free(index)); index++ {
 		}
 		if index < 0 || index == len(adopted.Classes) {
 			adopted.Classes, adopted.Config.Classes = append(adopted.Classes, ""), append(adopted.Config.Classes, balance.Class{})
@@ -112,7 +112,7 @@
 // Class returns the number of a class, or -1 if there is none or it is gone.
 func (s *Settings) Class(name string) int {
 	i := slices.Index(s.Classes, name)
-	if i >= 0 && s.Config.Classes[i].Gone {
+	if i >= 0 && s.Config.Classes[i].IsRemoved {
 		return -1
 	}
 	return i
--- a/internal/settings/adopt_test.go
+++ b/internal/settings/adopt_test.go
@@ -27,7 +27,7 @@
 		if json.Unmarshal([]byte(old), &a) != nil || json.Unmarshal([]byte(next), &b) != nil {
 			t.Fatal("invalid JSON")
 		}
-		if got := Missing(a, b); got != want {
+		if got := MissingKey(a, b); got != want {
 			t.Errorf("%s: %q, want %q", next, got, want)
 		}
 	}
@@ -64,10 +64,10 @@
 
 // A reload must not drop a deadline or a limit on attempts that the file in use sets, and must not load invalid names.
 func TestCheckInServiceRejectsWorseSettings(t *testing.T) {
-	if err := newSettings(1, "a", "b").CheckInService(newSettings(1, "a")); err != nil {
+	if err := newSettings(1, "a", "b").CheckReplacement(newSettings(1, "a")); err != nil {
 		t.Fatal(err)
 	}
-	if err := newSettings(0, "a").CheckInService(newSettings(0, "a")); err != nil {
+	if err := newSettings(0, "a").CheckReplacement(newSettings(0, "a")); err != nil {
 		t.Errorf("default attempts as before: %v", err)
 	}
 	noDeadline := newSettings(1, "a", "b")
@@ -75,7 +75,7 @@
 	for want, s := range map[string]Settings{
 		"maxAttempts": newSettings(0, "a"), "twice": newSettings(1, "a", "a"), "empty": newSettings(1, ""), "classes[1].deadline": noDeadline,
 	} {
-		if err := s.CheckInService(newSettings(1, "a")); err == nil || !strings.Contains(err.Error(), want) {
+		if err := s.CheckReplacement(newSettings(1, "a")); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -261,7 +261,7 @@
 	}
 	cfg := balance.Config{
 		Index: c.Index, Instances: c.NInstances, Zone: c.Zone,
-		OverShareWorth: c.OverShareWorth, WarmKeys: c.Domain.WarmKeys, ClientsMark: c.Callers.MarksRetry,
+		OverShareWorth: c.OverShareWorth, WarmKeys: c.Domain.WarmKeys, ClientsMarkRepeats: c.Callers.MarksRetry,
 		WorthByWork:  indexOf("worthBy", c.WorthBy, "request", "work") == 1,
 		AskDiscovery: indexOf("membershipMode", c.MembershipMode, "push", "ask") == 1,
 		Reports:      balance.ReportSource(indexOf("loadReport.source", c.LoadReport.Source, "off", "on_probe", "inline")),
--- a/internal/site/load.go
+++ b/internal/site/load.go
@@ -375,10 +375,10 @@
 	if k.Rise < 0 || k.Fall < 0 {
 		c.fault(path, "rise and fall: a negative count")
 	}
-	if k.Every != 0 && time.Duration(k.Every) < check.EveryLeast {
-		c.fault(path+".every", "shorter than %v: make it longer", check.EveryLeast)
+	if k.Every != 0 && time.Duration(k.Every) < check.MinEvery {
+		c.fault(path+".every", "shorter than %v: make it longer", check.MinEvery)
 	}
-	if t, every := k.Timeout.Or(time.Second), k.Every.Or(check.EveryDefault); t > every {
+	if t, every := k.Timeout.Or(time.Second), k.Every.Or(check.DefaultEvery); t > every {
 		c.fault(path+".timeout", "%v is longer than every, %v: make it shorter", t, every)
 	}
 }
@@ -485,7 +485,7 @@
 // Compile makes the table of routes. The route numbers of the table are indexes of targets. Listeners go by name.
 func (s *Site) Compile() (*route.Table, []Target, error) {
 	var targets []Target
-	kinds := map[string]route.Kind{"": route.Prefix, "prefix": route.Prefix, "stop": route.Stop, "exact": route.Exact,
+	kinds := map[string]route.Kind{"": route.Prefix, "prefix": route.Prefix, "stop": route.PrefixNoRegex, "exact": route.Exact,
 		"regex": route.Regex, "regex-fold": route.RegexFold}
 	var locations func(path string, list []Location) []route.Location
 	locations = func(path string, list []Location) (out []route.Location) {
@@ -493,7 +493,7 @@
 			l := &list[i]
 			at := fmt.Sprintf("%s.location.%d", path, i)
 			place := fmt.Sprintf("%s:%d", s.file, s.at.Line(at))
-			rl := route.Location{At: place, Kind: kinds[l.Match], Path: l.Path, Within: locations(at, l.Locations)}
+			rl := route.Location{Position: place, Kind: kinds[l.Match], Path: l.Path, Nested: locations(at, l.Locations)}
 			for j := range l.Routes {
 				rl.Targets = append(rl.Targets, route.Target{Methods: l.Routes[j].Methods, Route: len(targets)})
 				targets = append(targets, Target{Route: &l.Routes[j], Location: l, Place: place})
@@ -506,7 +506,7 @@
 	for i := range s.Servers {
 		v := &s.Servers[i]
 		at := fmt.Sprintf("server.%d", i)
-		rs := route.Server{At: fmt.Sprintf("%s:%d", s.file, s.at.Line(at)), Names: v.Names, Listen: v.Listeners,
+		rs := route.Server{Position: fmt.Sprintf("%s:%d", s.file, s.at.Line(at)), Names: v.Names, Listen: v.Listeners,
 			Locations: locations(at, v.Locations)}
 		if len(rs.Listen) == 0 {
 			for _, l := range s.Listeners {
--- a/internal/site/plan.go
+++ b/internal/site/plan.go
@@ -20,7 +20,7 @@
 	plans := slices.Clone(s.Plans)
 	slices.SortStableFunc(plans, func(a, b Plan) int { return cmp.Compare(a.Rank, b.Rank) })
 	for _, p := range plans {
-		cfg.Plans = append(cfg.Plans, shed.Plan{Name: p.Name, Share: p.Share, Least: p.Least, NoBorrow: p.Borrow != nil && !*p.Borrow})
+		cfg.Plans = append(cfg.Plans, shed.Plan{Name: p.Name, Share: p.Share, MinPart: p.Least, NoBorrow: p.Borrow != nil && !*p.Borrow})
 	}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, shed.Class{Worth: c.Worth, Unsafe: c.Effect != "safe"})
@@ -82,10 +82,10 @@
 		}
 		shares, kept = shares+p.Share, kept+max(p.Share, p.Least)
 	}
-	if len(c.Plans) > shed.RanksMost {
-		c.fault(fmt.Sprintf("plan.%d", shed.RanksMost), "more than %d plans: put some together", shed.RanksMost)
+	if len(c.Plans) > shed.MaxPlans {
+		c.fault(fmt.Sprintf("plan.%d", shed.MaxPlans), "more than %d plans: put some together", shed.MaxPlans)
 	}
-	if len(c.Plans) > 0 && len(c.Pools) > shed.PoolsMost {
-		c.fault(fmt.Sprintf("pool.%d", shed.PoolsMost), "plans are kept to at %d pools at most: take [[plan]] out, or split the file", shed.PoolsMost)
+	if len(c.Plans) > 0 && len(c.Pools) > shed.MaxPools {
+		c.fault(fmt.Sprintf("pool.%d", shed.MaxPools), "plans are kept to at %d pools at most: take [[plan]] out, or split the file", shed.MaxPools)
 	}
 }
--- a/internal/sock/interrupted_test.go
+++ b/internal/sock/interrupted_test.go
@@ -29,7 +29,7 @@
 		}
 		return realPoll(fds, timeout)
 	}
-	if !Quiet(near) {
+	if !IsIdle(near) {
 		t.Error("the connection has no unread bytes and is not quiet")
 	}
 	far.Write([]byte("x"))
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if waiting, known := Waiting(l); waiting || !known {
+	if waiting, known := HasQueuedConn(l); waiting || !known {
 		t.Errorf("empty queue: waiting %v, known %v", waiting, known)
 	}
 }
--- a/internal/sock/moment.go
+++ b/internal/sock/moment.go
@@ -14,11 +14,11 @@
 // temporaryErrors are further errors of these calls, which may end when the network or the use of an address changes.
 var temporaryErrors = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EADDRINUSE, syscall.EINTR}
 
-// LocalFailure reports whether a system call failed because this machine lacks a resource such as descriptors, ports or memory.
-func LocalFailure(err error) bool { return isAny(err, localErrors) }
+// IsLocalError reports whether a system call failed because this machine lacks a resource such as descriptors, ports or memory.
+func IsLocalError(err error) bool { return isAny(err, localErrors) }
 
 // IsTemporary reports whether a failed system call may succeed if it is repeated.
-func IsTemporary(err error) bool { return LocalFailure(err) || isAny(err, temporaryErrors) }
+func IsTemporary(err error) bool { return IsLocalError(err) || isAny(err, temporaryErrors) }
 
 func isAny(err error, targets []error) bool {
 	for _, target := range targets {
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -16,9 +16,9 @@
 	poll     = unix.Poll
 )
 
-// Quiet reports whether a connection is open without unread bytes. A backend restarted at the same address leaves dead connections
+// IsIdle reports whether a connection is open without unread bytes. A backend restarted at the same address leaves dead connections
 // behind, on which a request would be lost. Quiet returns false if the state is unknown.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	n, err := Peek(c)
 	return n < 0 && err == syscall.EAGAIN
 }
@@ -38,9 +38,9 @@
 	return n, err
 }
 
-// Gone reports whether the other side of a TCP connection has closed or reset it. It uses the state of the connection. Unlike with
+// PeerClosed reports whether the other side of a TCP connection has closed or reset it. It uses the state of the connection. Unlike with
 // Peek, unread bytes don't hide the end. Gone returns false if the state is unknown.
-func Gone(c net.Conn) (gone bool) {
+func PeerClosed(c net.Conn) (gone bool) {
 	control(c, func(fd int) error {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
@@ -54,8 +54,8 @@
 	return gone
 }
 
-// Waiting reports whether a connection waits in a listener's queue. known is false if that can't be determined.
-func Waiting(l net.Listener) (waiting, known bool) {
+// HasQueuedConn reports whether a connection waits in a listener's queue. known is false if that can't be determined.
+func HasQueuedConn(l net.Listener) (waiting, known bool) {
 	fds := []unix.PollFd{{Events: unix.POLLIN}}
 	err := control(l, func(fd int) error {
 		fds[0].Fd = int32(fd)
@@ -68,8 +68,8 @@
 	return waiting, err == nil
 }
 
-// SinceData returns the time since a connection last received data (tcpi_last_data_recv of tcp(7)), or 0 if it is unknown.
-func SinceData(c net.Conn) (d time.Duration) {
+// SinceLastReceive returns the time since a connection last received data (tcpi_last_data_recv of tcp(7)), or 0 if it is unknown.
+func SinceLastReceive(c net.Conn) (d time.Duration) {
 	control(c, func(fd int) error {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -53,7 +53,7 @@
 				far.Write(make([]byte, tc.unread))
 				standin.Eventually(t, "unread bytes", func() bool { n, _ := Peek(near); return n > 0 })
 			}
-			if Gone(near) {
+			if PeerClosed(near) {
 				t.Fatal("gone before the other side closed")
 			}
 			if name == "we have ended, it stays" || name == "we have ended, it closes" {
@@ -63,8 +63,8 @@
 				tc.leave(far)
 			}
 			if tc.gone {
-				standin.Eventually(t, "gone", func() bool { return Gone(near) })
-			} else if Gone(near) {
+				standin.Eventually(t, "gone", func() bool { return PeerClosed(near) })
+			} else if PeerClosed(near) {
 				t.Error("gone, but the other side is open")
 			}
 		})
@@ -75,17 +75,17 @@
 func TestUnknownStateIsNotGone(t *testing.T) {
 	near, far := tcpPair(t)
 	far.Close()
-	standin.Eventually(t, "gone", func() bool { return Gone(near) })
-	if Gone(struct{ net.Conn }{near}) {
+	standin.Eventually(t, "gone", func() bool { return PeerClosed(near) })
+	if PeerClosed(struct{ net.Conn }{near}) {
 		t.Error("a connection without a socket is gone")
 	}
 	near.Close()
-	if Gone(near) {
+	if PeerClosed(near) {
 		t.Error("a connection closed on this side is gone")
 	}
 	one, other := net.Pipe()
 	other.Close()
-	if Gone(one) {
+	if PeerClosed(one) {
 		t.Error("a pipe is gone")
 	}
 }
@@ -95,6 +95,6 @@
 	near, _ := tcpPair(b)
 	near.SetDeadline(time.Time{})
 	for b.Loop() {
-		Gone(near)
+		PeerClosed(near)
 	}
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -224,7 +224,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		w.t.LeftOpen += n.e.Open()
+		w.t.LeftOpen += n.e.OpenRequests()
 	}
 	return &w.t, nil
 }
@@ -446,7 +446,7 @@
 	}
 }
 
-// Send, Bar, GiveUp, Probe and Drop make a node the innermost transport.
+// Send, PreventWrite, Cancel, Probe and CloseIdle make a node the innermost transport.
 func (n *node) Send(a *engine.Attempt) {
 	n.w.calls++
 	c := &call{n: n, a: a, b: n.w.box(a.To), seq: n.w.calls}
@@ -454,15 +454,15 @@
 	n.w.at(n.w.clock.Add(sendIn), func() { c.arrive() })
 }
 
-// Bar keeps a call from its first byte, which leaves when it arrives: the way is counted as the dial.
-func (n *node) Bar(a *engine.Attempt) bool {
+// PreventWrite keeps a call from its first byte, which leaves when it arrives: the way is counted as the dial.
+func (n *node) PreventWrite(a *engine.Attempt) bool {
 	c := a.State.(*call)
 	c.barred = c.barred || !c.begun
 	return c.barred
 }
 
-// GiveUp closes a call: what runs of it runs on, and its answer is nobody's.
-func (n *node) GiveUp(a *engine.Attempt) {
+// Cancel closes a call: what runs of it runs on, and its answer is nobody's.
+func (n *node) Cancel(a *engine.Attempt) {
 	c := a.State.(*call)
 	c.left = true
 	c.b.waiting = slices.DeleteFunc(c.b.waiting, func(x *call) bool { return x == c })
@@ -484,7 +484,7 @@
 	})
 }
 
-func (n *node) Drop(engine.Endpoint) {}
+func (n *node) CloseIdle(engine.Endpoint) {}
 
 func (w *World) box(to engine.Endpoint) *box {
 	for _, b := range w.boxes {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -21,13 +21,13 @@
 
 // Kinds of messages. The comments name the fields of Message that are set.
 const (
-	Clock    Kind = iota // At
-	Turn                 // the end of a batch, which is to be answered
-	Spawn                // Node, Salt, Config
-	Teardown             // Node
-	List                 // Sheet, Members
-	Happened             // Node, Event; Sheet if UsesSheet
-	Unknown              // Name; a message that this version doesn't support
+	Clock     Kind = iota // At
+	BatchEnd              // the end of a batch, which is to be answered
+	Spawn                 // Node, Salt, Config
+	Teardown              // Node
+	List                  // Sheet, Members
+	NodeEvent             // Node, Event; Sheet if UsesSheet
+	Unknown               // Name; a message that this version doesn't support
 )
 
 // MaxSheet is the highest number of an endpoint list (field sheet).
@@ -92,7 +92,7 @@
 		m.Kind, m.At = Clock, f.duration("atTime")
 		return
 	case "your_turn":
-		m.Kind = Turn
+		m.Kind = BatchEnd
 		return
 	case "list":
 		m.Kind, m.Sheet = List, f.sheet()
@@ -106,13 +106,13 @@
 		m.Kind, m.Node = Teardown, f.text("node")
 		return
 	}
-	m.Kind = Happened
+	m.Kind = NodeEvent
 	e := &m.Event
 	switch f.name {
 	case "backends_changed":
 		e.Kind = memberKinds[f.oneOf("kind", memberKindNames)]
 		f.unsigned("stamp", math.MaxInt64)
-		if m.UsesSheet = e.Kind != balance.MembersRefused; m.UsesSheet {
+		if m.UsesSheet = e.Kind != balance.DiscoveryFailed; m.UsesSheet {
 			m.Sheet = f.sheet()
 		}
 	case "work_item":
@@ -120,18 +120,18 @@
 		e.Class, e.Budget = f.index("band"), f.duration("timeBudget")
 		f.optional(func() {
 			e.Tenant, e.Hint = f.index("userGroup"), f.duration("predicted")
-			e.Repeat, e.Write = f.flag("againByClient"), f.flag("mutates")
+			e.IsRepeat, e.Write = f.flag("againByClient"), f.flag("mutates")
 			if e.HasKey = f.has("routeKey"); e.HasKey {
 				e.Key = f.unsigned("routeKey", 1<<53-1)
 			}
 		})
 	case "first":
 		e.Kind, e.Request, e.Backend = balance.StreamStarted, f.text("requestId"), f.backend()
-		e.Attempt, e.Spent = f.index("attempt"), f.duration("spent")
+		e.Attempt, e.Elapsed = f.index("attempt"), f.duration("spent")
 	case "bell":
-		e.Kind, e.Mark = balance.Timer, f.unsigned("mark", math.MaxInt64)
+		e.Kind, e.TimerID = balance.Timer, f.unsigned("mark", math.MaxInt64)
 	case "probe_result":
-		e.Kind, e.Backend, e.Spent = balance.Probed, f.backend(), f.duration("spent")
+		e.Kind, e.Backend, e.Elapsed = balance.Probed, f.backend(), f.duration("spent")
 		e.Status, e.Load = f.status(), f.load()
 	case "client_gone":
 		e.Kind, e.Request = balance.ClientGone, f.text("requestId")
@@ -139,9 +139,9 @@
 		e.Kind, e.Peer, e.Payload = balance.PeerMessage, f.index("by"), f.bytes("raw")
 	case "answer":
 		e.Kind, e.Request, e.Backend = balance.Outcome, f.text("requestId"), f.backend()
-		e.Attempt, e.Spent, e.Status = f.index("attempt"), f.duration("spent"), f.status()
+		e.Attempt, e.Elapsed, e.Status = f.index("attempt"), f.duration("spent"), f.status()
 		e.Load = f.load()
-		f.optional(func() { e.NoMore = f.flag("noMore") })
+		f.optional(func() { e.RequestEnded = f.flag("noMore") })
 	default:
 		m.Kind = Unknown
 		return
@@ -191,7 +191,7 @@
 var (
 	memberKindNames = []string{"changes", "all", "remembered", "refused"}
 	memberKinds     = []balance.EventKind{balance.MembersChanged, balance.MembersAll,
-		balance.MembersRemembered, balance.MembersRefused}
+		balance.MembersCached, balance.DiscoveryFailed}
 	phaseNames  = []string{"ready", "draining", "gone"}
 	statusNames = []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped",
 		"revoked", "unused"}
@@ -405,18 +405,18 @@
 		begin("call_out")
 		str("requestId", a.Request)
 		num("backend", int64(a.Backend))
-		if a.Limit != 0 {
-			num("limit", int64(a.Limit))
+		if a.AttemptTimeout != 0 {
+			num("limit", int64(a.AttemptTimeout))
 		}
 	case balance.Cancel:
 		begin("abandon")
 		str("requestId", a.Request)
 		num("attempt", int64(a.Attempt))
-	case balance.Refuse:
+	case balance.Reject:
 		begin("decline")
 		str("requestId", a.Request)
-		if a.RetryIn > 0 {
-			num("retryIn", int64(a.RetryIn))
+		if a.RetryAfter > 0 {
+			num("retryIn", int64(a.RetryAfter))
 		}
 	case balance.Fail:
 		begin("give_up")
@@ -427,7 +427,7 @@
 	case balance.SetTimer:
 		begin("schedule")
 		num("in", int64(a.In))
-		num("mark", int64(a.Mark))
+		num("mark", int64(a.TimerID))
 	case balance.Watch:
 		begin("subscribe")
 		num("active", 1)
@@ -436,7 +436,7 @@
 		num("active", 0)
 	case balance.Fetch:
 		begin("query_all")
-	case balance.Tell:
+	case balance.SendToPeer:
 		begin("say")
 		if a.Peer == balance.AllPeers {
 			str("target", "all")
@@ -448,7 +448,7 @@
 		} else {
 			str("raw", base64.StdEncoding.EncodeToString(a.Payload))
 		}
-	case balance.Close:
+	case balance.CloseIdle:
 		begin("disconnect")
 		num("backend", int64(a.Backend))
 	case balance.Log:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,24 +42,24 @@
 	for line, want := range map[string]balance.Event{
 		"work_item node=node_3 requestId=" + id + " band=2 userGroup=1 routeKey=9007199254740991 timeBudget=240000000 " +
 			"predicted=12000000 againByClient=1 mutates=0 shade=blue": {Kind: balance.RequestArrived, Request: id, Class: 2,
-			Tenant: 1, Key: 1<<53 - 1, HasKey: true, Budget: 240 * time.Millisecond, Hint: 12 * time.Millisecond, Repeat: true},
+			Tenant: 1, Key: 1<<53 - 1, HasKey: true, Budget: 240 * time.Millisecond, Hint: 12 * time.Millisecond, IsRepeat: true},
 		"work_item timeBudget=5 band=0 requestId=" + id + " node=node_3": {Kind: balance.RequestArrived, Request: id, Budget: 5},
-		"bell node=node_3 mark=77":                                       {Kind: balance.Timer, Mark: 77},
+		"bell node=node_3 mark=77":                                       {Kind: balance.Timer, TimerID: 77},
 		"client_gone node=node_3 requestId=" + id:                        {Kind: balance.ClientGone, Request: id},
 		"first node=node_3 requestId=" + id + " backend=4294967295 attempt=1 spent=7": {Kind: balance.StreamStarted,
-			Request: id, Backend: 4294967295, Attempt: 1, Spent: 7},
+			Request: id, Backend: 4294967295, Attempt: 1, Elapsed: 7},
 		"from_peer node=node_3 by=1 raw=aGkgNw==": {Kind: balance.PeerMessage, Peer: 1, Payload: []byte("hi 7")},
 		"from_peer node=node_3 by=1 raw=-":        {Kind: balance.PeerMessage, Peer: 1},
 		"probe_result node=node_3 backend=7 spent=9 status=delivered load=active:3.5,avg_ms:12,x9:1": {Kind: balance.Probed,
-			Backend: 7, Spent: 9, Load: balance.Load{Has: balance.HasActive | balance.HasAvgMs, Active: 3.5, AvgMs: 12}},
-		"probe_result node=node_3 backend=7 spent=9 status=expired": {Kind: balance.Probed, Backend: 7, Spent: 9,
+			Backend: 7, Elapsed: 9, Load: balance.Load{Has: balance.HasActive | balance.HasAvgMs, Active: 3.5, AvgMs: 12}},
+		"probe_result node=node_3 backend=7 spent=9 status=expired": {Kind: balance.Probed, Backend: 7, Elapsed: 9,
 			Status: balance.Expired},
 		"answer node=node_3 requestId=" + id + " spent=18500000 backend=51530247 attempt=0 noMore=1 status=dropped": {
-			Kind: balance.Outcome, Request: id, Spent: 18500 * time.Microsecond, Backend: 51530247, NoMore: true,
+			Kind: balance.Outcome, Request: id, Elapsed: 18500 * time.Microsecond, Backend: 51530247, RequestEnded: true,
 			Status: balance.Dropped},
 	} {
 		m := readOne(t, line)
-		if m.Kind != Happened || m.Node != "node_3" || !reflect.DeepEqual(m.Event, want) {
+		if m.Kind != NodeEvent || m.Node != "node_3" || !reflect.DeepEqual(m.Event, want) {
 			t.Errorf("%s\n got %+v\nwant %+v", line, m.Event, want)
 		}
 	}
@@ -96,10 +96,10 @@
 	if ms[1].Sheet != 15 || !reflect.DeepEqual(ms[1].Members, want) {
 		t.Errorf("got %+v", ms[1].Members)
 	}
-	if ms[2].Event.Kind != balance.MembersRemembered || !ms[2].UsesSheet || ms[2].Sheet != 15 {
+	if ms[2].Event.Kind != balance.MembersCached || !ms[2].UsesSheet || ms[2].Sheet != 15 {
 		t.Errorf("got %+v", ms[2])
 	}
-	if ms[3].Event.Kind != balance.MembersRefused || ms[3].UsesSheet {
+	if ms[3].Event.Kind != balance.DiscoveryFailed || ms[3].UsesSheet {
 		t.Errorf("got %+v", ms[3])
 	}
 }
@@ -230,19 +230,19 @@
 func TestActionLines(t *testing.T) {
 	for want, a := range map[string]balance.Action{
 		"call_out node=node_3 requestId=r backend=51530247 limit=80000000": {Kind: balance.Send, Request: "r",
-			Backend: 51530247, Limit: 80 * time.Millisecond},
+			Backend: 51530247, AttemptTimeout: 80 * time.Millisecond},
 		"call_out node=node_3 requestId=r backend=1":    {Kind: balance.Send, Request: "r", Backend: 1},
 		"abandon node=node_3 requestId=r attempt=2":     {Kind: balance.Cancel, Request: "r", Attempt: 2},
-		"decline node=node_3 requestId=r":               {Kind: balance.Refuse, Request: "r"},
-		"decline node=node_3 requestId=r retryIn=5":     {Kind: balance.Refuse, Request: "r", RetryIn: 5},
+		"decline node=node_3 requestId=r":               {Kind: balance.Reject, Request: "r"},
+		"decline node=node_3 requestId=r retryIn=5":     {Kind: balance.Reject, Request: "r", RetryAfter: 5},
 		"give_up node=node_3 requestId=r":               {Kind: balance.Fail, Request: "r"},
 		"test node=node_3 backend=7":                    {Kind: balance.Probe, Backend: 7},
-		"schedule node=node_3 in=500000000 mark=77":     {Kind: balance.SetTimer, In: 500 * time.Millisecond, Mark: 77},
+		"schedule node=node_3 in=500000000 mark=77":     {Kind: balance.SetTimer, In: 500 * time.Millisecond, TimerID: 77},
 		"subscribe node=node_3 active=1":                {Kind: balance.Watch},
 		"query_all node=node_3":                         {Kind: balance.Fetch},
-		"say node=node_3 target=all raw=aGkgNw==":       {Kind: balance.Tell, Peer: balance.AllPeers, Payload: []byte("hi 7")},
-		"say node=node_3 target=2 raw=-":                {Kind: balance.Tell, Peer: 2},
-		"disconnect node=node_3 backend=7":              {Kind: balance.Close, Backend: 7},
+		"say node=node_3 target=all raw=aGkgNw==":       {Kind: balance.SendToPeer, Peer: balance.AllPeers, Payload: []byte("hi 7")},
+		"say node=node_3 target=2 raw=-":                {Kind: balance.SendToPeer, Peer: 2},
+		"disconnect node=node_3 backend=7":              {Kind: balance.CloseIdle, Backend: 7},
 		"say_log node=node_3 bodyText=two servers gone": {Kind: balance.Log, Text: "two servers\ngone"},
 	} {
 		if got := string(AppendAction(nil, "node_3", &a)); got != want+"\n" {
@@ -263,7 +263,7 @@
 			t.Fatalf("error does not name a line: %v", err)
 		}
 		for _, m := range ms {
-			if m.Kind == Happened && m.Node == "" {
+			if m.Kind == NodeEvent && m.Node == "" {
 				t.Fatal("event without a node")
 			}
 			out := AppendAction(nil, "n", &balance.Action{Kind: balance.Log, Text: m.Event.Request})
--- a/lab/agent.go
+++ b/lab/agent.go
@@ -62,8 +62,8 @@
 	for _, a := range m.out {
 		switch a.Kind {
 		case pace.Begin:
-			m.open = append(m.open, agentCall{a.Call, m.w.cuts, !a.Whole})
-			if a.Whole || m.have != m.w.version {
+			m.open = append(m.open, agentCall{a.Call, m.w.cuts, !a.Complete})
+			if a.Complete || m.have != m.w.version {
 				m.answer(m.pace, a.Call, agentWay)
 			} else {
 				m.answer(m.pace, a.Call, m.terms.Wait)
--- a/lab/glencart.go
+++ b/lab/glencart.go
@@ -37,17 +37,17 @@
 
 // Glencart is the shipped policy. change, if any, may alter what the module is told.
 func Glencart(change func(*balance.Config)) Policy {
-	return glencart("glencart", change, pace.Near(drainGrace, pace.NearMost), func(s *Scenario) int { return len(s.Sources) })
+	return glencart("glencart", change, pace.AgentTerms(drainGrace, pace.MaxAgentCalls), func(s *Scenario) int { return len(s.Sources) })
 }
 
 // OneSource is the shipped policy with the first source of a scenario alone.
 func OneSource() Policy {
-	return glencart("glencart-one", nil, pace.Near(drainGrace, pace.NearMost), func(s *Scenario) int { return min(len(s.Sources), 1) })
+	return glencart("glencart-one", nil, pace.AgentTerms(drainGrace, pace.MaxAgentCalls), func(s *Scenario) int { return min(len(s.Sources), 1) })
 }
 
 // RareCalls is the shipped policy calling its agent as it does a registry that many share, and as it did any before.
 func RareCalls() Policy {
-	return glencart("glencart-rare-calls", nil, pace.Shared(), func(s *Scenario) int { return len(s.Sources) })
+	return glencart("glencart-rare-calls", nil, pace.SharedTerms(), func(s *Scenario) int { return len(s.Sources) })
 }
 
 // glencart is the shipped policy with so many of the sources, or an agent that it calls on these terms.
@@ -71,7 +71,7 @@
 func config(s *Scenario, i int) balance.Config {
 	g := &s.Boxes[0]
 	cfg := balance.Config{
-		Index: i, Instances: s.Nodes, Zone: i % s.Zones, ClientsMark: true, Reports: balance.InlineReports, Columns: balance.HasActive,
+		Index: i, Instances: s.Nodes, Zone: i % s.Zones, ClientsMarkRepeats: true, Reports: balance.InlineReports, Columns: balance.HasActive,
 		Limits: balance.Limits{Cancelling: true, Probing: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: time.Second},
 		Prices: balance.Prices{Probe: 0.02, CrossZone: 0.01},
@@ -117,13 +117,13 @@
 
 func (n *shipped) arrive(q *ask) {
 	r := &engine.Request{ID: q.id, Class: q.class, Tenant: q.tenant, Repeat: q.tries > 0, Deadline: epoch.Add(q.until), Message: q}
-	r.Answered = func(a engine.Answer) {
+	r.OnAnswer = func(a engine.Answer) {
 		delete(n.open, q)
 		switch a.Kind {
 		case engine.Served:
 			n.w.answered(q, served, 0)
 		case engine.Refused:
-			n.w.answered(q, refused, a.RetryIn)
+			n.w.answered(q, refused, a.RetryAfter)
 		default:
 			n.w.answered(q, failed, 0)
 		}
@@ -175,7 +175,7 @@
 			w.members = append(w.members, m)
 		}
 	}
-	n.e.TakeList(balance.MembersAll, engine.List{Complete: true, Revision: int64(w.now) + 1, Members: w.members})
+	n.e.UpdateBackends(balance.MembersAll, engine.List{Complete: true, Revision: int64(w.now) + 1, Members: w.members})
 }
 
 // restart has the process end, with what it has open, and begin anew.
@@ -194,7 +194,7 @@
 	}
 }
 
-// Send, Bar, GiveUp, Probe and Drop make the node its engine's transport.
+// Send, PreventWrite, Cancel, Probe and CloseIdle make the node its engine's transport.
 func (n *shipped) Send(a *engine.Attempt) {
 	q := a.Request.Message.(*ask)
 	c := &call{from: n, q: q, box: n.w.byID[a.To.ID], deadline: a.Deadline.Sub(epoch), ref: &attempt{a, n.life}}
@@ -202,18 +202,18 @@
 	n.w.launch(c, n.zone)
 }
 
-// Bar keeps a call from its first byte.
-func (n *shipped) Bar(a *engine.Attempt) bool {
+// PreventWrite keeps a call from its first byte.
+func (n *shipped) PreventWrite(a *engine.Attempt) bool {
 	c := a.State.(*call)
 	c.barred = c.barred || !c.begun
 	return c.barred
 }
 
-// GiveUp closes a call: what runs of it runs on.
-func (n *shipped) GiveUp(a *engine.Attempt) { a.State.(*call).left = true }
+// Cancel closes a call: what runs of it runs on.
+func (n *shipped) Cancel(a *engine.Attempt) { a.State.(*call).left = true }
 
-// Drop has nothing to drop.
-func (n *shipped) Drop(engine.Endpoint) {}
+// CloseIdle has nothing to drop.
+func (n *shipped) CloseIdle(engine.Endpoint) {}
 
 // Probe asks a box for its load.
 func (n *shipped) Probe(to engine.Endpoint, told func(engine.Result)) {
--- a/lab/sources.go
+++ b/lab/sources.go
@@ -77,7 +77,7 @@
 func (w *world) tells(i int, clock time.Duration) merge.Event {
 	src, is := &w.s.Sources[i], &w.sources[i]
 	if is.down {
-		return merge.Event{Kind: merge.Failed, Source: i}
+		return merge.Event{Kind: merge.SourceFailed, Source: i}
 	}
 	at := w.now - time.Duration(src.Lag)
 	if is.frozen > 0 {
@@ -87,7 +87,7 @@
 	v := w.views[max(n-1, 0)]
 	ev := merge.Event{Kind: merge.Listed, Source: i, Complete: true}
 	if src.Life > 0 {
-		ev.Until = clock + time.Duration(src.Life)
+		ev.ExpiresAt = clock + time.Duration(src.Life)
 	}
 	ev.Entries = make([]merge.Entry, 0, len(v.boxes))
 	for k := int(is.lies*float64(len(v.boxes)) + 0.5); k < len(v.boxes); k++ {
@@ -95,11 +95,11 @@
 		if x.state == gone {
 			continue
 		}
-		e := merge.Entry{Name: b.id, Knows: merge.Existence | merge.Address, Line: members.Line{Addr: "at " + b.id, Member: balance.Member{Weight: 1}}}
+		e := merge.Entry{Name: b.id, Reports: merge.Existence | merge.Address, Endpoint: members.Endpoint{Addr: "at " + b.id, Member: balance.Member{Weight: 1}}}
 		if !src.Addresses {
-			e.Knows, e.Line.ID, e.Line.Zone = merge.AllFacts, b.id, b.zone
+			e.Reports, e.Endpoint.ID, e.Endpoint.Zone = merge.AllFacts, b.id, b.zone
 			if x.state == draining {
-				e.Line.Phase = balance.Draining
+				e.Endpoint.Phase = balance.Draining
 			}
 			if x.launched >= 0 {
 				e.Launched = time.Duration(epoch.UnixNano()) + x.launched
@@ -134,17 +134,17 @@
 func (m *merged) follow() {
 	cfg := follow.Defaults()
 	for _, s := range m.w.s.Sources[:m.most] {
-		cfg.Sources = append(cfg.Sources, merge.SourceConfig{Name: s.Name, Must: s.Must, Keep: time.Duration(s.Stale)})
+		cfg.Sources = append(cfg.Sources, merge.SourceConfig{Name: s.Name, Required: s.Must, StaleGrace: time.Duration(s.Stale)})
 	}
-	m.member = follow.Of(cfg, slog.New(slog.DiscardHandler), m.e.Clock())
-	m.member.Begin(m.e.Clock())
+	m.member = follow.NewWithoutSources(cfg, slog.New(slog.DiscardHandler), m.e.Clock())
+	m.member.Start(m.e.Clock())
 	m.learnt = make([]time.Duration, len(m.w.boxes))
 	for i := range m.learnt {
 		m.learnt[i] = -1
 	}
 	m.absent = make([]bool, len(m.w.boxes))
 	m.lives++
-	m.e.TakeList(balance.MembersAll, engine.List{Complete: true})
+	m.e.UpdateBackends(balance.MembersAll, engine.List{Complete: true})
 	for i := range m.most {
 		m.hear(i, m.lives)
 	}
@@ -164,11 +164,11 @@
 	if life != m.lives {
 		return
 	}
-	boxes, _ := m.member.Pass(m.e.Clock())
-	boxes = append(boxes, m.member.Hear(m.e.Clock(), m.w.tells(i, m.e.Clock()))...)
+	boxes, _ := m.member.HandleDue(m.e.Clock())
+	boxes = append(boxes, m.member.HandleEvent(m.e.Clock(), m.w.tells(i, m.e.Clock()))...)
 	list := engine.List{}
 	for _, b := range boxes {
-		line := b.Line
+		line := b.Endpoint
 		line.Addr = line.ID
 		list.Members = append(list.Members, line)
 		at := &m.learnt[m.w.byID[line.ID].n]
@@ -180,7 +180,7 @@
 		}
 	}
 	if len(list.Members) > 0 {
-		m.e.TakeList(balance.MembersChanged, list)
+		m.e.UpdateBackends(balance.MembersChanged, list)
 	}
 	wait := float64(m.w.s.Sources[i].Every) * (0.9 + 0.2*m.rng.Float64())
 	m.w.after(time.Duration(wait), evFunc, 0, func() { m.hear(i, life); m.run() })
@@ -195,9 +195,9 @@
 		return
 	}
 	if now, listed := m.member.Restarted(m.e.Clock(), c.box.id); listed {
-		line := now.Line
+		line := now.Endpoint
 		line.Addr = line.ID
-		m.e.TakeList(balance.MembersChanged, engine.List{Members: []engine.Member{line}})
+		m.e.UpdateBackends(balance.MembersChanged, engine.List{Members: []engine.Member{line}})
 	}
 }
 
--- a/life/life.go
+++ b/life/life.go
@@ -3,7 +3,7 @@
 // goroutine. Events go in with the time, actions come out, and the same events give the same actions.
 //
 // Terms state what the surroundings guarantee a node during a shutdown. On the platform, SIGKILL comes no sooner than the longest
-// deadline plus Grace after SIGTERM, new connections arrive for at most Still, and clients keep a connection for as long as it is
+// deadline plus Grace after SIGTERM, new connections arrive for at most NewConnectionsWindow, and clients keep a connection for as long as it is
 // open. The operator of a standalone installation sets how long a shutdown may take.
 package life
 
@@ -14,22 +14,22 @@
 
 // Terms are the guarantees that hold during the shutdown of a node.
 type Terms struct {
-	MaxDeadline      time.Duration // the longest deadline that counts for the time between SIGTERM and SIGKILL
-	Grace            time.Duration // time until SIGKILL beyond the deadline
-	Still            time.Duration // how long new connections may arrive after SIGTERM
-	KeepsConnections bool          // clients keep to an open connection and may find no other: keep it open for long
+	MaxDeadline          time.Duration // the longest deadline that counts for the time between SIGTERM and SIGKILL
+	Grace                time.Duration // time until SIGKILL beyond the deadline
+	NewConnectionsWindow time.Duration // how long new connections may arrive after SIGTERM
+	KeepsConnections     bool          // clients keep to an open connection and may find no other: keep it open for long
 }
 
 // Platform holds the terms of the platform.
-var Platform = Terms{MaxDeadline: 3 * time.Second, Grace: 700 * time.Millisecond, Still: 400 * time.Millisecond, KeepsConnections: true}
+var Platform = Terms{MaxDeadline: 3 * time.Second, Grace: 700 * time.Millisecond, NewConnectionsWindow: 400 * time.Millisecond, KeepsConnections: true}
 
-// Own holds the terms of a standalone installation. Its operator sets the shutdown timeout, which New gets in place of a deadline.
-var Own = Terms{MaxDeadline: 24 * time.Hour}
+// Standalone holds the terms of a standalone installation. Its operator sets the shutdown timeout, which New gets in place of a deadline.
+var Standalone = Terms{MaxDeadline: 24 * time.Hour}
 
 const (
-	// Late is the largest delay of a timer, and so of every action here, on a busy machine. A node aims to end this long before
+	// ShutdownMargin is the largest delay of a timer, and so of every action here, on a busy machine. A node aims to end this long before
 	// SIGKILL may come. Unanswered requests get up to half of it more.
-	Late = 200 * time.Millisecond
+	ShutdownMargin = 200 * time.Millisecond
 	// QueueEmptyWindow is how long the accept queue of the listener has to stay empty before it counts as drained.
 	QueueEmptyWindow = 50 * time.Millisecond
 	// MinAnswerMargin is the least time between the last answers and the end of the process: answers that are due at the same instant
@@ -40,9 +40,9 @@
 	// MinServeMargin is how long before its end a node stops taking requests on persistent connections. Nearly all requests are
 	// answered in that time.
 	MinServeMargin = 900 * time.Millisecond
-	// RememberFor is how long a node with a cached endpoint list waits for one from a source before it reports ready. The cached
+	// CachedListGrace is how long a node with a cached endpoint list waits for one from a source before it reports ready. The cached
 	// list may name backends that have been replaced since.
-	RememberFor = 300 * time.Millisecond
+	CachedListGrace = 300 * time.Millisecond
 )
 
 // Phase is a phase of the lifecycle.
@@ -70,23 +70,23 @@
 
 // Kinds of events. Told comes with SIGTERM, and only the first one counts. The others may come at any time.
 const (
-	Opened  EventKind = iota // clients are accepted from now on
-	Heard                    // a source has sent an endpoint list
-	Told                     // the shutdown begins; uses Followed
-	Changed                  // settings have changed; Deadline is their longest deadline now
-	Seen                     // a snapshot of Conns, Asked, Queued and Lag
-	Tick                     // time has passed
+	AcceptStarted     EventKind = iota // clients are accepted from now on
+	ListReceived                       // a source has sent an endpoint list
+	ShutdownRequested                  // the shutdown begins; uses HasSuccessor
+	SettingsChanged                    // settings have changed; Deadline is their longest deadline now
+	Snapshot                           // a snapshot of Conns, OpenRequests, MayHaveQueue and Lag
+	Tick                               // time has passed
 )
 
 // Event is an input of Handle.
 type Event struct {
-	Kind     EventKind
-	Followed bool          // with Told: a successor has taken over
-	Deadline time.Duration // 0: not known, treated as the longest that Terms allow
-	Conns    int           // open connections of clients
-	Asked    int           // those of Conns with a complete request that has no answer yet
-	Queued   bool          // the accept queue is full, is not empty, or can't be inspected
-	Lag      time.Duration // how long posting to the loop and writing all open answers take now
+	Kind         EventKind
+	HasSuccessor bool          // with ShutdownRequested: a successor has taken over
+	Deadline     time.Duration // 0: not known, treated as the longest that Terms allow
+	Conns        int           // open connections of clients
+	OpenRequests int           // those of Conns with a complete request that has no answer yet
+	MayHaveQueue bool          // the accept queue is full, is not empty, or can't be inspected
+	Lag          time.Duration // how long posting to the loop and writing all open answers take now
 }
 
 // ActionKind is the kind of an action.
@@ -135,7 +135,9 @@
 }
 
 // minAcceptDuration is the least time for which a node accepts after SIGTERM: until no new connection can arrive, even a late one.
-func (l *Life) minAcceptDuration() time.Duration { return l.terms.Still + Late }
+func (l *Life) minAcceptDuration() time.Duration {
+	return l.terms.NewConnectionsWindow + ShutdownMargin
+}
 
 // mayCloseConnections reports whether open connections may close: clients don't depend on them, or at most MinServeMargin remains.
 func (l *Life) mayCloseConnections(now time.Duration) bool {
@@ -150,16 +152,16 @@
 
 // EndsAt returns the latest time at which the node ends in normal operation: Late before SIGKILL may come. It is valid once the
 // shutdown has begun.
-func (l *Life) EndsAt() time.Duration { return l.sigkillAt - Late }
+func (l *Life) EndsAt() time.Duration { return l.sigkillAt - ShutdownMargin }
 
 // cutoffAt returns when the node ends even if something is open. A request has until the last moment that still leaves time for the
 // process to exit. Connections without a request, which only wait for their clients to close, are not worth the risk that a busy
 // machine exits late.
 func (l *Life) cutoffAt(ev Event) time.Duration {
-	if ev.Kind == Seen && ev.Asked == 0 {
-		return l.sigkillAt - Late/2
+	if ev.Kind == Snapshot && ev.OpenRequests == 0 {
+		return l.sigkillAt - ShutdownMargin/2
 	}
-	return l.sigkillAt - Late/4
+	return l.sigkillAt - ShutdownMargin/4
 }
 
 // String returns the state in short, for test failures and traces.
@@ -173,26 +175,26 @@
 		return out
 	}
 	switch ev.Kind {
-	case Opened:
+	case AcceptStarted:
 		if l.phase == Starting {
 			l.phase, l.openedAt = AwaitingList, now
 		}
-	case Heard:
+	case ListReceived:
 		l.hasList = true
-	case Changed:
+	case SettingsChanged:
 		l.deadline = ev.Deadline
 		if l.ShuttingDown() { // SIGKILL may follow the old deadline or the new one, so the earlier of the two counts
 			// A shorter deadline may put SIGKILL into the past. The platform can't have planned with an instant that has
 			// passed, so the open requests still get MinAnswerMargin.
-			l.sigkillAt = min(l.sigkillAt, max(l.computeSigkillAt(), now+MinAnswerMargin+Late))
+			l.sigkillAt = min(l.sigkillAt, max(l.computeSigkillAt(), now+MinAnswerMargin+ShutdownMargin))
 		}
-	case Told:
+	case ShutdownRequested:
 		if !l.ShuttingDown() {
-			out = l.beginShutdown(now, ev.Followed, out)
+			out = l.beginShutdown(now, ev.HasSuccessor, out)
 		}
 	}
 	switch {
-	case l.phase == AwaitingList && (l.hasList || now-l.openedAt >= RememberFor):
+	case l.phase == AwaitingList && (l.hasList || now-l.openedAt >= CachedListGrace):
 		l.phase, l.isReady = Serving, true
 		return append(out, Action{Kind: ReportReady})
 	case l.ShuttingDown() && l.phase != Ended:
@@ -235,7 +237,7 @@
 
 // advanceShutdown moves a node through the shutdown phases.
 func (l *Life) advanceShutdown(now time.Duration, ev Event, out []Action) []Action {
-	isSnapshot, wasStopped := ev.Kind == Seen, l.stoppedAccepting
+	isSnapshot, wasStopped := ev.Kind == Snapshot, l.stoppedAccepting
 	if by := l.EndsAt() - MinAnswerMargin; by < l.answerBy {
 		l.answerBy = by
 		out = append(out, Action{Kind: AnswerBy, At: by})
@@ -247,7 +249,7 @@
 	}
 	if isSnapshot && !l.stoppedAccepting {
 		switch {
-		case ev.Queued:
+		case ev.MayHaveQueue:
 			l.queueEmptyAt = -1
 		case l.queueEmptyAt < 0:
 			l.queueEmptyAt = now
@@ -276,14 +278,14 @@
 		out = append(out, Action{Kind: CloseIdle})
 	}
 	switch {
-	case isSnapshot && wasStopped && ev.Conns == 0 && !ev.Queued: // a snapshot taken after the listener was closed
+	case isSnapshot && wasStopped && ev.Conns == 0 && !ev.MayHaveQueue: // a snapshot taken after the listener was closed
 		l.phase = Ended
 		out = append(out, Action{Kind: End})
 	case now >= l.cutoffAt(ev):
 		l.phase = Ended
 		unanswered := 0
 		if isSnapshot {
-			unanswered = ev.Asked
+			unanswered = ev.OpenRequests
 		}
 		out = append(out, Action{Kind: End, Unanswered: unanswered})
 	}
--- a/life/life_test.go
+++ b/life/life_test.go
@@ -112,7 +112,7 @@
 
 func (s *simulation) open() {
 	s.opened, s.accepting = true, true
-	s.handle(Event{Kind: Opened})
+	s.handle(Event{Kind: AcceptStarted})
 }
 
 // sigterm sends SIGTERM.
@@ -125,18 +125,18 @@
 		s.shutdownAt, s.sigkillAt = s.now, s.now+d+s.terms.Grace
 	}
 	s.logf("SIGTERM")
-	s.handle(Event{Kind: Told, Followed: hasSuccessor})
+	s.handle(Event{Kind: ShutdownRequested, HasSuccessor: hasSuccessor})
 }
 
 // changeSettings applies new settings. The platform computes the time of SIGKILL from the settings at SIGTERM.
 func (s *simulation) changeSettings(deadline time.Duration) {
 	s.deadline = deadline
-	s.handle(Event{Kind: Changed, Deadline: deadline})
+	s.handle(Event{Kind: SettingsChanged, Deadline: deadline})
 }
 
 // request lets a client send a complete request, or half of one.
 func (s *simulation) request(whole bool, budget time.Duration) {
-	if !s.accepting || s.shutdownAt > 0 && s.now-s.shutdownAt > s.terms.Still+650*ms {
+	if !s.accepting || s.shutdownAt > 0 && s.now-s.shutdownAt > s.terms.NewConnectionsWindow+650*ms {
 		return // no new connections arrive any more
 	}
 	s.conns = append(s.conns, conn{started: true, complete: whole, due: s.due(budget)})
@@ -179,14 +179,14 @@
 	if s.shutdownAt > 0 && s.now >= s.sigkillAt {
 		s.fail("SIGKILL")
 	}
-	ev := Event{Kind: Seen, Conns: len(s.conns), Queued: len(s.queue) > 0 || s.uncounted, Lag: s.lag}
+	ev := Event{Kind: Snapshot, Conns: len(s.conns), MayHaveQueue: len(s.queue) > 0 || s.uncounted, Lag: s.lag}
 	if s.uncounted {
 		s.uncounted = false
 		s.conns = append(s.conns, conn{started: true, complete: true, due: s.due(s.deadline)})
 	}
 	for _, c := range s.conns {
 		if c.complete {
-			ev.Asked++
+			ev.OpenRequests++
 		}
 	}
 	s.handle(ev)
@@ -224,19 +224,19 @@
 			}
 		}},
 		{"in the accept queue", func(s *simulation, d time.Duration) {
-			if s.accepting && (s.shutdownAt == 0 || s.now-s.shutdownAt <= s.terms.Still) {
+			if s.accepting && (s.shutdownAt == 0 || s.now-s.shutdownAt <= s.terms.NewConnectionsWindow) {
 				s.queue = append(s.queue, s.now+150*ms) // until there is room
 			}
 		}},
 		{"in a full accept queue", func(s *simulation, d time.Duration) {
-			if s.accepting && (s.shutdownAt == 0 || s.now-s.shutdownAt <= s.terms.Still) {
+			if s.accepting && (s.shutdownAt == 0 || s.now-s.shutdownAt <= s.terms.NewConnectionsWindow) {
 				s.queue = append(s.queue, s.now+650*ms)
 			}
 		}},
 		{"SIGTERM", func(s *simulation, d time.Duration) { s.sigterm(false) }},
 		{"shorter settings", func(s *simulation, d time.Duration) { s.changeSettings(d / 2) }},
 		{"longer settings", func(s *simulation, d time.Duration) { s.changeSettings(2 * d) }},
-		{"list from a source", func(s *simulation, d time.Duration) { s.handle(Event{Kind: Heard}) }},
+		{"list from a source", func(s *simulation, d time.Duration) { s.handle(Event{Kind: ListReceived}) }},
 	}
 	gaps := []time.Duration{0, 40 * ms, 590 * ms}
 	for _, setup := range []struct {
@@ -244,7 +244,7 @@
 		deadline time.Duration
 	}{
 		{Platform, 300 * ms}, {Platform, time.Second}, {Platform, 3 * time.Second}, {Platform, 12 * time.Second},
-		{Own, 1200 * ms}, {Own, 3 * time.Second},
+		{Standalone, 1200 * ms}, {Standalone, 3 * time.Second},
 	} {
 		for _, lag := range []time.Duration{0, 120 * ms} {
 			const length = 3
@@ -307,7 +307,7 @@
 		s := newSimulation(t, c.deadline)
 		s.neverAnswers = true
 		s.open()
-		s.handle(Event{Kind: Heard})
+		s.handle(Event{Kind: ListReceived})
 		s.request(true, time.Minute)
 		s.sigterm(false)
 		at := s.now
@@ -342,7 +342,7 @@
 // Guards against a standalone server whose shutdown waits for clients. Idle connections close as soon as the server stops
 // accepting, and it ends with the last answer, long before the shutdown timeout.
 func TestStandaloneShutdownClosesIdleConnections(t *testing.T) {
-	s := newSimulationWithTerms(t, Own, 10*time.Second)
+	s := newSimulationWithTerms(t, Standalone, 10*time.Second)
 	s.open()
 	s.conns = append(s.conns, conn{}) // idle
 	s.request(true, 10*time.Second)
@@ -363,12 +363,12 @@
 // Guards against a request that never ends holding the process until SIGKILL. The request is cut off before and reported.
 func TestStuckRequestIsCutOffBeforeSIGKILL(t *testing.T) {
 	l := New(Platform, time.Second)
-	l.Handle(0, Event{Kind: Opened}, nil)
-	l.Handle(0, Event{Kind: Told}, nil)
+	l.Handle(0, Event{Kind: AcceptStarted}, nil)
+	l.Handle(0, Event{Kind: ShutdownRequested}, nil)
 	for now := time.Duration(0); now < time.Second+Platform.Grace; now += 10 * ms {
-		for _, a := range l.Handle(now, Event{Kind: Seen, Conns: 1, Asked: 1}, nil) {
+		for _, a := range l.Handle(now, Event{Kind: Snapshot, Conns: 1, OpenRequests: 1}, nil) {
 			if a.Kind == End {
-				if now <= time.Second+Platform.Grace-Late || a.Unanswered != 1 {
+				if now <= time.Second+Platform.Grace-ShutdownMargin || a.Unanswered != 1 {
 					t.Errorf("cut at %v, %d left", now, a.Unanswered)
 				}
 				return
@@ -382,13 +382,13 @@
 // more on a busy machine.
 func TestConnectionsWithoutRequestLeaveTimeToExit(t *testing.T) {
 	l := New(Platform, time.Second)
-	l.Handle(0, Event{Kind: Opened}, nil)
-	l.Handle(0, Event{Kind: Told}, nil)
+	l.Handle(0, Event{Kind: AcceptStarted}, nil)
+	l.Handle(0, Event{Kind: ShutdownRequested}, nil)
 	sigkillAt := time.Second + Platform.Grace
 	for now := time.Duration(0); now < sigkillAt; now += 10 * ms {
-		for _, a := range l.Handle(now, Event{Kind: Seen, Conns: 1}, nil) {
+		for _, a := range l.Handle(now, Event{Kind: Snapshot, Conns: 1}, nil) {
 			if a.Kind == End {
-				if now > sigkillAt-Late/2 {
+				if now > sigkillAt-ShutdownMargin/2 {
 					t.Errorf("ends at %v, SIGKILL may come at %v", now, sigkillAt)
 				}
 				return
@@ -408,7 +408,7 @@
 	s.step(10 * ms)
 	s.lag = 0
 	s.run(time.Second)
-	if by := s.answerBy - at; by != 3*time.Second+Platform.Grace-Late-MinAnswerMargin {
+	if by := s.answerBy - at; by != 3*time.Second+Platform.Grace-ShutdownMargin-MinAnswerMargin {
 		t.Errorf("answers are due after %v", by)
 	}
 }
@@ -454,11 +454,11 @@
 	}
 	s = newSimulation(t, time.Second)
 	s.open()
-	s.now += RememberFor - ms
+	s.now += CachedListGrace - ms
 	s.handle(Event{Kind: Tick})
 	early := s.ready
 	s.now += ms
 	if s.handle(Event{Kind: Tick}); early || !s.ready {
-		t.Errorf("ready before RememberFor %t, after it %t", early, s.ready)
+		t.Errorf("ready before CachedListGrace %t, after it %t", early, s.ready)
 	}
 }
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -34,17 +34,17 @@
 
 // Config holds the settings of a Lookup. Zero values stand for the defaults named here.
 type Config struct {
-	Name     string // such as _menu._tcp.khuree.mn
-	Servers  int    // number of name servers, which are tried in order
-	Seed     uint64
-	Timeout  time.Duration // for one query; doubled in each round over the servers; 0: 1s
-	Rounds   int           // rounds over all servers before a query has failed; 0: 2
-	Floor    time.Duration // minimum TTL; 0: 5s
-	Ceiling  time.Duration // maximum TTL; 0: 1h
-	Negative time.Duration // maximum TTL of a negative response; 0: 5m
-	Retry    time.Duration // wait after a failure, doubled up to RetryMost; 0: 1s
-	// RetryMost is the maximum wait after a failure; 0: 30s (RFC 8767, section 5).
-	RetryMost time.Duration
+	Name           string // such as _menu._tcp.khuree.mn
+	Servers        int    // number of name servers, which are tried in order
+	Seed           uint64
+	Timeout        time.Duration // for one query; doubled in each round over the servers; 0: 1s
+	Rounds         int           // rounds over all servers before a query has failed; 0: 2
+	MinTTL         time.Duration // minimum TTL; 0: 5s
+	MaxTTL         time.Duration // maximum TTL; 0: 1h
+	MaxNegativeTTL time.Duration // maximum TTL of a negative response; 0: 5m
+	RetryInterval  time.Duration // wait after a failure, doubled up to MaxRetryInterval; 0: 1s
+	// MaxRetryInterval is the maximum wait after a failure; 0: 30s (RFC 8767, section 5).
+	MaxRetryInterval time.Duration
 }
 
 // EventKind is the kind of an Event.
@@ -52,9 +52,9 @@
 
 // Kinds of events, with the fields each one uses.
 const (
-	Ticked  EventKind = iota // time has passed
-	Replied                  // Token, Msg: a response for which Matches is true
-	Lost                     // Token: no response in time, or none that can be parsed
+	Ticked     EventKind = iota // time has passed
+	Responded                   // Token, Msg: a response for which Matches is true
+	NoResponse                  // Token: no response in time, or none that can be parsed
 )
 
 // Event is one input of a Lookup.
@@ -64,43 +64,43 @@
 	Msg   *dns.Msg
 }
 
-// Question is one query to one name server.
-type Question struct {
-	Token  int
-	Server int
-	Name   string // fully qualified, with the final dot
-	Type   uint16
-	TCP    bool
-	NoEDNS bool          // send it without EDNS: the server doesn't support it
-	Within time.Duration // the timeout
+// Query is one query to one name server.
+type Query struct {
+	Token   int
+	Server  int
+	Name    string // fully qualified, with the final dot
+	Type    uint16
+	TCP     bool
+	NoEDNS  bool          // send it without EDNS: the server doesn't support it
+	Timeout time.Duration // the timeout
 }
 
-// Box is one backend: an address and port of an SRV target.
-type Box struct {
-	Target string // in lower case, without the final dot
-	Addr   netip.AddrPort
-	Tier   int // rank of its SRV priority among those of the response: 0 gets the requests, higher tiers are backups
-	Weight float64
-	Until  time.Duration // when its TTL ends
+// Backend is one backend: an address and port of an SRV target.
+type Backend struct {
+	Target    string // in lower case, without the final dot
+	Addr      netip.AddrPort
+	Tier      int // rank of its SRV priority among those of the response: 0 gets the requests, higher tiers are backups
+	Weight    float64
+	ExpiresAt time.Duration // when its TTL ends
 }
 
 // Name returns the id of the backend: target, port and address.
-func (b *Box) Name() string {
+func (b *Backend) Name() string {
 	return fmt.Sprintf("%s:%d/%s", b.Target, b.Addr.Port(), b.Addr.Addr())
 }
 
 // Answer is the result of a lookup: the complete list of backends.
 type Answer struct {
-	Boxes   []Box
-	Until   time.Duration // when the TTL of the list ends
-	Decided bool          // the only target is ".": the service is decidedly not available at this name (RFC 2782)
+	Backends  []Backend
+	ExpiresAt time.Duration // when the TTL of the list ends
+	Intended  bool          // the only target is ".": the service is decidedly not available at this name (RFC 2782)
 }
 
 // Action is one thing for the caller to do: send a query, apply an answer, or write a line to the log.
 type Action struct {
-	Ask  *Question
-	Told *Answer
-	Log  string
+	Query  *Query
+	Answer *Answer
+	Log    string
 }
 
 // Lookup resolves one SRV name and keeps the result up to date, for as long as it gets events.
@@ -126,7 +126,7 @@
 
 // pendingQuery is a query under way, over all its tries and name servers.
 type pendingQuery struct {
-	Question
+	Query
 	queriedName string // the name that was queried first; Name is where CNAMEs have led
 	firstServer int    // the server of the first try
 	tries       int
@@ -170,9 +170,9 @@
 	}
 	cfg.Name = dns.CanonicalName(cfg.Name)
 	cfg.Timeout, cfg.Rounds = cmp.Or(cfg.Timeout, time.Second), cmp.Or(cfg.Rounds, 2)
-	cfg.Floor, cfg.Ceiling = cmp.Or(cfg.Floor, 5*time.Second), cmp.Or(cfg.Ceiling, time.Hour)
-	cfg.Negative, cfg.Retry, cfg.RetryMost = cmp.Or(cfg.Negative, 5*time.Minute), cmp.Or(cfg.Retry, time.Second),
-		cmp.Or(cfg.RetryMost, 30*time.Second)
+	cfg.MinTTL, cfg.MaxTTL = cmp.Or(cfg.MinTTL, 5*time.Second), cmp.Or(cfg.MaxTTL, time.Hour)
+	cfg.MaxNegativeTTL, cfg.RetryInterval, cfg.MaxRetryInterval = cmp.Or(cfg.MaxNegativeTTL, 5*time.Minute), cmp.Or(cfg.RetryInterval, time.Second),
+		cmp.Or(cfg.MaxRetryInterval, 30*time.Second)
 	return &Lookup{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: now, nextAt: now,
 		outstanding: map[int]*pendingQuery{}, lastAddrs: map[string]targetAddrs{}}, nil
 }
@@ -190,13 +190,13 @@
 			l.enqueue(l.cfg.Name, dns.TypeSRV)
 			l.sendQueued()
 		}
-	case Replied, Lost:
+	case Responded, NoResponse:
 		a := l.outstanding[ev.Token]
 		if a == nil {
 			break // a response to an earlier try
 		}
 		delete(l.outstanding, ev.Token)
-		if ev.Kind == Lost || ev.Msg == nil {
+		if ev.Kind == NoResponse || ev.Msg == nil {
 			l.retry(a)
 		} else {
 			l.handleResponse(a, ev.Msg)
@@ -221,8 +221,8 @@
 // enqueue adds a query to the queue.
 func (l *Lookup) enqueue(name string, qtype uint16) {
 	l.current.pending++
-	l.queue = append(l.queue, &pendingQuery{Question: Question{Name: name, Type: qtype, Server: l.preferredServer},
-		queriedName: name, firstServer: l.preferredServer, ttl: l.cfg.Ceiling})
+	l.queue = append(l.queue, &pendingQuery{Query: Query{Name: name, Type: qtype, Server: l.preferredServer},
+		queriedName: name, firstServer: l.preferredServer, ttl: l.cfg.MaxTTL})
 }
 
 // sendQueued sends queries from the queue, up to the limit of outstanding ones.
@@ -232,10 +232,10 @@
 		l.queue = l.queue[1:]
 		l.lastToken++
 		a.Token = l.lastToken
-		a.Within, a.sentAt = l.cfg.Timeout<<min(l.timeoutDoublings+a.tries/l.cfg.Servers, maxTimeoutDoublings), l.now
+		a.Timeout, a.sentAt = l.cfg.Timeout<<min(l.timeoutDoublings+a.tries/l.cfg.Servers, maxTimeoutDoublings), l.now
 		l.outstanding[a.Token] = a
-		q := a.Question
-		l.actions = append(l.actions, Action{Ask: &q})
+		q := a.Query
+		l.actions = append(l.actions, Action{Query: &q})
 	}
 }
 
@@ -332,7 +332,7 @@
 		ttl = min(ttl, ttlDuration(rr.Header().Ttl))
 	}
 	if len(rrs) == 0 {
-		ttl = min(ttl, l.cfg.Negative, soaTTL(m))
+		ttl = min(ttl, l.cfg.MaxNegativeTTL, soaTTL(m))
 	}
 	if a.Type == dns.TypeSRV {
 		l.handleSRV(a, m, rrs, ttl)
@@ -394,7 +394,7 @@
 			l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: more than %d SRV targets: the rest is ignored", l.cfg.Name, maxTargets)})
 			break
 		}
-		l.current.targets[s.Target] = &targetResult{ttl: l.cfg.Ceiling, negativeTTL: l.cfg.Negative}
+		l.current.targets[s.Target] = &targetResult{ttl: l.cfg.MaxTTL, negativeTTL: l.cfg.MaxNegativeTTL}
 	}
 	// Records of the additional section are accepted only for names within the domain of the service, as the sender may not be
 	// authoritative for others.
@@ -423,9 +423,9 @@
 	}
 }
 
-// clampTTL limits a TTL to the range from Floor to Ceiling.
+// clampTTL limits a TTL to the range from MinTTL to MaxTTL.
 func (l *Lookup) clampTTL(ttl time.Duration) time.Duration {
-	return min(max(ttl, l.cfg.Floor), l.cfg.Ceiling)
+	return min(max(ttl, l.cfg.MinTTL), l.cfg.MaxTTL)
 }
 
 // finish builds the answer of a lookup, and schedules the next lookup.
@@ -438,7 +438,7 @@
 		return
 	}
 	shortestTTL := l.clampTTL(r.srvTTL)
-	answer := &Answer{Until: l.now + shortestTTL, Decided: len(r.srv) == 1 && r.srv[0].Target == "."}
+	answer := &Answer{ExpiresAt: l.now + shortestTTL, Intended: len(r.srv) == 1 && r.srv[0].Target == "."}
 	var priorities []uint16
 	for _, s := range r.srv {
 		if !slices.Contains(priorities, s.Priority) {
@@ -465,17 +465,17 @@
 			newAddrs[s.Target] = result
 		}
 		for _, addr := range result.addrs {
-			b := Box{Target: strings.TrimSuffix(s.Target, "."), Addr: netip.AddrPortFrom(addr, s.Port), Until: result.expiresAt,
+			b := Backend{Target: strings.TrimSuffix(s.Target, "."), Addr: netip.AddrPortFrom(addr, s.Port), ExpiresAt: result.expiresAt,
 				Tier: slices.Index(priorities, s.Priority), Weight: srvWeight(s.Weight)}
 			if name := b.Name(); !seen[name] {
 				seen[name] = true
-				answer.Boxes = append(answer.Boxes, b)
+				answer.Backends = append(answer.Backends, b)
 			}
 		}
-		shortestTTL = min(shortestTTL, max(result.expiresAt-l.now, l.cfg.Floor))
+		shortestTTL = min(shortestTTL, max(result.expiresAt-l.now, l.cfg.MinTTL))
 	}
 	l.lastAddrs = newAddrs
-	l.actions = append(l.actions, Action{Told: answer})
+	l.actions = append(l.actions, Action{Answer: answer})
 	if failedTargets > 0 {
 		l.actions = append(l.actions, Action{Log: fmt.Sprintf("%s: no response to the address queries for %d targets", l.cfg.Name, failedTargets)})
 		l.scheduleRetry()
@@ -497,7 +497,7 @@
 
 // scheduleRetry schedules the next lookup after a failure, with exponential backoff and jitter.
 func (l *Lookup) scheduleRetry() {
-	wait := min(l.cfg.Retry<<min(l.failures, 10), l.cfg.RetryMost)
+	wait := min(l.cfg.RetryInterval<<min(l.failures, 10), l.cfg.MaxRetryInterval)
 	l.timeoutDoublings = min(l.timeoutDoublings+1, maxTimeoutDoublings)
 	if l.failures++; l.failures == 1 {
 		l.actions = append(l.actions, Action{Log: l.cfg.Name + ": the name servers fail: what is known holds"})
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -11,8 +11,8 @@
 )
 
 // runLookup runs one lookup with responses from a function, and returns its answer, its log lines and its queries.
-func runLookup(t testing.TB, l *Lookup, now *time.Duration, respond func(q Question, m *dns.Msg) *dns.Msg) (
-	result *Answer, logs []string, queries []Question) {
+func runLookup(t testing.TB, l *Lookup, now *time.Duration, respond func(q Query, m *dns.Msg) *dns.Msg) (
+	result *Answer, logs []string, queries []Query) {
 	t.Helper()
 	acts := l.Handle(*now, Event{Kind: Ticked}, nil)
 	for steps := 0; len(acts) > 0; steps++ {
@@ -22,18 +22,18 @@
 		a := acts[0]
 		acts = acts[1:]
 		switch {
-		case a.Told != nil:
-			result = a.Told
+		case a.Answer != nil:
+			result = a.Answer
 		case a.Log != "":
 			logs = append(logs, a.Log)
-		case a.Ask != nil:
-			queries = append(queries, *a.Ask)
+		case a.Query != nil:
+			queries = append(queries, *a.Query)
 			m := new(dns.Msg)
-			m.SetQuestion(a.Ask.Name, a.Ask.Type)
-			ev := Event{Kind: Replied, Token: a.Ask.Token, Msg: respond(*a.Ask, m)}
+			m.SetQuestion(a.Query.Name, a.Query.Type)
+			ev := Event{Kind: Responded, Token: a.Query.Token, Msg: respond(*a.Query, m)}
 			if ev.Msg == nil {
-				*now += a.Ask.Within
-				ev.Kind = Lost
+				*now += a.Query.Timeout
+				ev.Kind = NoResponse
 			} else {
 				*now += time.Millisecond
 			}
@@ -44,7 +44,7 @@
 }
 
 // zone returns a function that responds from the lines of a zone file.
-func zone(t testing.TB, lines ...string) func(Question, *dns.Msg) *dns.Msg {
+func zone(t testing.TB, lines ...string) func(Query, *dns.Msg) *dns.Msg {
 	t.Helper()
 	var rrs []dns.RR
 	for _, l := range lines {
@@ -54,7 +54,7 @@
 		}
 		rrs = append(rrs, rr)
 	}
-	return func(q Question, m *dns.Msg) *dns.Msg {
+	return func(q Query, m *dns.Msg) *dns.Msg {
 		m.SetReply(m)
 		for _, rr := range rrs {
 			h := rr.Header()
@@ -80,8 +80,8 @@
 		return "nothing"
 	}
 	var list []string
-	for _, b := range a.Boxes {
-		list = append(list, fmt.Sprintf("%s tier %d weight %v life %v", b.Name(), b.Tier, b.Weight, b.Until.Round(time.Second)))
+	for _, b := range a.Backends {
+		list = append(list, fmt.Sprintf("%s tier %d weight %v life %v", b.Name(), b.Tier, b.Weight, b.ExpiresAt.Round(time.Second)))
 	}
 	return strings.Join(list, "; ")
 }
@@ -124,12 +124,12 @@
 	}
 	now := time.Duration(0)
 	if result, _, _ := runLookup(t, newLookup(t, 1), &now, zone(t, srv+"30 IN SRV 0 0 0 .")); result == nil ||
-		!result.Decided || len(result.Boxes) != 0 {
+		!result.Intended || len(result.Backends) != 0 {
 		t.Errorf("target .: %+v", result)
 	}
 	spoofed := zone(t, srv+"30 IN SRV 1 1 80 a.khuree.mn.", srv+"30 IN SRV 1 1 80 bank.example.", "bank.example. 30 IN A 10.9.9.9")
 	now = 0
-	result, _, queries := runLookup(t, newLookup(t, 1), &now, func(q Question, m *dns.Msg) *dns.Msg {
+	result, _, queries := runLookup(t, newLookup(t, 1), &now, func(q Query, m *dns.Msg) *dns.Msg {
 		m = spoofed(q, m)
 		for _, l := range []string{"bank.example. 3600 IN A 127.66.66.66", "a.khuree.mn. 30 IN A 10.0.0.1", "x.khuree.mn. 30 IN A 127.66.66.66"} {
 			rr, _ := dns.NewRR(l)
@@ -148,7 +148,7 @@
 func TestLookupGetsPastFailingServers(t *testing.T) {
 	good := zone(t, "_menu._tcp.khuree.mn. 30 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 30 IN A 10.0.0.1")
 	l, now := newLookup(t, 3), time.Duration(0)
-	result, _, queries := runLookup(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
+	result, _, queries := runLookup(t, l, &now, func(q Query, m *dns.Msg) *dns.Msg {
 		switch {
 		case q.Server == 0:
 			return nil
@@ -173,7 +173,7 @@
 		t.Errorf("first query went to server %d, and 2 had responded last", queries[0].Server)
 	}
 	// All servers fail: there is no answer, and the wait between lookups grows up to 30 s, plus jitter.
-	noResponse := func(Question, *dns.Msg) *dns.Msg { return nil }
+	noResponse := func(Query, *dns.Msg) *dns.Msg { return nil }
 	for i := range 12 {
 		now, _ = l.Next()
 		result, logs, queries := runLookup(t, l, &now, noResponse)
@@ -187,13 +187,13 @@
 	runLookup(t, l, &now, good)
 	until := l.lastAddrs["a.khuree.mn."].expiresAt
 	now, _ = l.Next()
-	result, _, _ = runLookup(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
+	result, _, _ = runLookup(t, l, &now, func(q Query, m *dns.Msg) *dns.Msg {
 		if q.Type != dns.TypeSRV {
 			return nil
 		}
 		return good(q, m)
 	})
-	if result == nil || len(result.Boxes) != 1 || result.Boxes[0].Until != until {
+	if result == nil || len(result.Backends) != 1 || result.Backends[0].ExpiresAt != until {
 		t.Errorf("%s, want the old end %v", describe(result), until)
 	}
 }
@@ -270,7 +270,7 @@
 	f.Add(seed, seed)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		l, now, n := newLookup(t, 2), time.Duration(0), 0
-		_, _, queries := runLookup(t, l, &now, func(q Question, m *dns.Msg) *dns.Msg {
+		_, _, queries := runLookup(t, l, &now, func(q Query, m *dns.Msg) *dns.Msg {
 			n++
 			packed := first
 			if n%2 == 0 {
@@ -295,9 +295,9 @@
 		l, now := newLookup(t, 1), time.Duration(0)
 		respond := zone(t, "_menu._tcp.khuree.mn. 60 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 60 IN A 10.0.0.1")
 		sentQueries := 0
-		respondSlowly := func(q Question, m *dns.Msg) *dns.Msg {
+		respondSlowly := func(q Query, m *dns.Msg) *dns.Msg {
 			sentQueries++
-			if q.Within < slow {
+			if q.Timeout < slow {
 				return nil
 			}
 			now += slow
@@ -324,9 +324,9 @@
 	const slow = 3 * time.Second
 	l, now := newLookup(t, 1), time.Duration(0)
 	respond := zone(t, "_menu._tcp.khuree.mn. 60 IN SRV 1 1 80 a.khuree.mn.", "a.khuree.mn. 60 IN A 10.0.0.1")
-	respondMixed := func(q Question, m *dns.Msg) *dns.Msg {
+	respondMixed := func(q Query, m *dns.Msg) *dns.Msg {
 		if q.Type == dns.TypeSRV {
-			if q.Within < slow {
+			if q.Timeout < slow {
 				return nil
 			}
 			now += slow
--- a/members/members.go
+++ b/members/members.go
@@ -10,24 +10,24 @@
 	"glencart/balance"
 )
 
-// Line is one backend in an endpoint list. The engine assigns its Backend number.
-type Line struct {
+// Endpoint is one backend in an endpoint list. The engine assigns its Backend number.
+type Endpoint struct {
 	ID   string
 	Addr string
 	balance.Member
 }
 
-// Call is the latest override of operators for a backend: it is out of service or back in. Times are Unix time.
-type Call struct {
-	ID   string        `json:"id"`
-	Out  bool          `json:"out"`
-	At   time.Duration `json:"at"`             // when the override was made
-	Back time.Duration `json:"back,omitempty"` // when the backend was last put back; 0: never
+// Override is the latest override of operators for a backend: it is out of service or back in. Times are Unix time.
+type Override struct {
+	ID           string        `json:"id"`
+	OutOfService bool          `json:"out"`
+	ChangedAt    time.Duration `json:"at"`             // when the override was made
+	ReturnedAt   time.Duration `json:"back,omitempty"` // when the backend was last put back; 0: never
 }
 
-// Hand holds the backends that discovery has listed. For each it holds the override of operators, and whether the engine has seen
+// Tracker holds the backends that discovery has listed. For each it holds the override of operators, and whether the engine has seen
 // a newer process than discovery has reported. The zero value is ready to use.
-type Hand struct {
+type Tracker struct {
 	// WarmWithin is how long a backend is cold after its start; 0: start times are taken as reported.
 	WarmWithin time.Duration
 
@@ -37,10 +37,10 @@
 }
 
 type backendState struct {
-	line     Line // as discovery last reported it, with the start on this process's clock; Gone if it was never listed
+	line     Endpoint // as discovery last reported it, with the start on this process's clock; Gone if it was never listed
 	start    startTime
-	override Call
-	backAt   time.Duration // override.Back on this process's clock
+	override Override
+	backAt   time.Duration // override.ReturnedAt on this process's clock
 	goneAt   time.Duration // when it left the list
 
 	refusedAt   time.Duration // when it first refused a connection since its last answer; 0: it has not
@@ -48,7 +48,7 @@
 }
 
 // Refused records that a backend refused a connection, so its process has ended.
-func (h *Hand) Refused(id string, now time.Duration) {
+func (h *Tracker) Refused(id string, now time.Duration) {
 	if k := h.backends[id]; k != nil && k.line.Phase != balance.Gone && k.refusedAt == 0 {
 		h.refusedCount++
 		k.refusedAt = now
@@ -58,7 +58,7 @@
 // Answered records an answer of a backend. An answer after a refusal comes from a new process, which counts as just started until
 // discovery reports its start. A backend that refused stays cold even if discovery reports nothing: discovery may be down, and the
 // process is cold all the same. Answered returns the lines that the engine has to receive, mostly none.
-func (h *Hand) Answered(id string, now time.Duration) []Line {
+func (h *Tracker) Answered(id string, now time.Duration) []Endpoint {
 	if h.refusedCount == 0 {
 		return nil // the common case
 	}
@@ -72,14 +72,14 @@
 	}
 	h.trustDiscovery(k)
 	k.restartedAt = now
-	return []Line{k.effective(k.line)}
+	return []Endpoint{k.effective(k.line)}
 }
 
-// InDoubt returns the number of backends that have refused a connection and not answered since.
-func (h *Hand) InDoubt() int { return h.refusedCount }
+// RefusedCount returns the number of backends that have refused a connection and not answered since.
+func (h *Tracker) RefusedCount() int { return h.refusedCount }
 
 // trustDiscovery makes the start that discovery reports count again.
-func (h *Hand) trustDiscovery(k *backendState) {
+func (h *Tracker) trustDiscovery(k *backendState) {
 	if k.refusedAt > 0 {
 		h.refusedCount--
 	}
@@ -91,8 +91,8 @@
 // just left the list applies to a known backend.
 const minGone, maxGoneRatio = 1024, 2
 
-// Take merges a list, or an update of it, and returns the lines that the engine receives instead. It doesn't modify lines.
-func (h *Hand) Take(lines []Line, complete bool, now time.Duration) []Line {
+// ApplyList merges a list, or an update of it, and returns the lines that the engine receives instead. It doesn't modify lines.
+func (h *Tracker) ApplyList(lines []Endpoint, complete bool, now time.Duration) []Endpoint {
 	if complete {
 		listed := make(map[string]bool, len(lines))
 		for _, l := range lines {
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	merged := make([]Line, 0, len(lines))
+	merged := make([]Endpoint, 0, len(lines))
 	for _, l := range lines {
 		k := h.backends[l.ID]
 		if k == nil {
@@ -131,39 +131,39 @@
 	return merged
 }
 
-// Say records an override: out of service, or back in. It returns the lines that the engine has to receive (none if the override
+// SetOutOfService records an override: out of service, or back in. It returns the lines that the engine has to receive (none if the override
 // changes nothing), the latest override for this backend, and whether the id is known.
-func (h *Hand) Say(id string, out bool, now time.Duration) ([]Line, Call, bool) {
+func (h *Tracker) SetOutOfService(id string, out bool, now time.Duration) ([]Endpoint, Override, bool) {
 	k := h.backends[id]
 	if k == nil {
-		return nil, Call{}, false
+		return nil, Override{}, false
 	}
-	if k.override.Out == out {
+	if k.override.OutOfService == out {
 		return nil, k.override, true // the override repeats the last one; one call back undoes both
 	}
-	c := Call{ID: id, Out: out, At: max(now, k.override.At+1), Back: k.override.Back}
+	c := Override{ID: id, OutOfService: out, ChangedAt: max(now, k.override.ChangedAt+1), ReturnedAt: k.override.ReturnedAt}
 	if !out {
-		c.Back = c.At
+		c.ReturnedAt = c.ChangedAt
 	}
-	return h.Hear([]Call{c}, now), c, true
+	return h.MergeOverrides([]Override{c}, now), c, true
 }
 
-// Hear merges overrides made at another process of the same node. The later one counts. Each is kept, also for a backend that this
+// MergeOverrides merges overrides made at another process of the same node. The later one counts. Each is kept, also for a backend that this
 // process doesn't know yet. It returns the lines that the engine has to receive.
-func (h *Hand) Hear(calls []Call, now time.Duration) []Line {
-	var changed []Line
+func (h *Tracker) MergeOverrides(calls []Override, now time.Duration) []Endpoint {
+	var changed []Endpoint
 	for _, c := range calls {
 		k := h.backends[c.ID]
 		if k == nil {
 			k = h.add(c.ID)
 			k.line.Phase = balance.Gone
 		}
-		if c.At < k.override.At || c.At == k.override.At && !c.Out {
+		if c.ChangedAt < k.override.ChangedAt || c.ChangedAt == k.override.ChangedAt && !c.OutOfService {
 			continue
 		}
 		before := k.effective(k.line)
-		if c.Back != k.override.Back {
-			k.backAt = h.estimateStart(c.Back, now, 0)
+		if c.ReturnedAt != k.override.ReturnedAt {
+			k.backAt = h.estimateStart(c.ReturnedAt, now, 0)
 		}
 		k.override = c
 		if after := k.effective(k.line); after != before && k.line.Phase != balance.Gone {
@@ -173,24 +173,24 @@
 	return changed
 }
 
-// Calls returns the latest override of each backend that has one, sorted by id, for another process of the node.
-func (h *Hand) Calls() []Call {
-	var calls []Call
+// Overrides returns the latest override of each backend that has one, sorted by id, for another process of the node.
+func (h *Tracker) Overrides() []Override {
+	var calls []Override
 	for _, k := range h.backends {
-		if k.override.At > 0 {
+		if k.override.ChangedAt > 0 {
 			calls = append(calls, k.override)
 		}
 	}
-	slices.SortFunc(calls, func(x, y Call) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(calls, func(x, y Override) int { return cmp.Compare(x.ID, y.ID) })
 	return calls
 }
 
 // Counts returns how many backends are listed, and how many of those operators have taken out of service.
-func (h *Hand) Counts() (listed, out int) {
+func (h *Tracker) Counts() (listed, out int) {
 	for _, k := range h.backends {
 		if k.line.Phase != balance.Gone {
 			listed++
-			if k.override.Out {
+			if k.override.OutOfService {
 				out++
 			}
 		}
@@ -199,7 +199,7 @@
 }
 
 // add adds a backend that is not known yet.
-func (h *Hand) add(id string) *backendState {
+func (h *Tracker) add(id string) *backendState {
 	if h.backends == nil {
 		h.backends = map[string]*backendState{}
 	}
@@ -219,22 +219,22 @@
 // effective returns a line with the override and the observed restart applied. A backend that is out of service is draining, whatever
 // discovery reports. One that was put back may have been restarted while it was out, which discovery reports late or never, so
 // its start is no earlier than its return. One that refused a connection and then answered started in between.
-func (k *backendState) effective(l Line) Line {
-	if k.override.Out && l.Phase == balance.Ready {
+func (k *backendState) effective(l Endpoint) Endpoint {
+	if k.override.OutOfService && l.Phase == balance.Ready {
 		l.Phase = balance.Draining
 	}
 	if l.Launched < k.backAt {
-		l.Launched, l.Returned = k.backAt, true
+		l.Launched, l.IsReinstated = k.backAt, true
 	}
 	l.Launched = max(l.Launched, k.restartedAt)
 	return l
 }
 
 // dropGone bounds the number of backends kept that have left the list. One that is out of service is kept and stays out when it returns.
-func (h *Hand) dropGone() {
+func (h *Tracker) dropGone() {
 	var gone []*backendState
 	for _, k := range h.backends {
-		if k.line.Phase == balance.Gone && !k.override.Out {
+		if k.line.Phase == balance.Gone && !k.override.OutOfService {
 			gone = append(gone, k)
 		}
 	}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -15,10 +15,10 @@
 
 var phases = []string{"ready", "draining", "gone"}
 
-func format(lines []Line) string {
+func format(lines []Endpoint) string {
 	var b strings.Builder
 	for _, l := range lines {
-		fmt.Fprintf(&b, "%s %s started %d returned %t\n", l.ID, phases[l.Phase], l.Launched/time.Second, l.Returned)
+		fmt.Fprintf(&b, "%s %s started %d returned %t\n", l.ID, phases[l.Phase], l.Launched/time.Second, l.IsReinstated)
 	}
 	return b.String()
 }
@@ -33,16 +33,16 @@
 //	counts
 func TestListsAndOverrides(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var h, other Hand
+		var h, other Tracker
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			at := 0
 			d.MaybeScanArgs(t, "at", &at)
 			now := time.Duration(at) * time.Second
 			switch d.Cmd {
 			case "list":
-				var lines []Line
+				var lines []Endpoint
 				for text := range strings.Lines(d.Input) {
-					var l Line
+					var l Endpoint
 					var phase string
 					var started int
 					fmt.Sscan(text, &l.ID, &phase, &started)
@@ -50,15 +50,15 @@
 					lines = append(lines, l)
 				}
 				whole := d.CmdArgs[0].Key == "whole"
-				other.Take(lines, whole, now)
-				return format(h.Take(lines, whole, now))
+				other.ApplyList(lines, whole, now)
+				return format(h.ApplyList(lines, whole, now))
 			case "out", "back":
 				var id string
 				d.ScanArgs(t, "id", &id)
-				lines, _, known := h.Say(id, d.Cmd == "out", now)
+				lines, _, known := h.SetOutOfService(id, d.Cmd == "out", now)
 				return fmt.Sprintf("%sknown %t\n", format(lines), known)
 			case "other":
-				return format(other.Hear(h.Calls(), now))
+				return format(other.MergeOverrides(h.Overrides(), now))
 			case "counts":
 				listed, out := h.Counts()
 				return fmt.Sprintf("%d listed, %d out\n", listed, out)
@@ -74,16 +74,16 @@
 // receives the calls in any order reports the same.
 func TestResultsDoNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h Hand
-		out, back, listed := map[string]bool{}, map[string]time.Duration{}, map[string]Line{}
-		reported := map[string]Line{}
-		var calls []Call
+		var h Tracker
+		out, back, listed := map[string]bool{}, map[string]time.Duration{}, map[string]Endpoint{}
+		reported := map[string]Endpoint{}
+		var calls []Override
 		for now := time.Duration(1); now < 40; now++ {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
-			var lines []Line
+			var lines []Endpoint
 			if rapid.Bool().Draw(t, "operators") {
 				takeOut := rapid.Bool().Draw(t, "out")
-				changed, call, known := h.Say(id, takeOut, now)
+				changed, call, known := h.SetOutOfService(id, takeOut, now)
 				lines = changed
 				if known != (listed[id].ID != "") {
 					t.Fatalf("%s: Say returned known %t", id, known)
@@ -93,15 +93,15 @@
 						back[id] = now
 					}
 					out[id] = takeOut
-					if call.At > 0 {
+					if call.ChangedAt > 0 {
 						calls = append(calls, call)
 					}
 				}
 			} else {
-				l := Line{ID: id}
+				l := Endpoint{ID: id}
 				l.Phase = balance.Phase(rapid.IntRange(0, 2).Draw(t, "phase"))
 				l.Launched = time.Duration(rapid.IntRange(0, 40).Draw(t, "started"))
-				lines = h.Take([]Line{l}, false, now)
+				lines = h.ApplyList([]Endpoint{l}, false, now)
 				if l.Phase != balance.Gone || listed[id].ID != "" {
 					listed[id] = l
 				}
@@ -121,9 +121,9 @@
 				}
 			}
 		}
-		var other Hand
-		other.Hear(rapid.Permutation(calls).Draw(t, "order"), 40)
-		if a, b := fmt.Sprint(h.Calls()), fmt.Sprint(other.Calls()); a != b {
+		var other Tracker
+		other.MergeOverrides(rapid.Permutation(calls).Draw(t, "order"), 40)
+		if a, b := fmt.Sprint(h.Overrides()), fmt.Sprint(other.Overrides()); a != b {
 			t.Fatalf("the other process has the overrides %s, this one %s", b, a)
 		}
 	})
@@ -131,20 +131,20 @@
 
 // Guards against memory that grows with each backend that leaves the list, and against dropping one that is out of service.
 func TestGoneBackendsAreBounded(t *testing.T) {
-	var h Hand
-	line := func(i int, p balance.Phase) []Line {
-		return []Line{{ID: fmt.Sprint(i), Member: balance.Member{Phase: p}}}
+	var h Tracker
+	line := func(i int, p balance.Phase) []Endpoint {
+		return []Endpoint{{ID: fmt.Sprint(i), Member: balance.Member{Phase: p}}}
 	}
-	h.Take(line(0, balance.Ready), false, 1)
-	h.Say("0", true, 1)
+	h.ApplyList(line(0, balance.Ready), false, 1)
+	h.SetOutOfService("0", true, 1)
 	for i := range 3 * minGone {
-		h.Take(line(i, balance.Ready), false, time.Duration(i+2))
-		h.Take(line(i, balance.Gone), false, time.Duration(i+2))
+		h.ApplyList(line(i, balance.Ready), false, time.Duration(i+2))
+		h.ApplyList(line(i, balance.Gone), false, time.Duration(i+2))
 	}
 	if len(h.backends) > minGone+1 {
 		t.Errorf("%d backends are kept", len(h.backends))
 	}
-	if l := h.Take(line(0, balance.Ready), false, 9999); l[0].Phase != balance.Draining {
+	if l := h.ApplyList(line(0, balance.Ready), false, 9999); l[0].Phase != balance.Draining {
 		t.Errorf("a backend out of service returned as %v", l[0].Phase)
 	}
 }
@@ -153,13 +153,13 @@
 // a connection and then answers is a new process until discovery reports one, however long that takes.
 func TestAnswerAfterRefusalIsNewProcess(t *testing.T) {
 	const sec = time.Second
-	old := Line{ID: "s", Addr: "a:1", Member: balance.Member{Phase: balance.Ready, Launched: 5 * sec}}
-	begin := func() *Hand {
-		var h Hand
-		h.Take([]Line{old, {ID: "other", Addr: "b:1"}}, true, 10*sec)
+	old := Endpoint{ID: "s", Addr: "a:1", Member: balance.Member{Phase: balance.Ready, Launched: 5 * sec}}
+	begin := func() *Tracker {
+		var h Tracker
+		h.ApplyList([]Endpoint{old, {ID: "other", Addr: "b:1"}}, true, 10*sec)
 		return &h
 	}
-	launched := func(what string, lines []Line, want ...time.Duration) {
+	launched := func(what string, lines []Endpoint, want ...time.Duration) {
 		t.Helper()
 		var got []time.Duration
 		for _, l := range lines {
@@ -176,24 +176,24 @@
 	launched("another backend", h.Answered("other", 22*sec))
 	launched("answers again", h.Answered("s", 23*sec), 23*sec)
 	launched("another answer", h.Answered("s", 24*sec))
-	launched("the old entry in a whole list", h.Take([]Line{old}, true, 60*sec), 23*sec)
+	launched("the old entry in a whole list", h.ApplyList([]Endpoint{old}, true, 60*sec), 23*sec)
 
 	h = begin()
 	h.Refused("s", 20*sec)
 	h.Answered("s", 23*sec)
 	fresh := old
 	fresh.Launched = 21 * sec
-	launched("report of the new process", h.Take([]Line{fresh}, false, 25*sec), 21*sec)
-	launched("the report again", h.Take([]Line{fresh}, true, 60*sec), 21*sec)
+	launched("report of the new process", h.ApplyList([]Endpoint{fresh}, false, 25*sec), 21*sec)
+	launched("the report again", h.ApplyList([]Endpoint{fresh}, true, 60*sec), 21*sec)
 
 	h = begin()
 	h.Refused("s", 20*sec)
-	launched("report before it answers", h.Take([]Line{fresh}, false, 22*sec), 21*sec)
+	launched("report before it answers", h.ApplyList([]Endpoint{fresh}, false, 22*sec), 21*sec)
 	launched("answer after the report", h.Answered("s", 23*sec))
 
 	h = begin()
 	h.Refused("s", 20*sec)
-	h.Take([]Line{{ID: "s", Member: balance.Member{Phase: balance.Gone}}}, false, 21*sec)
+	h.ApplyList([]Endpoint{{ID: "s", Member: balance.Member{Phase: balance.Gone}}}, false, 21*sec)
 	launched("gone", h.Answered("s", 23*sec))
 	if h.refusedCount != 0 {
 		t.Errorf("%d backends count as refused", h.refusedCount)
@@ -203,7 +203,7 @@
 	h.Answered("s", 23*sec)
 	h.Refused("s", 24*sec) // it crashes again
 	launched("answers after a second refusal", h.Answered("s", 26*sec), 26*sec)
-	h.Take(nil, true, 27*sec)
+	h.ApplyList(nil, true, 27*sec)
 	if h.refusedCount != 0 {
 		t.Errorf("%d backends count as refused", h.refusedCount)
 	}
--- a/members/starts.go
+++ b/members/starts.go
@@ -18,12 +18,12 @@
 	local    time.Duration // on this process's clock
 }
 
-// Heard records that a source has sent all that it has.
-func (h *Hand) Heard(now time.Duration) { h.updatedAt = now }
+// ListComplete records that a source has sent all that it has.
+func (h *Tracker) ListComplete(now time.Duration) { h.updatedAt = now }
 
 // localStart returns the start of a process on this process's clock. The result for a reported time never changes, because the engine
 // takes a different start for a different process.
-func (h *Hand) localStart(k *backendState, reported, now time.Duration) time.Duration {
+func (h *Tracker) localStart(k *backendState, reported, now time.Duration) time.Duration {
 	if k.start.reported != reported {
 		k.start = startTime{reported: reported, local: h.estimateStart(reported, now, h.updatedAt)}
 	}
@@ -32,7 +32,7 @@
 
 // estimateStart converts a start that a source reports for the first time. updatedAt is when a source last sent all that it had; 0:
 // never. If the clock can't be right, the later time is used: treating a backend as colder than it is costs little.
-func (h *Hand) estimateStart(reported, now, updatedAt time.Duration) time.Duration {
+func (h *Tracker) estimateStart(reported, now, updatedAt time.Duration) time.Duration {
 	age := now - reported
 	switch {
 	case h.WarmWithin <= 0 || reported <= 0:
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -34,10 +34,10 @@
 
 // SourceConfig is one source of a Merge. Sources are listed in order of precedence, the highest first.
 type SourceConfig struct {
-	Name  string
-	Trust Facts         // the facts that are taken from it; 0: all
-	Must  bool          // a backend that its complete list leaves out is gone, whatever the other sources report
-	Keep  time.Duration // how long an entry counts as stale after its lifetime
+	Name       string
+	Trust      Facts         // the facts that are taken from it; 0: all
+	Required   bool          // a backend that its complete list leaves out is gone, whatever the other sources report
+	StaleGrace time.Duration // how long an entry counts as stale after its lifetime
 	// Partial marks a source whose list covers some of the backends only. It has no vote on a backend that it has never listed.
 	Partial bool
 }
@@ -45,23 +45,23 @@
 // Config holds the settings of a Merge. Zero values switch the guard and the panic threshold off.
 type Config struct {
 	Sources []SourceConfig
-	// GuardPart is the fraction of the serving backends that may leave within GuardWindow. When more would leave, those whose
+	// GuardFraction is the fraction of the serving backends that may leave within GuardWindow. When more would leave, those whose
 	// checks pass are kept for GuardHold. 0: no guard.
-	GuardPart              float64
+	GuardFraction          float64
 	GuardWindow, GuardHold time.Duration
-	DrainFor               time.Duration // how long a drain counts after its source has removed the backend while another source lists it
-	PanicPart              float64       // with more than this fraction of the backends failing their checks, the checks are ignored; 0: never
+	RemovedDrainGrace      time.Duration // how long a drain counts after its source has removed the backend while another source lists it
+	PanicThreshold         float64       // with more than this fraction of the backends failing their checks, the checks are ignored; 0: never
 	Tick                   time.Duration
 }
 
 // Entry is what a source reports of one backend. Line.ID is empty where the source has addresses only: its backends have Name as
 // their id until a source with ids lists the same address. Line.Backend is the engine's number and unused here.
 type Entry struct {
-	Name  string
-	Knows Facts // the facts that this entry reports
-	members.Line
-	Tier  int           // backends of a higher tier are backups
-	Until time.Duration // when the entry becomes stale; 0: with its list
+	Name    string
+	Reports Facts // the facts that this entry reports
+	members.Endpoint
+	Tier      int           // backends of a higher tier are backups
+	ExpiresAt time.Duration // when the entry becomes stale; 0: with its list
 }
 
 // EventKind is the kind of an Event.
@@ -69,29 +69,29 @@
 
 // Kinds of events, with the fields each one uses.
 const (
-	Listed  EventKind = iota // Source, Entries, Complete, Revision, Until, Decided
-	Failed                   // Source: it can't be reached; its last list is stale from now on
-	Checked                  // Box, Up
-	Allowed                  // an operator releases what the guard holds
-	Ticked                   // time has passed
+	Listed        EventKind = iota // Source, Entries, Complete, Revision, ExpiresAt, Intended
+	SourceFailed                   // Source: it can't be reached; its last list is stale from now on
+	HealthChecked                  // BackendID, Up
+	GuardReleased                  // an operator releases what the guard holds
+	Ticked                         // time has passed
 )
 
 // Event is one input of a Merge. Its slices are not retained.
 type Event struct {
-	Kind     EventKind
-	Source   int
-	Entries  []Entry
-	Complete bool          // Entries is the complete list; otherwise it holds updates, and one whose Phase is Gone removes an entry
-	Revision int64         // the source's revision number; 0: it has none
-	Until    time.Duration // the end of the list's lifetime; 0: it is valid until the source fails
-	Decided  bool          // its removals are deliberate, as with target "." (RFC 2782): the guard doesn't hold them
-	Box      string        // id of the backend that was checked
-	Up       bool          // its check passed
+	Kind      EventKind
+	Source    int
+	Entries   []Entry
+	Complete  bool          // Entries is the complete list; otherwise it holds updates, and one whose Phase is Gone removes an entry
+	Revision  int64         // the source's revision number; 0: it has none
+	ExpiresAt time.Duration // the end of the list's lifetime; 0: it is valid until the source fails
+	Intended  bool          // its removals are deliberate, as with target "." (RFC 2782): the guard doesn't hold them
+	BackendID string        // id of the backend that was checked
+	Up        bool          // its check passed
 }
 
 // Change is the new state of one backend, for the pool.
 type Change struct {
-	members.Line
+	members.Endpoint
 	Tier int
 	Rule int // index in Rules
 	Note string
@@ -140,7 +140,7 @@
 	sourceIndex int
 	backend     *backend
 	stale       bool
-	lingering   bool          // it was draining when its source removed it, and it counts for DrainFor more
+	lingering   bool          // it was draining when its source removed it, and it counts for RemovedDrainGrace more
 	timer       wheel.ID      // set for the end of its lifetime, or for an earlier end where the lifetime has been extended since
 	timerAt     time.Duration // when timer is set for
 	listSeq     uint64        // listSeq of the source when it last listed the entry
@@ -201,15 +201,15 @@
 		if ev.Source >= 0 && ev.Source < len(m.sources) {
 			m.applyList(&ev)
 		}
-	case Failed:
+	case SourceFailed:
 		if ev.Source >= 0 && ev.Source < len(m.sources) && !m.sources[ev.Source].failed {
 			s := &m.sources[ev.Source]
 			s.failed = true
 			m.logLines = append(m.logLines, fmt.Sprintf("source %s fails: its last word holds as old", s.Name))
 			m.touchAll()
 		}
-	case Checked:
-		if b := m.backends[ev.Box]; b != nil && b.checksFail == ev.Up {
+	case HealthChecked:
+		if b := m.backends[ev.BackendID]; b != nil && b.checksFail == ev.Up {
 			b.checksFail = !ev.Up
 			if ev.Up {
 				delete(m.failing, b)
@@ -218,7 +218,7 @@
 			}
 			m.touch(b)
 		}
-	case Allowed:
+	case GuardReleased:
 		for b := range m.held {
 			b.holdEndsAt, b.released = 0, true
 			m.touch(b)
@@ -226,7 +226,7 @@
 		clear(m.held)
 	}
 	m.wheel.Advance(m.now, func(_ time.Duration, a expiry) { m.timerFired(a) })
-	return m.decide(out, ev.Decided)
+	return m.decide(out, ev.Intended)
 }
 
 // touch marks a backend as one that the event may change.
@@ -262,11 +262,11 @@
 	}
 	s.revision = cmp.Or(ev.Revision, s.revision)
 	hadExpired := s.expiresAt > 0 && s.expiresAt <= m.now
-	s.expiresAt = ev.Until
+	s.expiresAt = ev.ExpiresAt
 	s.listSeq++
 	s.listedCount = 0
 	for i := range ev.Entries {
-		m.applyEntry(s, ev.Source, &ev.Entries[i], cmp.Or(ev.Entries[i].Until, ev.Until))
+		m.applyEntry(s, ev.Source, &ev.Entries[i], cmp.Or(ev.Entries[i].ExpiresAt, ev.ExpiresAt))
 	}
 	firstList := ev.Complete && !s.hasList
 	if ev.Complete {
@@ -307,11 +307,11 @@
 			s.listedCount++
 		}
 		e.listSeq = s.listSeq
-		wasInactive, unchanged := e.stale, e.Line == x.Line && e.Tier == x.Tier && e.Knows == x.Knows
-		ownerMayChange := x.ID != "" && (e.Line.Phase != x.Line.Phase || e.Launched != x.Launched)
+		wasInactive, unchanged := e.stale, e.Endpoint == x.Endpoint && e.Tier == x.Tier && e.Reports == x.Reports
+		ownerMayChange := x.ID != "" && (e.Endpoint.Phase != x.Endpoint.Phase || e.Launched != x.Launched)
 		wasInactive = wasInactive || e.lingering
 		e.Entry, e.stale, e.lingering = *x, false, false
-		e.Until = until
+		e.ExpiresAt = until
 		if wasInactive || !unchanged {
 			m.touch(e.backend)
 		}
@@ -325,7 +325,7 @@
 		m.deleteEntry(s, e) // the name now belongs to another id or address
 	}
 	e = &entry{Entry: *x, sourceIndex: index, listSeq: s.listSeq}
-	e.Until = until
+	e.ExpiresAt = until
 	s.entries[x.Name] = e
 	s.listedCount++
 	m.armTimer(e)
@@ -364,7 +364,7 @@
 		unusedID = fmt.Sprintf("%s#%d", id, i)
 	}
 	b := &backend{id: unusedID, entries: make([]*entry, len(m.sources)), ruleIndex: len(Rules) - 1}
-	b.sent.Line.Phase, b.merged.Line.Phase = balance.Gone, balance.Gone
+	b.sent.Endpoint.Phase, b.merged.Endpoint.Phase = balance.Gone, balance.Gone
 	m.backends[unusedID] = b
 	return b
 }
@@ -397,7 +397,7 @@
 	p := balance.Gone
 	for _, e := range b.entries {
 		if e != nil && e.ID != "" {
-			p = min(p, e.Line.Phase)
+			p = min(p, e.Endpoint.Phase)
 		}
 	}
 	return p
@@ -468,14 +468,14 @@
 }
 
 // unlistEntry handles an entry that its source has removed. Where the backend was draining and another source still lists it, the drain
-// counts for DrainFor more: the other source is late, and without the drain a backend that has just finished would get new requests.
+// counts for RemovedDrainGrace more: the other source is late, and without the drain a backend that has just finished would get new requests.
 func (m *Merge) unlistEntry(s *source, e *entry) {
 	others := slices.ContainsFunc(e.backend.entries, func(o *entry) bool { return o != nil && o != e && !o.lingering })
 	switch {
 	case e.lingering && others:
-	case e.Line.Phase == balance.Draining && others && m.cfg.DrainFor > 0:
+	case e.Endpoint.Phase == balance.Draining && others && m.cfg.RemovedDrainGrace > 0:
 		m.wheel.Stop(e.timer)
-		e.lingering, e.stale, e.Until, e.timerAt = true, true, m.now, m.now+m.cfg.DrainFor
+		e.lingering, e.stale, e.ExpiresAt, e.timerAt = true, true, m.now, m.now+m.cfg.RemovedDrainGrace
 		e.timer = m.wheel.Arm(e.timerAt, expiry{entry: e})
 		m.touch(e.backend)
 	default:
@@ -536,9 +536,9 @@
 // armTimer sets the timer for the end of an entry's lifetime. Where the lifetime is extended, the old timer stays and is set again when
 // it fires: so a refreshed list costs no timer operations.
 func (m *Merge) armTimer(e *entry) {
-	if e.Until > 0 && (e.timer == wheel.ID{} || e.Until < e.timerAt) {
+	if e.ExpiresAt > 0 && (e.timer == wheel.ID{} || e.ExpiresAt < e.timerAt) {
 		m.wheel.Stop(e.timer)
-		e.timer, e.timerAt = m.wheel.Arm(e.Until, expiry{entry: e}), e.Until
+		e.timer, e.timerAt = m.wheel.Arm(e.ExpiresAt, expiry{entry: e}), e.ExpiresAt
 	}
 }
 
@@ -558,15 +558,15 @@
 		switch {
 		case e.lingering:
 			m.deleteEntry(s, e)
-		case e.Until == 0 || e.Until > m.now:
+		case e.ExpiresAt == 0 || e.ExpiresAt > m.now:
 			e.stale = false
 			m.armTimer(e)
-		case e.Until+s.Keep > m.now:
+		case e.ExpiresAt+s.StaleGrace > m.now:
 			if !e.stale {
 				e.stale = true
 				m.touch(e.backend)
 			}
-			e.timerAt = e.Until + s.Keep
+			e.timerAt = e.ExpiresAt + s.StaleGrace
 			e.timer = m.wheel.Arm(e.timerAt, a)
 		default:
 			m.deleteEntry(s, e)
@@ -587,26 +587,26 @@
 func (m *Merge) vote(i int, b *backend) Vote {
 	s, e := &m.sources[i], b.entries[i]
 	listStale := s.failed || s.expiresAt > 0 && s.expiresAt <= m.now
-	if e != nil && e.lingering && s.Trust&e.Knows&Phase == 0 {
+	if e != nil && e.lingering && s.Trust&e.Reports&Phase == 0 {
 		e = nil
 	}
 	switch {
-	case e != nil && e.Line.Phase == balance.Draining && s.Trust&e.Knows&Phase != 0:
+	case e != nil && e.Endpoint.Phase == balance.Draining && s.Trust&e.Reports&Phase != 0:
 		if e.stale || s.failed {
-			return Drained
+			return StaleDrains
 		}
 		return Drains
 	case s.Trust&Existence == 0:
 		return Abstains
 	case e != nil && (e.stale || s.failed):
-		return Had
+		return StaleLists
 	case e != nil:
-		return Has
+		return Lists
 	case !s.hasList, s.Partial && (b.partialListed == nil || !b.partialListed[i]):
 		return Abstains
 	case listStale:
 		return StaleLacks
-	case s.Must:
+	case s.Required:
 		return Denies
 	}
 	return Lacks
@@ -623,7 +623,7 @@
 
 // mergeFacts merges the facts of a backend besides its phase. Of each fact the first trusted source counts, fresh sources
 // before stale ones.
-func (m *Merge) mergeFacts(b *backend) (l members.Line, tier int) {
+func (m *Merge) mergeFacts(b *backend) (l members.Endpoint, tier int) {
 	l.ID, l.Member.Weight = b.id, 1
 	var known Facts
 	for _, stale := range [2]bool{false, true} {
@@ -631,17 +631,17 @@
 			if e == nil || (e.stale || m.sources[i].failed) != stale {
 				continue
 			}
-			reported := m.sources[i].Trust & e.Knows
+			reported := m.sources[i].Trust & e.Reports
 			taken := reported &^ known
 			known |= reported
 			if taken&Address != 0 {
 				l.Addr = e.Addr
 			}
 			if taken&Weight != 0 {
-				l.Member.Weight = e.Line.Member.Weight
+				l.Member.Weight = e.Endpoint.Member.Weight
 			}
 			if taken&Zone != 0 {
-				l.Zone, l.Cell, l.Kind = e.Line.Zone, e.Cell, e.Kind
+				l.Zone, l.Cell, l.Kind = e.Endpoint.Zone, e.Cell, e.Kind
 			}
 			if taken&Tier != 0 {
 				tier = e.Tier
@@ -671,7 +671,7 @@
 		b.ruleIndex = Decide(m.votes(b))
 		b.holdEndsAt = m.holdEnd(b)
 		b.released = b.released && Rules[b.ruleIndex].Verdict == Remove
-		if v := Rules[b.ruleIndex].Verdict; v == Remove && b.inPool && b.sent.Line.Phase == balance.Ready && b.holdEndsAt == 0 {
+		if v := Rules[b.ruleIndex].Verdict; v == Remove && b.inPool && b.sent.Endpoint.Phase == balance.Ready && b.holdEndsAt == 0 {
 			if !b.checksFail && !b.released {
 				leaving = append(leaving, b)
 				continue
@@ -679,7 +679,7 @@
 		}
 		out = m.emit(b, out)
 	}
-	if m.cfg.GuardPart > 0 && !deliberate && len(leaving) > 0 && float64(m.leftInWindow+len(leaving)) > m.cfg.GuardPart*float64(before) {
+	if m.cfg.GuardFraction > 0 && !deliberate && len(leaving) > 0 && float64(m.leftInWindow+len(leaving)) > m.cfg.GuardFraction*float64(before) {
 		for _, b := range leaving {
 			b.holdEndsAt = m.now + m.cfg.GuardHold
 			m.held[b] = true
@@ -711,7 +711,7 @@
 // emit appends the state of a backend to out, if it differs from the state that the pool has.
 func (m *Merge) emit(b *backend, out []Change) []Change {
 	c := Change{Rule: b.ruleIndex}
-	c.Line, c.Tier = m.mergeFacts(b)
+	c.Endpoint, c.Tier = m.mergeFacts(b)
 	switch verdict := Rules[b.ruleIndex].Verdict; {
 	case verdict == Unchanged && b.inPool:
 		c = b.merged
@@ -720,27 +720,27 @@
 		c = b.merged
 		c.Rule, c.Note = b.ruleIndex, "held by the guard"
 	case verdict == Unchanged, verdict == Remove:
-		c.Line.Phase = balance.Gone
+		c.Endpoint.Phase = balance.Gone
 		c.Addr = cmp.Or(c.Addr, b.sent.Addr)
 	case verdict == Drain:
-		c.Line.Phase = balance.Draining
+		c.Endpoint.Phase = balance.Draining
 	}
 	b.merged = c
-	if c.Line.Phase == balance.Ready && b.checksFail && !m.inPanic {
-		c.Line.Phase, c.Note = balance.Draining, "its checks fail"
+	if c.Endpoint.Phase == balance.Ready && b.checksFail && !m.inPanic {
+		c.Endpoint.Phase, c.Note = balance.Draining, "its checks fail"
 	}
-	if b.inPool && b.sent.Line.Phase == balance.Ready {
+	if b.inPool && b.sent.Endpoint.Phase == balance.Ready {
 		m.serving--
 	}
-	if c.Line.Phase == balance.Ready {
+	if c.Endpoint.Phase == balance.Ready {
 		m.serving++
 	}
-	if b.inPool || c.Line.Phase != balance.Gone {
-		if b.sent.Line != c.Line || b.sent.Tier != c.Tier {
+	if b.inPool || c.Endpoint.Phase != balance.Gone {
+		if b.sent.Endpoint != c.Endpoint || b.sent.Tier != c.Tier {
 			out = append(out, c)
 		}
 	}
-	b.sent, b.inPool = c, c.Line.Phase != balance.Gone
+	b.sent, b.inPool = c, c.Endpoint.Phase != balance.Gone
 	if !b.inPool && b.hasNoEntries() {
 		m.forget(b)
 	}
@@ -763,15 +763,15 @@
 	}
 }
 
-// applyPanicThreshold applies the panic threshold: while more than PanicPart of the backends fail their checks, the checks are
+// applyPanicThreshold applies the panic threshold: while more than PanicThreshold of the backends fail their checks, the checks are
 // ignored. Either the checks are wrong then, or sending to some backends that are down does less harm than overloading the rest.
 func (m *Merge) applyPanicThreshold(out []Change) []Change {
-	if m.cfg.PanicPart <= 0 {
+	if m.cfg.PanicThreshold <= 0 {
 		return out
 	}
 	failing := 0
 	for b := range m.failing {
-		if b.inPool && b.merged.Line.Phase == balance.Ready {
+		if b.inPool && b.merged.Endpoint.Phase == balance.Ready {
 			failing++
 		}
 	}
@@ -779,7 +779,7 @@
 	if !m.inPanic {
 		total += failing
 	}
-	panicNow := float64(failing) > m.cfg.PanicPart*float64(total)
+	panicNow := float64(failing) > m.cfg.PanicThreshold*float64(total)
 	if panicNow == m.inPanic {
 		return out
 	}
@@ -793,51 +793,51 @@
 
 // View is the state of one backend, for operators.
 type View struct {
-	members.Line
-	Named bool // some source reports an id for it
+	members.Endpoint
+	HasID bool // some source reports an id for it
 	Tier  int
 	Rule  int
 	Note  string
-	Says  []SourceVote // by source
+	Votes []SourceVote // by source
 }
 
 // SourceVote is the vote of one source on a backend.
 type SourceVote struct {
-	Vote Vote
-	Addr string
-	Left time.Duration // the rest of the entry's lifetime; negative: stale for that long; 0: it has no lifetime
+	Vote      Vote
+	Addr      string
+	Remaining time.Duration // the rest of the entry's lifetime; negative: stale for that long; 0: it has no lifetime
 }
 
-// Disagree reports whether fresh sources differ about the backend, or any two sources about its address.
-func (v *View) Disagree() bool {
+// HasConflict reports whether fresh sources differ about the backend, or any two sources about its address.
+func (v *View) HasConflict() bool {
 	var set VoteSet
 	addr, addrsDiffer := "", false
-	for _, s := range v.Says {
+	for _, s := range v.Votes {
 		set |= SetOf(s.Vote)
 		if s.Addr != "" {
 			addrsDiffer = addrsDiffer || addr != "" && addr != s.Addr
 			addr = s.Addr
 		}
 	}
-	listed := set&SetOf(Has, Drains) != 0
-	return addrsDiffer || listed && set&SetOf(Lacks, Denies) != 0 || set&SetOf(Has) != 0 && set&SetOf(Drains) != 0
+	listed := set&SetOf(Lists, Drains) != 0
+	return addrsDiffer || listed && set&SetOf(Lacks, Denies) != 0 || set&SetOf(Lists) != 0 && set&SetOf(Drains) != 0
 }
 
 // Views returns the state of all backends, ordered by id.
 func (m *Merge) Views() []View {
 	var list []View
 	for _, b := range m.backends {
-		v := View{Line: b.sent.Line, Named: b.sourceID != "", Tier: b.sent.Tier, Rule: b.ruleIndex, Note: b.sent.Note}
+		v := View{Endpoint: b.sent.Endpoint, HasID: b.sourceID != "", Tier: b.sent.Tier, Rule: b.ruleIndex, Note: b.sent.Note}
 		v.ID = b.id
 		for i, e := range b.entries {
 			s := SourceVote{Vote: m.vote(i, b)}
 			if e != nil {
 				s.Addr = e.Addr
-				if e.Until > 0 {
-					s.Left = e.Until - m.now
+				if e.ExpiresAt > 0 {
+					s.Remaining = e.ExpiresAt - m.now
 				}
 			}
-			v.Says = append(v.Says, s)
+			v.Votes = append(v.Votes, s)
 		}
 		list = append(list, v)
 	}
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -18,14 +18,14 @@
 // A stale entry that is listed again is fresh. The latest start of a backend counts, also from a later source. The drain of a source
 // that isn't trusted for phases doesn't keep a backend once that source has removed it.
 func TestRelistedEntryLatestStartAndUntrustedDrain(t *testing.T) {
-	p := newPool(t, Config{DrainFor: time.Minute, Sources: []SourceConfig{
-		{Name: "a", Trust: AllFacts &^ Phase, Keep: time.Hour}, {Name: "b", Trust: Start}}})
+	p := newPool(t, Config{RemovedDrainGrace: time.Minute, Sources: []SourceConfig{
+		{Name: "a", Trust: AllFacts &^ Phase, StaleGrace: time.Hour}, {Name: "b", Trust: Start}}})
 	p.list(0, time.Second, entryWithID("x", "1.1.1.1:1", 0, 0))
 	p.now = 2 * time.Second
 	p.do(Event{Kind: Ticked})
 	p.list(0, 9*time.Second, entryWithID("x", "1.1.1.1:1", 0, 4))
-	if v := p.m.Views()[0]; v.Says[0].Vote != Has {
-		t.Errorf("listed again, its vote is %v", v.Says[0].Vote)
+	if v := p.m.Views()[0]; v.Votes[0].Vote != Lists {
+		t.Errorf("listed again, its vote is %v", v.Votes[0].Vote)
 	}
 	p.list(1, 0, entryWithID("x", "1.1.1.1:1", 0, 6))
 	if p.have["x"].Launched != 6 {
@@ -39,10 +39,10 @@
 // A partial list, such as the backends in the configuration file, has no vote on backends that only other sources list: these stay
 // when the other sources fail. A backend that the partial list removes is gone, also where no other source has ever listed it.
 func TestPartialListHasNoVoteOnOtherBackends(t *testing.T) {
-	p := newPool(t, Config{Sources: []SourceConfig{{Name: "boxes", Partial: true}, {Name: "dns", Keep: time.Hour}}})
+	p := newPool(t, Config{Sources: []SourceConfig{{Name: "boxes", Partial: true}, {Name: "dns", StaleGrace: time.Hour}}})
 	p.list(0, 0, entryWithID("x", "1.1.1.9:1", 0, 0), entryWithID("y", "1.1.1.8:1", 0, 0))
 	p.list(1, time.Second, entryWithID("a", "1.1.1.1:1", 0, 0), entryWithID("x", "1.1.1.9:1", 0, 0))
-	p.do(Event{Kind: Failed, Source: 1})
+	p.do(Event{Kind: SourceFailed, Source: 1})
 	p.want("the other source fails", "a@1.1.1.1:1 x@1.1.1.9:1 y@1.1.1.8:1")
 	p.list(0, 0)
 	p.want("removed from the partial list, which is fresh", "a@1.1.1.1:1")
@@ -64,7 +64,7 @@
 		has := func(list ...Vote) bool { return s&SetOf(list...) != 0 }
 		v := Rules[i].Verdict
 		switch {
-		case has(Drains, Drained):
+		case has(Drains, StaleDrains):
 			if v != Drain {
 				t.Errorf("%v: a drain is ignored: %v", s, v)
 			}
@@ -72,11 +72,11 @@
 			t.Errorf("%v: the backend leaves, and no fresh source leaves it out", s)
 		case has(Denies) && v != Remove:
 			t.Errorf("%v: denied, and %v", s, v)
-		case has(Has) && !has(Denies) && v != Serves:
+		case has(Lists) && !has(Denies) && v != Serve:
 			t.Errorf("%v: listed, and %v", s, v)
-		case v == Serves && !has(Has, Had):
+		case v == Serve && !has(Lists, StaleLists):
 			t.Errorf("%v: serves, and no source lists it", s)
-		case v == Unchanged && has(Has, Had, Lacks, Denies):
+		case v == Unchanged && has(Lists, StaleLists, Lacks, Denies):
 			t.Errorf("%v: kept unchanged in spite of these votes", s)
 		}
 	}
@@ -87,12 +87,12 @@
 
 // entryWithID returns an entry of a source with ids.
 func entryWithID(id, addr string, p balance.Phase, start time.Duration) Entry {
-	return Entry{Name: id, Knows: AllFacts, Line: members.Line{ID: id, Addr: addr, Member: balance.Member{Weight: 1, Phase: p, Launched: start}}}
+	return Entry{Name: id, Reports: AllFacts, Endpoint: members.Endpoint{ID: id, Addr: addr, Member: balance.Member{Weight: 1, Phase: p, Launched: start}}}
 }
 
 // entryWithoutID returns an entry of a source that has addresses only.
 func entryWithoutID(addr string, until time.Duration) Entry {
-	return Entry{Name: "dns/" + addr, Knows: Existence | Address, Until: until, Line: members.Line{Addr: addr}}
+	return Entry{Name: "dns/" + addr, Reports: Existence | Address, ExpiresAt: until, Endpoint: members.Endpoint{Addr: addr}}
 }
 
 // pool applies the changes of a Merge, as a pool does.
@@ -110,10 +110,10 @@
 func (p *pool) do(ev Event) []Change {
 	changes := p.m.Handle(p.now, ev, nil)
 	for _, c := range changes {
-		if old, had := p.have[c.ID]; had && old.Line == c.Line && old.Tier == c.Tier {
+		if old, had := p.have[c.ID]; had && old.Endpoint == c.Endpoint && old.Tier == c.Tier {
 			p.t.Fatalf("change without a difference: %+v", c)
 		}
-		if c.Line.Phase == balance.Gone {
+		if c.Endpoint.Phase == balance.Gone {
 			delete(p.have, c.ID)
 		} else {
 			p.have[c.ID] = c
@@ -123,14 +123,14 @@
 }
 
 func (p *pool) list(source int, until time.Duration, entries ...Entry) []Change {
-	return p.do(Event{Kind: Listed, Source: source, Complete: true, Until: until, Entries: entries})
+	return p.do(Event{Kind: Listed, Source: source, Complete: true, ExpiresAt: until, Entries: entries})
 }
 
 // ready returns the backends that get requests, with their addresses.
 func (p *pool) ready() string {
 	var list []string
 	for id, c := range p.have {
-		if c.Line.Phase == balance.Ready {
+		if c.Endpoint.Phase == balance.Ready {
 			list = append(list, id+"@"+c.Addr)
 		}
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-var twoSources = Config{Sources: []SourceConfig{{Name: "registry"}, {Name: "dns", Keep: time.Hour}}}
+var twoSources = Config{Sources: []SourceConfig{{Name: "registry"}, {Name: "dns", StaleGrace: time.Hour}}}
 
 // A backend that two sources list under different names is one backend, and keeps its first name. When its address passes to another
 // backend, that one starts afresh. Otherwise a pool would count a backend twice, or send to one that drains.
@@ -188,7 +188,7 @@
 	}
 	p.list(0, 0, entryWithID("s-1", "10.0.0.1:80", balance.Ready, 0))
 	p.want("the registry is fresh and lists one of them", "dns/10.0.0.1:80@10.0.0.1:80")
-	p.do(Event{Kind: Failed, Source: 0})
+	p.do(Event{Kind: SourceFailed, Source: 0})
 	p.now += time.Hour
 	p.do(Event{Kind: Ticked})
 	p.want("the registry fails", "dns/10.0.0.1:80@10.0.0.1:80")
@@ -202,9 +202,9 @@
 	p.list(1, time.Hour)
 	p.list(1, time.Minute)
 	p.now = 2 * time.Minute
-	p.do(Event{Kind: Failed, Source: 0})
+	p.do(Event{Kind: SourceFailed, Source: 0})
 	p.want("both are stale: the backend stays", "s-1@10.0.0.1:80")
-	if v := p.m.Views()[0]; v.Says[1].Vote != StaleLacks || Rules[v.Rule].Name != "stale" {
+	if v := p.m.Views()[0]; v.Votes[1].Vote != StaleLacks || Rules[v.Rule].Name != "stale" {
 		t.Errorf("%+v", v)
 	}
 	p.list(1, p.now+time.Hour)
@@ -223,7 +223,7 @@
 // releases it or its time is over. A discovery that loses its data would empty the pool otherwise.
 func TestGuardHoldsMassRemoval(t *testing.T) {
 	cfg := twoSources
-	cfg.GuardPart, cfg.GuardWindow, cfg.GuardHold = 0.5, 10*time.Second, time.Minute
+	cfg.GuardFraction, cfg.GuardWindow, cfg.GuardHold = 0.5, 10*time.Second, time.Minute
 	all := []Entry{entryWithID("a", "1.1.1.1:1", 0, 0), entryWithID("b", "1.1.1.2:1", 0, 0),
 		entryWithID("c", "1.1.1.3:1", 0, 0), entryWithID("d", "1.1.1.4:1", 0, 0)}
 	fullPool := func() *pool {
@@ -242,14 +242,14 @@
 		t.Errorf("one more within the window: %q", p.ready())
 	}
 	p = fullPool()
-	p.do(Event{Kind: Checked, Box: "c"})
+	p.do(Event{Kind: HealthChecked, BackendID: "c"})
 	p.list(0, 0)
 	p.want("empty list: those whose checks pass are held", "a@1.1.1.1:1 b@1.1.1.2:1 d@1.1.1.4:1")
 	p.list(0, 0, all[0])
 	if p.m.Held() != 2 {
 		t.Errorf("%d held, one is listed again", p.m.Held())
 	}
-	p.do(Event{Kind: Checked, Box: "b"})
+	p.do(Event{Kind: HealthChecked, BackendID: "b"})
 	p.want("the checks of a held one fail", "a@1.1.1.1:1 d@1.1.1.4:1")
 	p.now += 59 * time.Second
 	p.do(Event{Kind: Ticked})
@@ -259,33 +259,33 @@
 	p.want("the hold is over", "a@1.1.1.1:1")
 	p = fullPool()
 	p.list(0, 0)
-	p.do(Event{Kind: Allowed})
+	p.do(Event{Kind: GuardReleased})
 	p.want("an operator releases them", "")
 	p = fullPool()
-	p.do(Event{Kind: Listed, Complete: true, Decided: true})
+	p.do(Event{Kind: Listed, Complete: true, Intended: true})
 	p.want("a deliberate empty list", "")
 }
 
 // A backend that fails its checks gets no requests. Once most backends fail them, the checks are ignored: a broken check would take
 // the whole pool out of service.
 func TestPanicThresholdIgnoresChecks(t *testing.T) {
-	p := newPool(t, Config{Sources: []SourceConfig{{Name: "r"}}, PanicPart: 0.5})
+	p := newPool(t, Config{Sources: []SourceConfig{{Name: "r"}}, PanicThreshold: 0.5})
 	p.list(0, 0, entryWithID("a", "1.1.1.1:1", 0, 0), entryWithID("b", "1.1.1.2:1", 0, 0), entryWithID("c", "1.1.1.3:1", 0, 0))
-	p.do(Event{Kind: Checked, Box: "a"})
+	p.do(Event{Kind: HealthChecked, BackendID: "a"})
 	p.want("one fails", "b@1.1.1.2:1 c@1.1.1.3:1")
-	p.do(Event{Kind: Checked, Box: "b"})
+	p.do(Event{Kind: HealthChecked, BackendID: "b"})
 	p.want("two of three fail", "a@1.1.1.1:1 b@1.1.1.2:1 c@1.1.1.3:1")
-	p.do(Event{Kind: Failed})
-	p.do(Event{Kind: Checked, Box: "b", Up: true})
+	p.do(Event{Kind: SourceFailed})
+	p.do(Event{Kind: HealthChecked, BackendID: "b", Up: true})
 	p.want("one is up again, the source fails", "b@1.1.1.2:1 c@1.1.1.3:1")
-	p.do(Event{Kind: Checked, Box: "a", Up: true})
+	p.do(Event{Kind: HealthChecked, BackendID: "a", Up: true})
 	p.want("all are up", "a@1.1.1.1:1 b@1.1.1.2:1 c@1.1.1.3:1")
 }
 
-// The settings Must and Trust, the order of sources, and revisions that go back decide what counts of a source.
+// The settings Required and Trust, the order of sources, and revisions that go back decide what counts of a source.
 func TestMustTrustPrecedenceAndRevisions(t *testing.T) {
 	p := newPool(t, Config{Sources: []SourceConfig{
-		{Name: "must", Must: true, Trust: Existence | Address}, {Name: "words", Trust: Phase | Start | Weight}, {Name: "other", Trust: AllFacts}}})
+		{Name: "must", Required: true, Trust: Existence | Address}, {Name: "words", Trust: Phase | Start | Weight}, {Name: "other", Trust: AllFacts}}})
 	p.list(0, 0, entryWithID("a", "1.1.1.1:1", balance.Draining, 7), entryWithID("b", "1.1.1.2:1", 0, 0))
 	p.want("it isn't trusted for phases", "a@1.1.1.1:1 b@1.1.1.2:1")
 	heavy := entryWithID("b", "9.9.9.9:9", balance.Draining, 5)
@@ -323,8 +323,8 @@
 // there is one; and no state remains of backends that are gone.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPool(t, Config{Sources: []SourceConfig{{Name: "registry"}, {Name: "dns", Keep: 20 * time.Second},
-			{Name: "file", Must: rapid.Bool().Draw(t, "must")}}, PanicPart: 0.6, DrainFor: 10 * time.Second})
+		p := newPool(t, Config{Sources: []SourceConfig{{Name: "registry"}, {Name: "dns", StaleGrace: 20 * time.Second},
+			{Name: "file", Required: rapid.Bool().Draw(t, "must")}}, PanicThreshold: 0.6, RemovedDrainGrace: 10 * time.Second})
 		addr := func() string { return fmt.Sprintf("10.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")) }
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			before := p.ready()
@@ -332,11 +332,11 @@
 			case 0, 1, 2, 3:
 				ev := Event{Kind: Listed, Source: rapid.IntRange(0, 2).Draw(t, "source"), Complete: rapid.IntRange(0, 2).Draw(t, "whole") > 0}
 				if ev.Source == 1 {
-					ev.Until = p.now + time.Duration(rapid.IntRange(0, 20).Draw(t, "life"))*time.Second
+					ev.ExpiresAt = p.now + time.Duration(rapid.IntRange(0, 20).Draw(t, "life"))*time.Second
 				}
 				for range rapid.IntRange(0, 4).Draw(t, "boxes") {
 					if ev.Source == 1 {
-						ev.Entries = append(ev.Entries, entryWithoutID(addr(), ev.Until))
+						ev.Entries = append(ev.Entries, entryWithoutID(addr(), ev.ExpiresAt))
 					} else {
 						ev.Entries = append(ev.Entries, entryWithID(fmt.Sprint("s-", rapid.IntRange(1, 4).Draw(t, "id")), addr(),
 							balance.Phase(rapid.IntRange(0, 2).Draw(t, "phase")), time.Duration(rapid.IntRange(0, 2).Draw(t, "start"))))
@@ -344,10 +344,10 @@
 				}
 				p.do(ev)
 			case 4:
-				p.do(Event{Kind: Failed, Source: rapid.IntRange(0, 2).Draw(t, "source")})
+				p.do(Event{Kind: SourceFailed, Source: rapid.IntRange(0, 2).Draw(t, "source")})
 			case 5:
 				if v := p.m.Views(); len(v) > 0 {
-					p.do(Event{Kind: Checked, Box: v[rapid.IntRange(0, len(v)-1).Draw(t, "box")].ID, Up: rapid.Bool().Draw(t, "up")})
+					p.do(Event{Kind: HealthChecked, BackendID: v[rapid.IntRange(0, len(v)-1).Draw(t, "box")].ID, Up: rapid.Bool().Draw(t, "up")})
 				}
 			default:
 				p.now += time.Duration(rapid.IntRange(0, 30).Draw(t, "passes")) * time.Second
@@ -364,16 +364,16 @@
 			serving := 0
 			for _, v := range p.m.Views() {
 				c, known := p.have[v.ID]
-				if known != (v.Line.Phase != balance.Gone) || known && c.Line != v.Line {
+				if known != (v.Endpoint.Phase != balance.Gone) || known && c.Endpoint != v.Endpoint {
 					t.Fatalf("%s: the pool has %+v, the view is %+v", v.ID, c, v)
 				}
 				var set VoteSet
-				for _, s := range v.Says {
+				for _, s := range v.Votes {
 					set |= SetOf(s.Vote)
 				}
-				if v.Line.Phase == balance.Ready {
+				if v.Endpoint.Phase == balance.Ready {
 					serving++
-					if set&SetOf(Drains, Drained) != 0 {
+					if set&SetOf(Drains, StaleDrains) != 0 {
 						t.Fatalf("%s drains and gets requests: %v", v.ID, set)
 					}
 				}
@@ -414,7 +414,7 @@
 	}
 	m := NewMerge(twoSources, 0)
 	m.Handle(0, Event{Kind: Listed, Complete: true, Entries: entries}, nil)
-	m.Handle(0, Event{Kind: Listed, Source: 1, Complete: true, Until: time.Minute, Entries: loose}, nil)
+	m.Handle(0, Event{Kind: Listed, Source: 1, Complete: true, ExpiresAt: time.Minute, Entries: loose}, nil)
 	return m, entries
 }
 
@@ -453,11 +453,11 @@
 				now += time.Millisecond
 				k := i % 5000
 				addr := fmt.Sprintf("10.0.%d.%d:80", k>>8&255, k&255)
-				out = m.Handle(now, Event{Kind: Listed, Source: 1, Until: now + time.Minute, Entries: []Entry{entryWithoutID(addr, now+time.Minute)}}, out[:0])
+				out = m.Handle(now, Event{Kind: Listed, Source: 1, ExpiresAt: now + time.Minute, Entries: []Entry{entryWithoutID(addr, now+time.Minute)}}, out[:0])
 				if plain {
 					due := 0
 					for _, e := range m.sources[1].entries {
-						if e.Until <= now {
+						if e.ExpiresAt <= now {
 							due++
 						}
 					}
--- a/merge/table.go
+++ b/merge/table.go
@@ -11,14 +11,14 @@
 
 // Votes.
 const (
-	Abstains   Vote = iota // no list yet, or too long ago; or the source isn't trusted for this
-	Has                    // fresh: its list names the backend
-	Drains                 // fresh: its list names it as draining
-	Lacks                  // fresh: its complete list doesn't name it
-	Denies                 // the same, of a source with Must
-	Had                    // stale: its list named the backend
-	Drained                // stale: its list named it as draining
-	StaleLacks             // stale: its list didn't name it
+	Abstains    Vote = iota // no list yet, or too long ago; or the source isn't trusted for this
+	Lists                   // fresh: its list names the backend
+	Drains                  // fresh: its list names it as draining
+	Lacks                   // fresh: its complete list doesn't name it
+	Denies                  // the same, of a source with Required
+	StaleLists              // stale: its list named the backend
+	StaleDrains             // stale: its list named it as draining
+	StaleLacks              // stale: its list didn't name it
 	voteKinds
 )
 
@@ -47,7 +47,7 @@
 // String returns the votes of the set, joined by a plus sign.
 func (s VoteSet) String() string {
 	var names []string
-	for v := Has; v < voteKinds; v++ {
+	for v := Lists; v < voteKinds; v++ {
 		if s&SetOf(v) != 0 {
 			names = append(names, v.String())
 		}
@@ -61,7 +61,7 @@
 // Verdicts.
 const (
 	Unchanged Verdict = iota // its state doesn't change: no fresh source has a vote, and no stale list names it
-	Serves                   // it gets requests
+	Serve                    // it gets requests
 	Drain                    // it drains: it finishes its requests and gets no new ones
 	Remove                   // it is removed
 )
@@ -81,12 +81,12 @@
 
 // Rules decide on a backend, in order: the first that matches.
 var Rules = [...]Rule{
-	{"drain", SetOf(Drains, Drained), Drain,
+	{"drain", SetOf(Drains, StaleDrains), Drain,
 		"some source lists it as draining; stale entries count too, because a missed drain sends requests to a backend that wants none"},
 	{"denied", SetOf(Denies), Remove, "a source that has to list every backend doesn't list it"},
-	{"listed", SetOf(Has), Serves, "some source lists it; a source that has lost a backend doesn't remove it for the others"},
+	{"listed", SetOf(Lists), Serve, "some source lists it; a source that has lost a backend doesn't remove it for the others"},
 	{"forgotten", SetOf(Lacks), Remove, "no fresh source lists it, and some fresh source leaves it out"},
-	{"stale", SetOf(Had), Serves, "no fresh source has a vote, and a stale list names it; a failing source empties no pool"},
+	{"stale", SetOf(StaleLists), Serve, "no fresh source has a vote, and a stale list names it; a failing source empties no pool"},
 	{"unknown", 0, Unchanged, "no fresh source has a vote, and no stale list names it"},
 }
 
--- a/reserve/reserve.go
+++ b/reserve/reserve.go
@@ -17,8 +17,8 @@
 	FailWithin time.Duration
 }
 
-// Box is one backend of the endpoint list of a pool.
-type Box struct {
+// Backend is one backend of the endpoint list of a pool.
+type Backend struct {
 	ID     string
 	Backup bool
 	Ready  bool
@@ -33,7 +33,7 @@
 }
 
 type backendState struct {
-	Box
+	Backend
 	failedAt   []time.Duration // the latest ones, oldest first; MaxFails at most
 	isDown     bool
 	hasRefused bool // refused a connection since its last answer
@@ -61,17 +61,17 @@
 	return &Reserve{cfg: cfg, backends: map[string]*backendState{}}
 }
 
-// On reports whether the endpoint list should include the backups.
-func (r *Reserve) On() bool { return r.isOn }
+// UsesBackups reports whether the endpoint list should include the backups.
+func (r *Reserve) UsesBackups() bool { return r.isOn }
 
-// Down reports whether a backend counts as down.
-func (r *Reserve) Down(id string) bool {
+// IsDown reports whether a backend counts as down.
+func (r *Reserve) IsDown(id string) bool {
 	s := r.backends[id]
 	return s != nil && s.isDown
 }
 
-// List replaces the endpoint list of the pool and reports whether On has changed. A backend that stays listed keeps its state.
-func (r *Reserve) List(backends []Box) bool {
+// SetList replaces the endpoint list of the pool and reports whether UsesBackups has changed. A backend that stays listed keeps its state.
+func (r *Reserve) SetList(backends []Backend) bool {
 	old := r.backends
 	r.backends = make(map[string]*backendState, len(backends))
 	for _, b := range backends {
@@ -79,7 +79,7 @@
 		if s == nil {
 			s = &backendState{}
 		}
-		s.Box = b
+		s.Backend = b
 		r.backends[b.ID] = s
 	}
 	r.usable = 0
@@ -90,19 +90,19 @@
 	return r.updateOn()
 }
 
-// Set adds or changes one backend. It reports whether On has changed.
-func (r *Reserve) Set(b Box) bool {
+// Set adds or changes one backend. It reports whether UsesBackups has changed.
+func (r *Reserve) Set(b Backend) bool {
 	s := r.backends[b.ID]
 	if s == nil {
 		s = &backendState{}
 		r.backends[b.ID] = s
 	}
-	s.Box = b
+	s.Backend = b
 	r.updateUsable(s)
 	return r.updateOn()
 }
 
-// Remove removes a backend. It reports whether On has changed.
+// Remove removes a backend. It reports whether UsesBackups has changed.
 func (r *Reserve) Remove(id string) bool {
 	if s := r.backends[id]; s != nil {
 		s.Ready = false
@@ -112,8 +112,8 @@
 	return r.updateOn()
 }
 
-// Listed reports whether a backend is listed.
-func (r *Reserve) Listed(id string) bool { return r.backends[id] != nil }
+// IsListed reports whether a backend is listed.
+func (r *Reserve) IsListed(id string) bool { return r.backends[id] != nil }
 
 // updateUsable updates usable when a backend becomes one that can be sent to, or stops being one.
 func (r *Reserve) updateUsable(s *backendState) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// Restarted records that a backend is a new process, and drops what was recorded of the old one. It reports whether On has changed.
+// Restarted records that a backend is a new process, and drops what was recorded of the old one. It reports whether UsesBackups has changed.
 func (r *Reserve) Restarted(id string) bool {
 	if s := r.backends[id]; s != nil {
 		s.failedAt, s.isDown, s.hasRefused = nil, false, false
@@ -136,9 +136,9 @@
 	return r.updateOn()
 }
 
-// Takes records that a backend accepted a connection outside of any attempt. It matters only after a refused one. It reports
-// whether On has changed, and whether the backend is a new process.
-func (r *Reserve) Takes(id string) (changed, restarted bool) {
+// ConnectionAccepted records that a backend accepted a connection outside of any attempt. It matters only after a refused one. It reports
+// whether UsesBackups has changed, and whether the backend is a new process.
+func (r *Reserve) ConnectionAccepted(id string) (changed, restarted bool) {
 	s := r.backends[id]
 	if s == nil || !s.hasRefused {
 		return false, false
@@ -148,8 +148,8 @@
 	return r.updateOn(), true
 }
 
-// Ended records how an attempt at a backend ended. It reports whether On has changed, and whether the backend is a new process.
-func (r *Reserve) Ended(now time.Duration, id string, end End) (changed, restarted bool) {
+// AttemptEnded records how an attempt at a backend ended. It reports whether UsesBackups has changed, and whether the backend is a new process.
+func (r *Reserve) AttemptEnded(now time.Duration, id string, end End) (changed, restarted bool) {
 	s := r.backends[id]
 	if s == nil {
 		return false, false
@@ -180,7 +180,7 @@
 	return r.updateOn(), false
 }
 
-// updateOn recomputes On and reports whether it has changed.
+// updateOn recomputes UsesBackups and reports whether it has changed.
 func (r *Reserve) updateOn() bool {
 	on := r.usable == 0
 	changed := on != r.isOn
--- a/reserve/reserve_test.go
+++ b/reserve/reserve_test.go
@@ -31,37 +31,37 @@
 			cfg.FailWithin, _ = time.ParseDuration(within)
 			r = New(cfg)
 		case "list":
-			var backends []Box
+			var backends []Backend
 			ids = nil
 			for _, a := range d.CmdArgs {
-				backends = append(backends, Box{ID: a.Key, Backup: slices.Contains(a.Vals, "backup"), Ready: !slices.Contains(a.Vals, "draining")})
+				backends = append(backends, Backend{ID: a.Key, Backup: slices.Contains(a.Vals, "backup"), Ready: !slices.Contains(a.Vals, "draining")})
 				ids = append(ids, a.Key)
 			}
-			wasOn := r.On()
-			if changed := r.List(backends); changed != (r.On() != wasOn) {
+			wasOn := r.UsesBackups()
+			if changed := r.SetList(backends); changed != (r.UsesBackups() != wasOn) {
 				t.Error("List reports wrongly whether On has changed")
 			}
 		case "fail", "answer", "refuse":
-			wasOn := r.On()
-			changed, isNewProcess := r.Ended(at, arg(1), map[string]End{"answer": Answered, "fail": Failed, "refuse": Refused}[d.Cmd])
-			if changed != (r.On() != wasOn) {
+			wasOn := r.UsesBackups()
+			changed, isNewProcess := r.AttemptEnded(at, arg(1), map[string]End{"answer": Answered, "fail": Failed, "refuse": Refused}[d.Cmd])
+			if changed != (r.UsesBackups() != wasOn) {
 				t.Error("Ended reports wrongly whether On has changed")
 			}
 			if isNewProcess {
 				newProcess = ", another process: " + arg(1)
 			}
 		case "takes":
-			if _, isNewProcess := r.Takes(arg(0)); isNewProcess {
+			if _, isNewProcess := r.ConnectionAccepted(arg(0)); isNewProcess {
 				newProcess = ", another process: " + arg(0)
 			}
 		case "restarted":
 			r.Restarted(arg(0))
 		}
 		output := "backups off"
-		if r.On() {
+		if r.UsesBackups() {
 			output = "backups on"
 		}
-		down := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return !r.Down(id) })
+		down := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return !r.IsDown(id) })
 		if len(down) > 0 {
 			output += fmt.Sprint(", down: ", strings.Join(down, " "))
 		}
--- a/route/route.go
+++ b/route/route.go
@@ -4,7 +4,7 @@
 // The precedence is nginx's, as documented for server_name (ngx_http_core_module, "Server names") and location. Server
 // names are tried in this order: an exact name, the longest wildcard that begins with an asterisk, the longest that ends
 // with one, the first regular expression in order, the default server of the listener. An exact location ends the search.
-// Otherwise the longest matching prefix is remembered. Unless it is of kind Stop, the regular expressions are tried in
+// Otherwise the longest matching prefix is remembered. Unless it is of kind PrefixNoRegex, the regular expressions are tried in
 // order, and the first that matches wins. If none matches, the prefix wins. Locations nested in a prefix are searched in
 // the same way before the regular expressions beside that prefix. A nested exact location or regular expression wins over
 // those beside the prefix, and they win over a nested prefix.
@@ -27,9 +27,9 @@
 
 // Server is a virtual server: its names, at its listeners.
 type Server struct {
-	At      string   // its place in the configuration, for errors: file and line
-	Listen  []string // names of its listeners, as they are passed to Lookup
-	Default []string // the listeners at which it is the default server; at most one server per listener
+	Position string   // its place in the configuration, for errors: file and line
+	Listen   []string // names of its listeners, as they are passed to Lookup
+	Default  []string // the listeners at which it is the default server; at most one server per listener
 	// Names: exact, "*.x.org", "x.*", ".x.org" (x.org and *.x.org), "~regex". Case is ignored.
 	Names     []string
 	Locations []Location
@@ -40,20 +40,20 @@
 
 // Kinds of locations.
 const (
-	Prefix    Kind = iota // the longest wins, unless a regular expression matches
-	Stop                  // a prefix; if it is the longest match, the regular expressions beside it are not tried (^~)
-	Exact                 // the whole path has to be equal (=)
-	Regex                 // a regular expression (RE2 syntax); the first match in order wins (~)
-	RegexFold             // the same, ignoring case (~*)
+	Prefix        Kind = iota // the longest wins, unless a regular expression matches
+	PrefixNoRegex             // a prefix; if it is the longest match, the regular expressions beside it are not tried (^~)
+	Exact                     // the whole path has to be equal (=)
+	Regex                     // a regular expression (RE2 syntax); the first match in order wins (~)
+	RegexFold                 // the same, ignoring case (~*)
 )
 
 // Location is a set of paths of a server.
 type Location struct {
-	At      string // its place in the configuration, for errors
-	Kind    Kind
-	Path    string     // compared with the normalized path; a regular expression for Regex and RegexFold
-	Targets []Target   // by method; the first that matches counts; none: the location handles no request itself
-	Within  []Location // nested locations
+	Position string // its place in the configuration, for errors
+	Kind     Kind
+	Path     string     // compared with the normalized path; a regular expression for Regex and RegexFold
+	Targets  []Target   // by method; the first that matches counts; none: the location handles no request itself
+	Nested   []Location // nested locations
 }
 
 // Target is the route for requests of some methods.
@@ -139,19 +139,19 @@
 			if slices.Contains(s.Default, listen) {
 				if l.hasDefault {
 					return nil, fmt.Errorf("%s: listener %s: a second default server: the first is at %s: mark only one of them as the default",
-						s.At, listen, cfg.Servers[l.defaultServer].At)
+						s.Position, listen, cfg.Servers[l.defaultServer].Position)
 				}
 				l.hasDefault, l.defaultServer = true, i
 			}
 			for _, name := range s.Names {
 				if err := l.addName(name, i, cfg.Servers); err != nil {
-					return nil, fmt.Errorf("%s: listener %s: %w", s.At, listen, err)
+					return nil, fmt.Errorf("%s: listener %s: %w", s.Position, listen, err)
 				}
 			}
 		}
 		for _, listen := range s.Default {
 			if !slices.Contains(s.Listen, listen) {
-				return nil, fmt.Errorf("%s: default server of listener %s, but it doesn't listen there: add it to Listen", s.At, listen)
+				return nil, fmt.Errorf("%s: default server of listener %s, but it doesn't listen there: add it to Listen", s.Position, listen)
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 	name = strings.ToLower(name)
 	add := func(m map[string]int, key string) error {
 		if other, ok := m[key]; ok && other != server {
-			return fmt.Errorf("name %q: stands twice: it is %s's too: take it out of one of them", name, all[other].At)
+			return fmt.Errorf("name %q: stands twice: it is %s's too: take it out of one of them", name, all[other].Position)
 		}
 		m[key] = server
 		return nil
@@ -202,7 +202,7 @@
 		loc := &locations[i]
 		c := &compiledLocation{Location: loc}
 		locationError := func(format string, args ...any) error {
-			return fmt.Errorf("%s: location %q: %s", loc.At, loc.Path, fmt.Sprintf(format, args...))
+			return fmt.Errorf("%s: location %q: %s", loc.Position, loc.Path, fmt.Sprintf(format, args...))
 		}
 		if parent != nil {
 			switch regex := loc.Kind >= Regex; {
@@ -226,18 +226,18 @@
 			lv.regex = append(lv.regex, c)
 		case Exact:
 			if other := lv.exact[loc.Path]; other != nil {
-				return nil, locationError("stands twice: the other is at %s: take one out", other.At)
+				return nil, locationError("stands twice: the other is at %s: take one out", other.Position)
 			}
 			lv.exact[loc.Path] = c
 		default:
 			if other := prefixes[loc.Path]; other != nil {
-				return nil, locationError("stands twice: the other is at %s: take one out", other.At)
+				return nil, locationError("stands twice: the other is at %s: take one out", other.Position)
 			}
 			prefixes[loc.Path] = loc
 			lv.prefix.insert(loc.Path, c)
 		}
-		if len(loc.Within) > 0 {
-			nested, err := compileLevel(loc.Within, loc)
+		if len(loc.Nested) > 0 {
+			nested, err := compileLevel(loc.Nested, loc)
 			if err != nil {
 				return nil, err
 			}
@@ -326,7 +326,7 @@
 			}
 		}
 	}
-	if longest == nil || longest.Kind != Stop {
+	if longest == nil || longest.Kind != PrefixNoRegex {
 		for _, c := range lv.regex {
 			if c.re.MatchString(path) {
 				if c.nested != nil {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -74,17 +74,17 @@
 		switch l := &locs[i]; {
 		case l.Kind == Exact && l.Path == p:
 			return l, true
-		case l.Kind <= Stop && strings.HasPrefix(p, l.Path) && (longest == nil || len(l.Path) > len(longest.Path)):
+		case l.Kind <= PrefixNoRegex && strings.HasPrefix(p, l.Path) && (longest == nil || len(l.Path) > len(longest.Path)):
 			longest = l
 		}
 	}
 	if found = longest; longest != nil {
-		if in, settled := search(longest.Within, p); in != nil {
+		if in, settled := search(longest.Nested, p); in != nil {
 			if found = in; settled {
 				return found, true
 			}
 		}
-		if longest.Kind == Stop {
+		if longest.Kind == PrefixNoRegex {
 			return found, false
 		}
 	}
@@ -98,7 +98,7 @@
 			expr = "(?i)" + expr
 		}
 		if ok, _ := regexp.MatchString(expr, p); ok {
-			if in, _ := search(l.Within, p); in != nil {
+			if in, _ := search(l.Nested, p); in != nil {
 				return in, true
 			}
 			return l, true
@@ -151,7 +151,7 @@
 			if l.Kind >= Regex {
 				in = "/"
 			}
-			l.Within = drawLocations(rng, in, depth-1, number)
+			l.Nested = drawLocations(rng, in, depth-1, number)
 		}
 		locs = append(locs, l)
 	}
@@ -168,7 +168,7 @@
 		var cfg Config
 		number := 0
 		for i := range 1 + rng.IntN(4) {
-			s := Server{At: fmt.Sprint("s", i), Listen: []string{[]string{"x", "y"}[rng.IntN(2)]},
+			s := Server{Position: fmt.Sprint("s", i), Listen: []string{[]string{"x", "y"}[rng.IntN(2)]},
 				Locations: drawLocations(rng, "/", 2, &number)}
 			for range rng.IntN(3) {
 				s.Names = append(s.Names, []string{"", "*.", ".", "~^"}[rng.IntN(4)]+drawName(rng))
@@ -276,22 +276,22 @@
 // Errors of Compile name the place and the cause.
 func TestCompileErrors(t *testing.T) {
 	one := func(locs ...Location) Config {
-		return Config{Servers: []Server{{At: "f:1", Listen: []string{"x"}, Locations: locs}}}
+		return Config{Servers: []Server{{Position: "f:1", Listen: []string{"x"}, Locations: locs}}}
 	}
 	names := func(a, b string) Config {
-		return Config{Servers: []Server{{At: "f:1", Listen: []string{"x"}, Names: []string{a}}, {At: "f:9", Listen: []string{"x"}, Names: []string{b}}}}
+		return Config{Servers: []Server{{Position: "f:1", Listen: []string{"x"}, Names: []string{a}}, {Position: "f:9", Listen: []string{"x"}, Names: []string{b}}}}
 	}
 	for want, cfg := range map[string]Config{
-		"f:2: location \"/a\": stands twice: the other is at f:1": one(Location{At: "f:1", Path: "/a"}, Location{At: "f:2", Path: "/a", Kind: Stop}),
-		"f:2: location \"(\":":                          one(Location{At: "f:2", Path: "(", Kind: Regex}),
-		"f:3: location \"/b\": it is outside":           one(Location{At: "f:2", Path: "/a", Within: []Location{{At: "f:3", Path: "/b"}}}),
-		"can hold none":                                 one(Location{At: "f:2", Path: "/a", Kind: Exact, Within: []Location{{At: "f:3", Path: "/a"}}}),
+		"f:2: location \"/a\": stands twice: the other is at f:1": one(Location{Position: "f:1", Path: "/a"}, Location{Position: "f:2", Path: "/a", Kind: PrefixNoRegex}),
+		"f:2: location \"(\":":                          one(Location{Position: "f:2", Path: "(", Kind: Regex}),
+		"f:3: location \"/b\": it is outside":           one(Location{Position: "f:2", Path: "/a", Nested: []Location{{Position: "f:3", Path: "/b"}}}),
+		"can hold none":                                 one(Location{Position: "f:2", Path: "/a", Kind: Exact, Nested: []Location{{Position: "f:3", Path: "/a"}}}),
 		"f:9: listener x: name \"a.org\": stands twice": names("a.org", "A.org"),
 		"an asterisk may stand only":                    names("a.*.org", "b"),
 		"name \"~(\"":                                   names("~(", "b"),
-		"a second default server": {Servers: []Server{{At: "f:1", Listen: []string{"x"}, Default: []string{"x"}},
-			{At: "f:2", Listen: []string{"x"}, Default: []string{"x"}}}},
-		"add it to Listen": {Servers: []Server{{At: "f:1", Default: []string{"x"}}}},
+		"a second default server": {Servers: []Server{{Position: "f:1", Listen: []string{"x"}, Default: []string{"x"}},
+			{Position: "f:2", Listen: []string{"x"}, Default: []string{"x"}}}},
+		"add it to Listen": {Servers: []Server{{Position: "f:1", Default: []string{"x"}}}},
 	} {
 		if _, err := Compile(cfg); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -178,7 +178,7 @@
 				out = b.Handle(now, balance.Event{Kind: balance.RequestArrived, Request: id, Budget: time.Second}, out[:0])
 				for _, a := range out {
 					if a.Kind == balance.Send {
-						b.Handle(now, balance.Event{Kind: balance.Outcome, Request: id, Backend: a.Backend, Spent: time.Millisecond, NoMore: true}, nil)
+						b.Handle(now, balance.Event{Kind: balance.Outcome, Request: id, Backend: a.Backend, Elapsed: time.Millisecond, RequestEnded: true}, nil)
 					}
 				}
 			}
@@ -216,15 +216,15 @@
 	for _, n := range sizes(36, 360, 1000, 4000) {
 		live, _ := heapUse(func() any {
 			d := detect.New(detect.Config{Name: "self", Addr: "10.0.0.1:7000", Seed: 1, Start: 1})
-			out := d.Handle(0, detect.Event{Kind: detect.Begin}, nil)
-			m := detect.Message{Kind: detect.Pull, From: detect.Word{ID: detect.ID{Name: "n0", Start: 1}, Addr: "10.0.0.2:7000"}}
+			out := d.Handle(0, detect.Event{Kind: detect.Start}, nil)
+			m := detect.Message{Kind: detect.Pull, From: detect.Update{ID: detect.ID{Name: "n0", Start: 1}, Addr: "10.0.0.2:7000"}}
 			for i := range n {
-				m.News = append(m.News, detect.Word{ID: detect.ID{Name: fmt.Sprint("n", i), Start: 1},
+				m.Updates = append(m.Updates, detect.Update{ID: detect.ID{Name: fmt.Sprint("n", i), Start: 1},
 					Addr: fmt.Sprintf("10.1.%d.%d:7000", i>>8, i&255)})
 			}
-			d.Handle(time.Millisecond, detect.Event{Kind: detect.Got, From: "10.0.0.2:7000", Message: m}, out[:0])
+			d.Handle(time.Millisecond, detect.Event{Kind: detect.Received, From: "10.0.0.2:7000", Message: m}, out[:0])
 			count := 0
-			d.Members(func(detect.Word, detect.LinkState) bool { count++; return true })
+			d.Members(func(detect.Update, detect.LinkState) bool { count++; return true })
 			if count < n {
 				t.Fatalf("%d members, want at least %d", count, n)
 			}
