--- a/balance/balancing_test.go
+++ b/balance/balancing_test.go
@@ -408,7 +408,7 @@
 	}
 }
 
-// No setting tells how long a queue may be. The longest wait has to follow the measured lateness.
+// No setting limits the length of a queue. The longest wait has to follow the measured lateness.
 func TestLateResponsesLowerAdmissionFactor(t *testing.T) {
 	r := newRig(t, testConfig(), member(1, 0, 0), member(2, 0, 0))
 	r.serve(1000, safe, constantTime)
--- a/detect/faults_test.go
+++ b/detect/faults_test.go
@@ -125,7 +125,7 @@
 }
 
 // Guards against overloaded seeds and false suspicions when three hundred processes start at once with three seeds. All must
-// know all within seconds.
+// list all within seconds.
 func TestThreeHundredJoinAtOnce(t *testing.T) {
 	s := newSim(1)
 	s.checkInvariants(t, excuseNone)
--- a/detect/news.go
+++ b/detect/news.go
@@ -98,7 +98,7 @@
 	var taken []*member
 	for i := 0; i < len(d.broadcasts.entries) && room > wordSize; i++ {
 		m := d.broadcasts.entries[i]
-		if m == to && !d.cfg.isPlainSWIM { // it knows its own state, or send has added the update about it
+		if m == to && !d.cfg.isPlainSWIM { // the member has its own state, or send has added the update about it
 			continue
 		}
 		w := m.currentWord(d.now)
@@ -139,8 +139,8 @@
 	return msg
 }
 
-// sendSample sends a few members to a process that knows only an address. It can request the full state from them if this one
-// can't provide it.
+// sendSample sends a few members to a process that has only an address. That process can request the full state from them if
+// this one can't provide it.
 func (d *Detect) sendSample(m *Message, s *member) {
 	if m.About != (ID{}) || s == nil {
 		return
--- a/detect/types.go
+++ b/detect/types.go
@@ -78,7 +78,7 @@
 	Seq  uint32
 	From Update // the sender's update about itself
 	// About is, in AskFor, AnswerFor and CantReach, the target of the indirect probe. In Ask it is the process that the sender
-	// expects at the address; zero: the sender knows only an address. In Answer it is the process that sent the probe.
+	// expects at the address; zero: the sender has only an address. In Answer it is the process that sent the probe.
 	About   ID
 	Updates []Update
 	Links   []LinkUpdate
@@ -198,5 +198,5 @@
 	return uint64(max(0, wall.UnixMilli()))<<startBits | uint64(bits)&(1<<startBits-1)
 }
 
-// startBits is the number of random bits of a start number. They tell two processes apart that begin in the same millisecond.
+// startBits is the number of random bits of a start number. They distinguish two processes that begin in the same millisecond.
 const startBits = 20
--- a/internal/members/checks/checks.go
+++ b/internal/members/checks/checks.go
@@ -39,7 +39,7 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// Config says how the backends of a pool are checked.
+// Config determines how the backends of a pool are checked.
 type Config struct {
 	check.Config
 	Kind    Kind
@@ -166,7 +166,7 @@
 	}
 }
 
-// probe checks a backend once. The error says why the backend is unhealthy.
+// probe checks a backend once. The error gives the reason why the backend is unhealthy.
 func (c *Checker) probe(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
@@ -231,7 +231,7 @@
 	if !accepted {
 		return fmt.Errorf("answers %s", resp.Status)
 	}
-	return nil // the body is not read: one that never ends says nothing about the backend
+	return nil // the body is not read: one that never ends is no sign of an unhealthy backend
 }
 
 // grpc checks a backend with the health protocol (grpc.health.v1). A server without it answers Unimplemented and is unhealthy.
--- a/internal/members/checks/checks_test.go
+++ b/internal/members/checks/checks_test.go
@@ -32,7 +32,7 @@
 				code = http.StatusTeapot
 			}
 			if code == 302 {
-				w.Header().Set("Location", "http://127.0.0.1:1/") // nobody is there: not followed
+				w.Header().Set("Location", "http://127.0.0.1:1/") // no server listens there: the redirect is not followed
 			}
 			w.WriteHeader(code)
 			w.Write(make([]byte, 1<<20)) // longer than a check reads
--- a/internal/members/registry/pace/pace.go
+++ b/internal/members/registry/pace/pace.go
@@ -73,8 +73,8 @@
 	queue        queue              // estimate of the calls that wait at the registry
 }
 
-// New returns a Pace without calls. hasList says that there is a list, such as a stored one. Where a call costs nothing, the first
-// call reads the complete list all the same.
+// New returns a Pace without calls. hasList reports whether there is a list, such as a stored one. Where a call costs nothing, the
+// first call reads the complete list all the same.
 func New(t Terms, hasList bool, rng *rand.Rand) *Pace {
 	p := &Pace{terms: t, rng: rng, wanted: balance.Watch, hasList: hasList && t.onDemand, nextDeadline: Never, reportedAt: -1}
 	if t.onDemand {
--- a/internal/members/registry/pace/queue.go
+++ b/internal/members/registry/pace/queue.go
@@ -4,7 +4,7 @@
 
 const (
 	// queueSamples is how many answers in a row must be late before calls wait longer. One late answer, as after a short stall of
-	// a process, says nothing about the next.
+	// a process, does not predict the next.
 	queueSamples = 3
 	// queueMargin is the multiple of the expected time that is waited for an answer.
 	queueMargin = 2
--- a/internal/members/registry/pace/terms.go
+++ b/internal/members/registry/pace/terms.go
@@ -47,7 +47,7 @@
 	extensionFactor = 4
 )
 
-// Terms says how a registry is to be called.
+// Terms determines how a registry is called.
 type Terms struct {
 	Wait time.Duration // requested by a watch
 	// A silent call gets another call beside it after this delay, for a watch after its wait. The other call reads the complete
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -68,7 +68,7 @@
 	url      *url.URL
 	host     string
 	header   http.Header
-	body     []byte   // first part of the body, at most bodyMost bytes
+	body     []byte   // first part of the body, at most maxBufferedBodyBytes bytes
 	more     [][]byte // further pieces of a longer body that is held
 	upload   *upload  // rest of a longer body that is not held
 	probe    bool
@@ -369,8 +369,8 @@
 }
 
 // readAnswer reads one answer. It returns the whole answer and sets Body to http.NoBody. If long is set, it
-// returns only the first bytes of an answer whose stated length is over bodyMost, and of an answer without a
-// stated length that is over bodyMost or has not ended unknownLengthGrace after its head. An answer without a
+// returns only the first bytes of an answer whose stated length is over maxBufferedBodyBytes, and of an answer without a
+// stated length that is over maxBufferedBodyBytes or has not ended unknownLengthGrace after its head. An answer without a
 // length is whole when its connection ends (RFC 9112, section 6.3).
 func (c *conn) readAnswer(method string, long bool) (*http.Response, []byte, error) {
 	c.limit.N = maxAnswerBytes
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -87,7 +87,7 @@
 	return fmt.Sprintf("GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: leaves-%d\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n\r\n", i)
 }
 
-// No attempt begins for a client that has disconnected, since nobody would read its answer. The request may be waiting for the loop,
+// No attempt begins for a client that has disconnected, since no client would read its answer. The request may be waiting for the loop,
 // for a connection to a backend, or for the end of an attempt. Its state is released.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for _, waitsFor := range []string{"for the loop", "for a connection", "for its first attempt"} {
--- a/internal/node/shutdown_load_test.go
+++ b/internal/node/shutdown_load_test.go
@@ -15,9 +15,9 @@
 	"glencart/life"
 )
 
-// clientTally counts the results of requests that clients send until a node ends. A reused connection that closes under a request tells its
-// client that the request was not read, so that the client can send it to another node. On a new connection such a close counts as a
-// refusal. Times are since began.
+// clientTally counts the results of requests that clients send until a node ends. If a reused connection closes under a
+// request, the client can conclude that the request was not read, and send it to another node. On a new connection such a
+// close counts as a refusal. Times are since began.
 type clientTally struct {
 	mu                                        sync.Mutex
 	written, answered, served, newConnRefused int
--- a/members/members.go
+++ b/members/members.go
@@ -148,8 +148,8 @@
 	return h.MergeOverrides([]Override{c}, now), c, true
 }
 
-// MergeOverrides merges overrides made at another process of the same node. The later one counts. Each is kept, also for a backend that this
-// process doesn't know yet. It returns the lines that the engine has to receive.
+// MergeOverrides merges overrides made at another process of the same node. The later one counts. Each is kept, also for a backend that
+// this process has not received in a list yet. It returns the lines that the engine has to receive.
 func (h *Tracker) MergeOverrides(calls []Override, now time.Duration) []Endpoint {
 	var changed []Endpoint
 	for _, c := range calls {
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -1,7 +1,7 @@
 // Package merge merges the endpoint lists of several sources into one list of backends, by the rules in table.go. Each source is
 // trusted for some of the facts, its entries have a lifetime, and the output consists of changes only. The package is pure: it has
-// no I/O, no clock and no goroutine. It doesn't know which backends operators have taken out: package members applies that to its
-// output.
+// no I/O, no clock and no goroutine. It has no record of the backends that operators have taken out: package members applies
+// that to its output.
 package merge
 
 import (
--- a/schema/book.go
+++ b/schema/book.go
@@ -1,4 +1,4 @@
-// This file has the forms that a release knows, and the conversions between them.
+// This file has the forms that a release supports, and the conversions between them.
 
 package schema
 
@@ -10,7 +10,7 @@
 
 // Errors of a Registry, for use with errors.Is.
 var (
-	ErrNoForm   = errors.New("no such form")    // this release does not know the kind or the schema
+	ErrNoForm   = errors.New("no such form")    // this release does not support the kind or the schema
 	ErrOneWay   = errors.New("no step down")    // the previous form cannot represent the record
 	ErrTooLarge = errors.New("over its bounds") // see MaxRecord and the other limits
 )
@@ -60,7 +60,7 @@
 	return f[0].Number, f[len(f)-1].Number
 }
 
-// Restrict returns the book of a release that knows only the schemas lo to hi of a kind, and all schemas of other kinds.
+// Restrict returns the registry of a release that supports only the schemas lo to hi of a kind, and all schemas of other kinds.
 func (b *Registry) Restrict(k Kind, lo, hi uint16) *Registry {
 	out := &Registry{forms: map[Kind][]Form{}}
 	for kind, forms := range b.forms {
@@ -114,7 +114,7 @@
 }
 
 // Convert converts a record to another schema, step by step. The given record is not changed. An error names a missing step (ErrOneWay), or
-// a schema that this release does not know (ErrNoForm).
+// a schema that this release does not support (ErrNoForm).
 func (b *Registry) Convert(r Record, schema uint16) (Record, error) {
 	if r.Schema == schema && b.form(r.Kind, schema) != nil {
 		return r, nil
--- a/schema/example_test.go
+++ b/schema/example_test.go
@@ -6,7 +6,7 @@
 	"glencart/schema"
 )
 
-// Two releases count the usage of one tenant. The later one counts work in addition to requests. The earlier one does not know the work
+// Two releases count the usage of one tenant. The later one counts work in addition to requests. The earlier one does not define the work
 // field, but merges it all the same.
 func Example() {
 	later := &schema.Registry{}
--- a/schema/law.go
+++ b/schema/law.go
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// lostNums returns the Nums that the steps between two schemas declare lostNums, in both directions.
+// lostNums returns the Nums that the steps between two schemas declare lost, in both directions.
 func (b *Registry) lostNums(k Kind, s, t uint16) []uint32 {
 	var nums []uint32
 	for n := min(s, t) + 1; n <= max(s, t); n++ {
--- a/schema/levels.go
+++ b/schema/levels.go
@@ -84,9 +84,9 @@
 
 // Kinds of events.
 const (
-	StateReceived EventKind = iota // Said: the state of any process, sent by itself or forwarded
+	StateReceived EventKind = iota // State: the state of any process, sent by itself or forwarded
 	Members                        // Members: all members that are not forgotten, including dead and left ones; this process may be absent
-	Settled                        // the process has joined others, or has found nobody for as long as a member is remembered
+	Settled                        // the process has joined others, or has found no process for as long as a member is remembered
 	LimitSet                       // Of, At: the operator's upper limit for the written schema; 0: none
 	Swept                          // Of, At: a Sweep to the written schema has ended at all shards, and At is its Highest
 )
@@ -145,7 +145,7 @@
 	hasFallen  map[Kind]bool // the last change was a fall, so Cleared is due
 }
 
-// NewLevels returns the levels of a process that reads the schemas of the book. Written comes from a snapshot and may be nil.
+// NewLevels returns the levels of a process that reads the schemas of the registry. Written comes from a snapshot and may be nil.
 func NewLevels(id ID, book *Registry, written map[Kind]Level) *Levels {
 	l := &Levels{book: book, self: MemberState{ID: id, Seq: 1}, states: map[ID]MemberState{},
 		isUnfit: map[Kind]bool{}, refusedWhy: map[Kind]string{}, cleared: map[Kind]Level{}, hasFallen: map[Kind]bool{}}
@@ -425,8 +425,8 @@
 }
 
 // SendRange returns the schema at which a record is sent to another process: the highest that both read, but not above the written one. A record
-// without a path down to `at` may be sent at up to maxSchema. Link returns false if the other process gets no records: it has not reported
-// what it reads, it is not a member, one of the two is unfit, or there is no schema that both read.
+// without a path down to `at` may be sent at up to maxSchema. SendRange returns false if the other process gets no records: it has not
+// reported what it reads, it is not a member, one of the two is unfit, or there is no schema that both read.
 func (l *Levels) SendRange(to ID, k Kind) (at, maxSchema uint16, ok bool) {
 	s := l.self.stand(k)
 	said := l.states[to]
--- a/schema/levels_test.go
+++ b/schema/levels_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// sessionBook returns the book of a release that reads session schemas lo to hi. The form `oneway` has no step down.
+// sessionBook returns the registry of a release that reads session schemas lo to hi. The form `oneway` has no step down.
 func sessionBook(lo, hi, oneway uint16) *Registry {
 	b := &Registry{}
 	for n := lo; n <= hi; n++ {
--- a/schema/merge.go
+++ b/schema/merge.go
@@ -9,7 +9,7 @@
 )
 
 // Merge merges two records of one kind and key, at the higher schema of the two. It is associative, commutative and idempotent, also for
-// fields that this release does not know. Neither record is changed. On an error it returns the first one.
+// fields that this release does not define. Neither record is changed. On an error it returns the first one.
 func (b *Registry) Merge(x, y Record) (Record, error) {
 	if x.Kind != y.Kind || x.Key != y.Key {
 		return x, fmt.Errorf("schema: merge: %s %q with %s %q: kind and key have to be the same", x.Kind, x.Key, y.Kind, y.Key)
--- a/schema/types.go
+++ b/schema/types.go
@@ -68,7 +68,7 @@
 // or repeated without affecting the result of a merge.
 type Join uint8
 
-// Joins. The number of a field determines its join (see JoinOf), so a release that does not know a field merges it like one that does.
+// Joins. The number of a field determines its join (see JoinOf), so a release that does not define a field merges it like one that does.
 const (
 	Keep     Join = iota // for values without an order: the larger of (Int, Text, Rest), so that all instances keep the same one
 	Max                  // the larger of (Int, Text, Rest), for counters and for deadlines that are extended
@@ -99,7 +99,7 @@
 	OrNum        = 3000
 	RegisterNum  = 4000
 	RegisterSize = 100
-	afterNum     = 8000 // reserved: a later release may define a join for these numbers and write them only where all instances know it
+	afterNum     = 8000 // reserved: a later release may define a join for these numbers and write them only where all instances support it
 )
 
 // JoinOf returns the join of a field's number.
@@ -144,8 +144,8 @@
 
 // Step converts a record of one form into a neighbouring form. Do is pure. It gets a record that owns its Fields. It may change them in
 // place and return them in any order, but the Texts are shared and must not be changed. The Registry sorts the fields and sets the Schema.
-// Do keeps every Num that it does not know. A nil Do changes no field. That is enough for a step that only adds a field, because the
-// earlier form keeps the field without knowing it.
+// Do keeps every Num that it does not handle. A nil Do changes no field. That is enough for a step that only adds a field, because the
+// earlier form keeps the field without defining it.
 //
 // The laws (see Registry.CheckLaws) have two consequences. A default has to be the smallest value of its join. A total that is split on the way up,
 // or summed on the way down, is counted twice when the converted record is merged with the original. So a total keeps one Num in all
@@ -157,7 +157,7 @@
 }
 
 // Form is one schema of a kind. The forms of a kind are numbered without a gap. Up converts from the previous form to this one, Down from
-// this form to the previous one. The first form that a release knows has neither.
+// this form to the previous one. The first form that a release supports has neither.
 type Form struct {
 	Kind     Kind
 	Number   uint16
--- a/share/ages.go
+++ b/share/ages.go
@@ -17,7 +17,7 @@
 const maxBeats = 4096
 
 // Ages keeps the arrival time of each member's last beat. A beat is a number that only its member raises. Each member sends its
-// beat with its counts; others pass beats on with the counts that they know. One Ages serves all shards.
+// beat with its counts; others pass beats on with the counts that they store. One Ages serves all shards.
 //
 // An age is counted from the arrival of a beat here, on the own clock. So it is too low by the beat's time in transit, and a
 // beat that other members passed on counts like one that came directly.
--- a/share/allowance.go
+++ b/share/allowance.go
@@ -27,8 +27,8 @@
 	// settleWindows is how many windows back the last summed window lies: the one before the current one is still being sent.
 	settleWindows = 2
 	// minEqualShare is the minimum share of the limit that is divided equally, so that clients that move to another instance are not
-	// rejected until all members know of them. Of the capacity without demand, half is also divided equally; the other half
-	// goes to the instances with clients.
+	// rejected until all members have received their counts. Of the capacity without demand, half is also divided equally; the
+	// other half goes to the instances with clients.
 	minEqualShare = 0.05
 	// burstWindow is the time for which an unused allowance accumulates. minBurst and minWork are the minimum capacities: a
 	// second's part may be less than one request.
@@ -167,7 +167,7 @@
 	return int64(math.Round(float64(off) / float64(Window)))
 }
 
-// demand returns the requests at a member, summed over windows that all members know by now.
+// demand returns the requests at a member, summed over windows whose counts all members have received by now.
 func (c *cell) demand(w, off int64) float64 {
 	var sum uint64
 	hasSeconds := false
@@ -194,8 +194,8 @@
 	return 0
 }
 
-// Take takes one request if there is one left. Otherwise retryIn is the time until there is one, provided that nobody else
-// takes it.
+// Take takes one request if there is one left. Otherwise retryIn is the time until there is one, provided that no other
+// caller takes it.
 func (b *Bucket) Take(own time.Duration, a Allowance) (ok bool, retryIn time.Duration) {
 	workBurst := max(minWork, a.Work*burstWindow.Seconds())
 	switch {
--- a/share/fleet_test.go
+++ b/share/fleet_test.go
@@ -290,7 +290,7 @@
 }
 
 // Guards against one member with a wrong clock, or one that receives but can't send. The excess over the limit must stay within
-// the stated bound, and there must be almost none once that member knows that it is cut off.
+// the stated bound, and there must be almost none once that member has detected that it is cut off.
 func TestFleetWithOneFaultyMember(t *testing.T) {
 	const n = 5
 	for _, c := range []struct {
--- a/share/forms.go
+++ b/share/forms.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Register adds the forms to a book.
+// Register adds the forms to a registry.
 func Register(b *schema.Registry) error {
 	for _, f := range Forms() {
 		if err := b.Register(f); err != nil {
--- a/share/forms_test.go
+++ b/share/forms_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// Guards against older releases dropping fields that they don't know. A record that passes through a table of an older release
+// Guards against older releases dropping fields that they don't define. A record that passes through a table of an older release
 // must arrive complete at a newer one.
 func TestOldReleasePassesOnUnknownFields(t *testing.T) {
 	now := at(0)
--- a/share/move.go
+++ b/share/move.go
@@ -132,7 +132,7 @@
 	return out
 }
 
-// Digest returns a number that is equal at two owners that know the same of a range. It is updated with each change, so reading
+// Digest returns a number that is equal at two owners that store the same of a range. It is updated with each change, so reading
 // it is cheap.
 func (t *Sessions) Digest(r Range) uint64 {
 	p := t.parts[r.Part]
--- a/share/move_test.go
+++ b/share/move_test.go
@@ -198,7 +198,8 @@
 	return keys
 }
 
-// A part that arrives before its new owner knows that it owns it must count as received; one that arrived long before must not.
+// A part may arrive shortly before its new owner receives the ring in which it owns that part. Such a part must count as received; one
+// that arrived long before must not.
 func TestEarlyTransferCounts(t *testing.T) {
 	old := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
 	next := NewRing([]Member{{"b", 1}, {"c", 1}}, 2)
--- a/share/session.go
+++ b/share/session.go
@@ -26,7 +26,7 @@
 	Self          Member
 	Shard, Shards int           // it holds the keys of the parts p with p%Shards == Shard. 0, 0: all
 	Wait          time.Duration // longest wait for owners. 0: 50 ms
-	MarkFor       time.Duration // the longest Query.Keep: an owner that can receive marks from nobody is sure after this time. 0: a minute
+	MarkFor       time.Duration // the longest Query.Keep: an owner that no instance can send marks to is sure after this time. 0: a minute
 	Sessions      int           // 100,000
 	Bytes         int           // of answers and of unknown fields: 64 MiB
 	Calls         int           // of one session: 16
@@ -160,7 +160,7 @@
 			t.stats.FailedWithReason++
 			return Decision{What: Unsure, Cause: UnderWay}
 		}
-		delete(t.pending, k) // abandoned without Decide or End. Its mark stands: this instance can't know that it never ran
+		delete(t.pending, k) // abandoned without Decide or End. Its mark stands: this instance has no proof that it never ran
 	}
 	f := t.collectFacts(now, s, q.Call, nil)
 	own := t.ownCall(s, q.Call)
--- a/share/session_test.go
+++ b/share/session_test.go
@@ -11,7 +11,7 @@
 	"glencart/schema"
 )
 
-// threeInstances returns three instances that know each other, and a key that b and c own: a has to ask them.
+// threeInstances returns three instances that list each other, and a key that b and c own: a has to ask them.
 func threeInstances(t testing.TB) (a, b, c *Sessions, key Key) {
 	ring := NewRing([]Member{{"a", 1}, {"b", 1}, {"c", 1}}, 2)
 	a, b, c = NewSessions(SessionsConfig{Self: Member{"a", 1}}), NewSessions(SessionsConfig{Self: Member{"b", 1}}), NewSessions(SessionsConfig{Self: Member{"c", 1}})
@@ -341,7 +341,7 @@
 }
 
 // Records of a session must merge in any order, whole or in older forms. No mark may be forgotten, and members with the same
-// records must know the same.
+// records must give the same reply and digest.
 func TestSessionsMerge(t *testing.T) {
 	book := newBook()
 	rapid.Check(t, func(t *rapid.T) {
--- a/share/sessrec.go
+++ b/share/sessrec.go
@@ -155,7 +155,7 @@
 	t.reposition(s)
 }
 
-// digest is equal at all members that know the same, independent of the order of arrival.
+// digest is equal at all members that store the same, independent of the order of arrival.
 func (s *session) digest() uint64 {
 	var buf [256]byte
 	seed := append(buf[:0], s.key[:]...)
--- a/share/types.go
+++ b/share/types.go
@@ -4,7 +4,7 @@
 // read concurrently.
 //
 // Records go in and out as schema.Record in the newest forms (see Forms). The caller converts them to the form of a link with
-// its schema.Book.
+// its schema.Registry.
 //
 // This file has the types that callers use.
 package share
--- a/share/use.go
+++ b/share/use.go
@@ -38,7 +38,7 @@
 	Tenants          int // 10,000
 	Cells            int // (tenant, member) pairs: 200,000
 	Classes          int // classes of one tenant and member: 16
-	MaxUnknownFields int // stored fields of a tenant that this release does not know: 256
+	MaxUnknownFields int // stored fields of a tenant that this release does not define: 256
 	// Form is the newest form that this release reads and writes, for tests of a fleet of several releases. 0: the newest.
 	Form uint16
 }
--- a/share/userec.go
+++ b/share/userec.go
@@ -13,8 +13,8 @@
 // time, so that a few lost messages have no effect; settleWindows relies on it.
 const sentSeconds = 3
 
-// Own appends this instance's counts that other members may not know yet, and the plans that it has read from its settings.
-// Each record is partial: it may be merged into what is known, but must not replace it.
+// Own appends this instance's counts that other members may not have received yet, and the plans that it has read from its settings.
+// Each record is partial: it may be merged into what is stored, but must not replace it.
 func (u *Use) Own(now Now, out []schema.Record) []schema.Record {
 	from := len(out)
 	for name, t := range u.tenants {
