--- a/detect/detect.go
+++ b/detect/detect.go
@@ -155,7 +155,7 @@
 func (d *Detect) Next() time.Duration { return d.next }
 
 // Self returns this process's update about itself.
-func (d *Detect) Self() Update { return d.currentSelfWord() }
+func (d *Detect) Self() Update { return d.currentSelfUpdate() }
 
 // Health returns the local health score: 0 is healthy, Config.MaxHealthScore is the worst.
 func (d *Detect) Health() int { return d.health }
@@ -163,11 +163,11 @@
 // Members calls f for each process that is not forgotten, including this one, sorted by name, until f returns false.
 func (d *Detect) Members(f func(Update, LinkState) bool) {
 	all := make([]*member, 0, len(d.ring)+1)
-	all = append(all, &member{Update: d.currentSelfWord(), awayUntil: d.awayUntil})
+	all = append(all, &member{Update: d.currentSelfUpdate(), awayUntil: d.awayUntil})
 	all = append(all, d.ring...)
 	slices.SortFunc(all, func(a, b *member) int { return cmp.Compare(a.Name, b.Name) })
 	for _, m := range all {
-		if !f(m.currentWord(d.now), m.link()) {
+		if !f(m.currentUpdate(d.now), m.link()) {
 			return
 		}
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-func (d *Detect) currentSelfWord() Update {
+func (d *Detect) currentSelfUpdate() Update {
 	w := d.self
 	if w.State == Away {
 		w.Until = max(0, d.awayUntil-d.now)
--- a/detect/faults_test.go
+++ b/detect/faults_test.go
@@ -237,15 +237,15 @@
 	now := time.Duration(0)
 	d.Handle(now, Event{Kind: Start}, nil)
 	rng := rand.New(rand.NewPCG(1, 1))
-	word := func() Update {
+	randomUpdate := func() Update {
 		return Update{ID: ID{fmt.Sprint("m", rng.IntN(400)), uint64(1 + rng.IntN(3))}, Inc: uint32(rng.IntN(4)), State: State(rng.IntN(7)),
 			Addr: fmt.Sprint("m:", rng.IntN(400)), By: fmt.Sprint("m", rng.IntN(400)), Until: time.Duration(rng.Int64N(int64(time.Hour)))}
 	}
 	var out []Action
 	for range 30_000 {
-		m := Message{Kind: Kind(rng.IntN(9)), Seq: uint32(rng.IntN(50)), From: word(), About: word().ID}
+		m := Message{Kind: Kind(rng.IntN(9)), Seq: uint32(rng.IntN(50)), From: randomUpdate(), About: randomUpdate().ID}
 		for range rng.IntN(5) {
-			m.Updates = append(m.Updates, word())
+			m.Updates = append(m.Updates, randomUpdate())
 			m.Links = append(m.Links, LinkUpdate{From: fmt.Sprint("m", rng.IntN(400)), To: fmt.Sprint("m", rng.IntN(400)), Seq: rng.Uint32N(100), Deaf: rng.IntN(2) == 0})
 		}
 		now += time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
--- a/detect/news.go
+++ b/detect/gossip.go
@@ -61,52 +61,52 @@
 
 // Upper bounds of sizes on the wire: tags, lengths and numbers at their longest in protobuf.
 const (
-	wordSize    = 2 + 2 + 9 + 6 + 2 + 2 + 11 + 2 + 4 // without its strings
+	updateSize  = 2 + 2 + 9 + 6 + 2 + 2 + 11 + 2 + 4 // without its strings
 	messageSize = 2 + 4 + 2 + 6 + 2 + 12             // without its updates and the string in About
 	linkSize    = 2 + 2 + 2 + 6 + 2 + 2
 )
 
-func (w *Update) size() int { return wordSize + len(w.Name) + len(w.Addr) + len(w.By) }
+func (w *Update) size() int { return updateSize + len(w.Name) + len(w.Addr) + len(w.By) }
 
 func (l *LinkUpdate) size() int { return linkSize + len(l.From) + len(l.To) }
 
 // send sends a datagram to a member (nil: unknown), with the update that it must receive first, and as many queued updates as
 // fit.
 func (d *Detect) send(addr string, msg Message, to *member) {
-	msg.From = d.currentSelfWord()
+	msg.From = d.currentSelfUpdate()
 	room := d.cfg.MaxDatagramBytes - d.cfg.EnvelopeBytes - messageSize - len(msg.About.Name) - msg.From.size()
-	var news []Update
+	var updates []Update
 	// A member that counts as suspect, away or dead receives that update first, because it can refute it (Lifeguard, 4.3).
 	if to != nil && to.State != Alive && to.reportedDeath.Name == "" && !d.cfg.isPlainSWIM {
-		news = append(news, to.currentWord(d.now))
-		room -= news[0].size()
+		updates = append(updates, to.currentUpdate(d.now))
+		room -= updates[0].size()
 	}
 	for _, w := range msg.Updates {
 		if room -= w.size(); room < 0 {
 			break
 		}
-		news = append(news, w)
+		updates = append(updates, w)
 	}
 	msg.Links, room = d.takeQueuedLinks(room)
-	msg.Updates = d.takeBroadcasts(news, room, to)
+	msg.Updates = d.takeBroadcasts(updates, room, to)
 	d.act(Action{Kind: Send, Addr: addr, Message: msg})
 }
 
 // takeBroadcasts appends queued updates that fit into room, and counts them as sent.
-func (d *Detect) takeBroadcasts(news []Update, room int, to *member) []Update {
+func (d *Detect) takeBroadcasts(updates []Update, room int, to *member) []Update {
 	maxSent := d.maxRetransmits()
 	var taken []*member
-	for i := 0; i < len(d.broadcasts.entries) && room > wordSize; i++ {
+	for i := 0; i < len(d.broadcasts.entries) && room > updateSize; i++ {
 		m := d.broadcasts.entries[i]
 		if m == to && !d.cfg.isPlainSWIM { // the member has its own state, or send has added the update about it
 			continue
 		}
-		w := m.currentWord(d.now)
+		w := m.currentUpdate(d.now)
 		if w.size() > room {
 			break
 		}
 		room -= w.size()
-		news = append(news, w)
+		updates = append(updates, w)
 		taken = append(taken, m)
 	}
 	for _, m := range taken {
@@ -116,7 +116,7 @@
 			d.broadcasts.requeue(m, sent)
 		}
 	}
-	return news
+	return updates
 }
 
 // requeue keeps the age of an update, so that among those sent equally often the newest goes first.
@@ -130,10 +130,10 @@
 // fullState returns a message with all members except those that were never present here: otherwise their ends would circulate
 // forever.
 func (d *Detect) fullState(k Kind) Message {
-	msg := Message{Kind: k, From: d.currentSelfWord(), Updates: make([]Update, 0, len(d.ring))}
+	msg := Message{Kind: k, From: d.currentSelfUpdate(), Updates: make([]Update, 0, len(d.ring))}
 	for _, m := range d.ring {
 		if !m.neverPresent {
-			msg.Updates = append(msg.Updates, m.currentWord(d.now))
+			msg.Updates = append(msg.Updates, m.currentUpdate(d.now))
 		}
 	}
 	return msg
@@ -148,7 +148,7 @@
 	msg := Message{Kind: Answer, About: s.ID}
 	room := d.cfg.MaxDatagramBytes / 2
 	for _, o := range d.randomMembers(maxSample, s) {
-		w := o.currentWord(d.now)
+		w := o.currentUpdate(d.now)
 		if room -= w.size(); room < 0 {
 			break
 		}
--- a/detect/links.go
+++ b/detect/links.go
@@ -17,9 +17,9 @@
 	// failed. With 30 % message loss, half of the answers are missing, and one in 250 checked links counts as failed until its
 	// next message.
 	maxMisses = 8
-	// missInterval is the least time between two misses that count, and unheardProbeInterval the time between two probes on a
+	// missInterval is the least time between two misses that count, and failedLinkProbeInterval the time between two probes on a
 	// failed link.
-	missInterval, unheardProbeInterval = time.Second, 10 * time.Second
+	missInterval, failedLinkProbeInterval = time.Second, 10 * time.Second
 	// linkWindow is how long a link update holds unless repeated; linkRepeatInterval is how often it is repeated.
 	linkWindow, linkRepeatInterval = 3 * time.Minute, time.Minute
 	// maxLinkRepeats is how often each member passes an update on, and maxLinksPerMessage how many fit into one message.
@@ -48,11 +48,11 @@
 // link returns the state of the link to a member.
 func (m *member) link() LinkState {
 	switch {
-	case m.isUnheard && m.isDeaf:
+	case m.isInboundFailed && m.isOutboundFailed:
 		return Severed
-	case m.isUnheard:
+	case m.isInboundFailed:
 		return Unheard
-	case m.isDeaf:
+	case m.isOutboundFailed:
 		return Deaf
 	}
 	return Sound
@@ -78,8 +78,8 @@
 			continue
 		}
 		wait := missInterval
-		if m.isUnheard {
-			wait = unheardProbeInterval
+		if m.isInboundFailed {
+			wait = failedLinkProbeInterval
 		}
 		if d.now-m.missedAt < wait || probed >= maxLinkChecksPerRound || d.now < d.noSuspicionUntil {
 			i++
@@ -89,8 +89,8 @@
 		if m.State == Alive && d.now-d.confirmedAt < d.cfg.CutOffTimeout {
 			m.misses++
 		}
-		if m.misses >= maxMisses && !m.isDeaf && (!m.isUnheard || m.misses%int(linkRepeatInterval/unheardProbeInterval) == 0) {
-			m.isUnheard = true
+		if m.misses >= maxMisses && !m.isOutboundFailed && (!m.isInboundFailed || m.misses%int(linkRepeatInterval/failedLinkProbeInterval) == 0) {
+			m.isInboundFailed = true
 			d.announceLink(m, true)
 		}
 		m.missedAt = d.now
@@ -117,18 +117,18 @@
 			d.linkChecks = slices.Delete(d.linkChecks, i, i+1)
 		}
 	}
-	if m.isUnheard {
-		m.isUnheard = false
+	if m.isInboundFailed {
+		m.isInboundFailed = false
 		d.announceLink(m, false)
 	}
-	if m.isDeaf && d.now >= m.deafUntil {
-		m.isDeaf = false
+	if m.isOutboundFailed && d.now >= m.outboundFailedUntil {
+		m.isOutboundFailed = false
 	}
 }
 
 // clearLinks removes the link state of a member that a new process has replaced.
 func (d *Detect) clearLinks(m *member) {
-	m.isUnheard, m.isDeaf, m.linkNum, m.misses, m.isLinkChecked = false, false, 0, 0, false
+	m.isInboundFailed, m.isOutboundFailed, m.linkNum, m.misses, m.isLinkChecked = false, false, 0, 0, false
 	if i := slices.Index(d.linkChecks, m); i >= 0 {
 		d.linkChecks = slices.Delete(d.linkChecks, i, i+1)
 	}
@@ -140,8 +140,8 @@
 }
 
 // receiveLinks merges link updates.
-func (d *Detect) receiveLinks(words []LinkUpdate) {
-	for _, w := range words {
+func (d *Detect) receiveLinks(updates []LinkUpdate) {
+	for _, w := range updates {
 		from, to := d.members[w.From], d.members[w.To]
 		if w.To == d.self.Name || to == nil || !to.State.isPresent() || from == nil && w.From != d.self.Name || w.From == w.To {
 			continue
@@ -159,7 +159,7 @@
 			d.queueLink(w)
 			continue
 		}
-		to.isDeaf, to.deafUntil = w.Deaf, d.now+linkWindow
+		to.isOutboundFailed, to.outboundFailedUntil = w.Deaf, d.now+linkWindow
 		if w.Deaf {
 			// If this probe arrives, the member learns that the path of its own probes failed, and not the path from this process.
 			d.send(to.Addr, Message{Kind: Ask, Seq: d.nextSeq(), About: to.ID}, to)
--- a/detect/measure_test.go
+++ b/detect/measure_test.go
@@ -20,11 +20,11 @@
 // heartbeat is the simplest detector, for comparison: each member sends to all each second, and one that is silent for 5 s is
 // dead.
 type heartbeat struct {
-	self  Update
-	all   []Update
-	heard []time.Duration
-	dead  []bool
-	next  time.Duration
+	self           Update
+	all            []Update
+	lastReceivedAt []time.Duration
+	dead           []bool
+	next           time.Duration
 }
 
 func (h *heartbeat) Next() time.Duration { return h.next }
@@ -32,7 +32,7 @@
 func (h *heartbeat) Handle(now time.Duration, ev Event, out []Action) []Action {
 	if ev.Kind == Received {
 		i := int(ev.Message.Seq)
-		h.heard[i] = now
+		h.lastReceivedAt[i] = now
 		if h.dead[i] {
 			h.dead[i] = false
 			out = append(out, Action{Kind: Changed, Word: h.all[i], Old: Dead})
@@ -49,7 +49,7 @@
 			continue
 		}
 		out = append(out, Action{Kind: Send, Addr: w.Addr, Message: Message{Kind: Ask, Seq: uint32(me), From: h.self}})
-		if !h.dead[i] && now-h.heard[i] > 5*time.Second {
+		if !h.dead[i] && now-h.lastReceivedAt[i] > 5*time.Second {
 			h.dead[i] = true
 			w.State = Dead
 			out = append(out, Action{Kind: Changed, Word: w, Old: Alive})
@@ -73,7 +73,7 @@
 	}},
 	{"heartbeats", func(n int) func(*Config) node {
 		return func(c *Config) node {
-			h := &heartbeat{self: Update{ID: ID{c.Name, c.Start}, Addr: c.Addr}, heard: make([]time.Duration, n), dead: make([]bool, n)}
+			h := &heartbeat{self: Update{ID: ID{c.Name, c.Start}, Addr: c.Addr}, lastReceivedAt: make([]time.Duration, n), dead: make([]bool, n)}
 			for i := range n {
 				h.all = append(h.all, Update{ID: ID{nameOf(i), 1}, Addr: nameOf(i) + ":7946"})
 			}
--- a/detect/members.go
+++ b/detect/members.go
@@ -31,21 +31,21 @@
 	verifyProbes  int    // probes sent to verify it
 	isUnverified  bool   // it is in unverified
 
-	broadcast         queueEntry
-	isLinkChecked     bool // it is in linkChecks
-	misses            int  // consecutive missing answers, while others receive its messages
-	missedAt          time.Duration
-	linkNum           uint32
-	isUnheard, isDeaf bool
-	deafUntil         time.Duration
+	broadcast                         queueEntry
+	isLinkChecked                     bool // it is in linkChecks
+	misses                            int  // consecutive missing answers, while others receive its messages
+	missedAt                          time.Duration
+	linkNum                           uint32
+	isInboundFailed, isOutboundFailed bool
+	outboundFailedUntil               time.Duration
 }
 
 // flapWindow is how long a return from the dead counts, and maxFlaps the most that count: suspicion lasts 1 + flaps times as
 // long.
 const flapWindow, maxFlaps = 10 * time.Minute, 2
 
-// currentWord returns the update about the member as it is sent now.
-func (m *member) currentWord(now time.Duration) Update {
+// currentUpdate returns the update about the member as it is sent now.
+func (m *member) currentUpdate(now time.Duration) Update {
 	w := m.Update
 	if w.State == Away {
 		w.Until = max(0, m.awayUntil-now)
@@ -53,13 +53,13 @@
 	return w
 }
 
-// receiveWord merges one update. isFromSender: it is the sender's update about itself.
-func (d *Detect) receiveWord(w Update, isFromSender bool) {
+// receiveUpdate merges one update. isFromSender: it is the sender's update about itself.
+func (d *Detect) receiveUpdate(w Update, isFromSender bool) {
 	if !w.isValid() {
 		return
 	}
 	if w.Name == d.self.Name {
-		d.receiveSelfWord(w)
+		d.receiveSelfUpdate(w)
 		return
 	}
 	m := d.members[w.Name]
@@ -74,7 +74,7 @@
 	case w.State == Dead && m.State.isPresent() && !d.cfg.isPlainSWIM:
 		d.receiveDeath(m, w)
 	default:
-		d.applyWord(m, w, isFromSender)
+		d.applyUpdate(m, w, isFromSender)
 	}
 }
 
@@ -97,7 +97,7 @@
 		d.setTimer(m)
 		return
 	}
-	d.applyWord(m, w, isFromSender)
+	d.applyUpdate(m, w, isFromSender)
 }
 
 func (d *Detect) swap(i, j int) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// applyWord applies an update that holds over the stored one.
-func (d *Detect) applyWord(m *member, w Update, isFromSender bool) {
+// applyUpdate applies an update that holds over the stored one.
+func (d *Detect) applyUpdate(m *member, w Update, isFromSender bool) {
 	cause := "another member reported it"
 	switch {
 	case isFromSender:
@@ -192,7 +192,7 @@
 }
 
 func (d *Detect) reportChange(m *member, old State, cause string) {
-	d.act(Action{Kind: Changed, Word: m.currentWord(d.now), Old: old, Cause: cause})
+	d.act(Action{Kind: Changed, Word: m.currentUpdate(d.now), Old: old, Cause: cause})
 }
 
 // setTimer sets the timer of a member by its state.
@@ -295,8 +295,8 @@
 	m.reportedDeath = Update{}
 }
 
-// receiveSelfWord processes an update about this process's own name.
-func (d *Detect) receiveSelfWord(w Update) {
+// receiveSelfUpdate processes an update about this process's own name.
+func (d *Detect) receiveSelfUpdate(w Update) {
 	switch {
 	case w.Start > d.self.Start:
 		hasEnded := w.State == Dead || w.State == Left
--- a/detect/probes.go
+++ b/detect/probes.go
@@ -120,7 +120,7 @@
 	}
 	for _, o := range d.randomMembers(d.cfg.IndirectProbes, m) {
 		r.indirectAsked++
-		d.send(o.Addr, Message{Kind: AskFor, Seq: r.seq, About: r.id, Updates: []Update{m.currentWord(d.now)}}, o)
+		d.send(o.Addr, Message{Kind: AskFor, Seq: r.seq, About: r.id, Updates: []Update{m.currentUpdate(d.now)}}, o)
 	}
 	if d.cfg.IndirectProbes > 0 && !d.cfg.isPlainSWIM {
 		d.send(m.Addr, Message{Kind: Ask, Seq: r.seq, About: m.ID}, m)
@@ -169,10 +169,10 @@
 		return
 	}
 	d.receivedAt = d.now
-	d.receiveWord(m.From, true)
+	d.receiveUpdate(m.From, true)
 	incBefore, learnedBefore := d.self.Inc, d.learned
 	for _, w := range m.Updates {
-		if d.receiveWord(w, false); d.isSuperseded {
+		if d.receiveUpdate(w, false); d.isSuperseded {
 			return
 		}
 	}
@@ -185,7 +185,7 @@
 	case Ask:
 		answer := Message{Kind: Answer, Seq: m.Seq, About: m.From.ID}
 		if s != nil && s.ID != m.From.ID { // a later process has its name, which it must learn
-			answer.Updates = []Update{s.currentWord(d.now)}
+			answer.Updates = []Update{s.currentUpdate(d.now)}
 		}
 		d.send(from, answer, s)
 		d.sendSample(m, s)
@@ -230,7 +230,7 @@
 		return
 	}
 	lower := m.From.Start < d.self.Start
-	if d.receiveSelfWord(m.From); !d.isSuperseded && (m.Kind == Ask || lower && m.Kind != Answer) {
+	if d.receiveSelfUpdate(m.From); !d.isSuperseded && (m.Kind == Ask || lower && m.Kind != Answer) {
 		d.send(from, Message{Kind: Answer, Seq: m.Seq, About: m.From.ID}, nil)
 	}
 }
@@ -266,7 +266,7 @@
 	if t == nil || t.ID != m.About || len(d.relays) >= maxRelays || t.State == Left {
 		refusal := Message{Kind: CantReach, Seq: m.Seq, About: m.About}
 		if t != nil {
-			refusal.Updates = []Update{t.currentWord(d.now)}
+			refusal.Updates = []Update{t.currentUpdate(d.now)}
 		}
 		d.send(from, refusal, s)
 		return
--- a/detect/word_test.go
+++ b/detect/update_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func allWords() []Update {
+func allUpdates() []Update {
 	var all []Update
 	for start := uint64(1); start <= 2; start++ {
 		for inc := uint32(0); inc <= 2; inc++ {
@@ -45,7 +45,7 @@
 }
 
 func TestUpdatePrecedenceOverAllPairs(t *testing.T) {
-	all := allWords()
+	all := allUpdates()
 	for _, a := range all {
 		for _, b := range all {
 			if got, want := Compare(a, b), compareByTable(a, b); got != want {
@@ -63,7 +63,7 @@
 // Guards against views that depend on the order or repetition of updates: no update may replace one that holds over it. A
 // reported death of a present member is verified first, so it counts here while it is unverified.
 func TestUpdatesMergeInAnyOrder(t *testing.T) {
-	all := allWords()
+	all := allUpdates()
 	rapid.Check(t, func(t *rapid.T) {
 		some := rapid.SliceOfN(rapid.SampledFrom(all), 1, 12).Draw(t, "words")
 		best := some[0]
@@ -138,7 +138,7 @@
 		d := New(Config{Name: "self", Start: 1, Addr: "self:1"})
 		d.Handle(0, Event{Kind: Start}, nil)
 		for i := range c.members - 1 {
-			d.receiveWord(Update{ID: ID{nameOf(i), 1}, Addr: "x:1"}, false)
+			d.receiveUpdate(Update{ID: ID{nameOf(i), 1}, Addr: "x:1"}, false)
 		}
 		m := d.members["a"]
 		for range c.flaps {
@@ -146,7 +146,7 @@
 			d.transition(m, Update{ID: m.ID, State: Alive, Addr: m.Addr}, "")
 		}
 		for i := range c.accusers {
-			d.receiveWord(Update{ID: m.ID, State: Suspect, Addr: "x:1", By: nameOf(i + 1)}, false)
+			d.receiveUpdate(Update{ID: m.ID, State: Suspect, Addr: "x:1", By: nameOf(i + 1)}, false)
 		}
 		if got := d.suspicionDeadline(m).Round(100 * time.Millisecond); got-c.want*time.Millisecond > 100*time.Millisecond || c.want*time.Millisecond-got > 100*time.Millisecond {
 			t.Errorf("%d members, %d accusers, %d returns: suspicion lasts %s", c.members, c.accusers, c.flaps, got)
--- a/schema/fleet_test.go
+++ b/schema/fleet_test.go
@@ -22,11 +22,11 @@
 	maxWaitRounds  = 120
 )
 
-// fleetBook has three forms of usage and of sessions with the changes that are prone to errors: a field that is renamed and scaled, a
-// missing step down, and a register that old releases keep without knowing it.
-func fleetBook(oneway bool) *Registry {
+// fleetRegistry has three forms of usage and of sessions with the changes that are prone to errors: a field that is renamed and scaled, a
+// missing step down, and a register that old releases keep without defining it.
+func fleetRegistry(oneway bool) *Registry {
 	b := &Registry{}
-	tells := func(nums map[string]uint32) func(Record) map[string]uint64 {
+	totals := func(nums map[string]uint32) func(Record) map[string]uint64 {
 		return func(r Record) map[string]uint64 {
 			out := map[string]uint64{}
 			for name, num := range nums {
@@ -43,10 +43,10 @@
 		last = Step{Loss: NoSuchStep, What: "a release that does not know the last call would run it again"}
 	}
 	for _, f := range []Form{
-		{Kind: Use, Number: 1, Totals: tells(map[string]uint32{"requests": 1000})},
-		{Kind: Use, Number: 2, Totals: tells(map[string]uint32{"requests": 1000, "ms": 1001})},
+		{Kind: Use, Number: 1, Totals: totals(map[string]uint32{"requests": 1000})},
+		{Kind: Use, Number: 2, Totals: totals(map[string]uint32{"requests": 1000, "ms": 1001})},
 		{Kind: Use, Number: 3, Totals: func(r Record) map[string]uint64 {
-			m := tells(map[string]uint32{"requests": 1010, "ms": 1011})(r)
+			m := totals(map[string]uint32{"requests": 1010, "ms": 1011})(r)
 			m["ms"] /= 1000
 			return m
 		}, Up: Step{Do: func(r Record) (Record, error) {
@@ -58,7 +58,7 @@
 		}, Loss: LossWithDefault("whole milliseconds", 1011)}},
 		{Kind: Session, Number: 1},
 		{Kind: Session, Number: 2},
-		{Kind: Session, Number: 3, Down: last, Totals: tells(map[string]uint32{"call": 4000})},
+		{Kind: Session, Number: 3, Down: last, Totals: totals(map[string]uint32{"call": 4000})},
 	} {
 		if err := b.Register(f); err != nil {
 			panic(err)
@@ -71,7 +71,7 @@
 type process struct {
 	id             ID
 	release        uint16 // it reads schemas 1 to release, of both kinds
-	book           *Registry
+	registry       *Registry
 	levels         *Levels
 	tables         map[Kind]*Table
 	sweeps         map[Kind]*Sweep
@@ -133,8 +133,8 @@
 	p := &process{release: release, startedAt: f.round, firstMessageAt: -1, seen: map[string]sighting{},
 		cleared: map[Kind]bool{}, tables: map[Kind]*Table{Use: {}, Session: {}}, sweeps: map[Kind]*Sweep{}}
 	p.id = ID{Name: string(rune('a' + at)), Start: uint64(f.round)*10 + uint64(release)}
-	allForms := fleetBook(f.oneway)
-	p.book = allForms.Restrict(Use, 1, release).Restrict(Session, 1, release)
+	allForms := fleetRegistry(f.oneway)
+	p.registry = allForms.Restrict(Use, 1, release).Restrict(Session, 1, release)
 	written := map[Kind]Level{}
 	if old := f.procs[at]; old != nil {
 		for _, s := range old.levels.State().Stands {
@@ -156,7 +156,7 @@
 			f.storeRecord(p, r)
 		}
 	}
-	p.levels = NewLevels(p.id, p.book, written)
+	p.levels = NewLevels(p.id, p.registry, written)
 	f.procs[at] = p
 	f.note("%s starts with release %d, %d records unreadable", p.id.Name, release, len(p.unread))
 }
@@ -171,7 +171,7 @@
 	if p.levels != nil {
 		written = p.levels.Written(r.Kind)
 	}
-	kept, err := p.book.MergeInto(held, r, written)
+	kept, err := p.registry.MergeInto(held, r, written)
 	if err != nil {
 		f.fail("%s: %v", p.id.Name, err)
 	}
@@ -213,7 +213,7 @@
 	if !ok {
 		r = Record{Kind: Use, Schema: p.levels.Written(Use), Key: key}
 	}
-	r, err := p.book.ConvertNearest(r, p.levels.Written(Use))
+	r, err := p.registry.ConvertNearest(r, p.levels.Written(Use))
 	if err != nil {
 		f.fail("%v", err)
 	}
@@ -246,7 +246,7 @@
 	call := f.lastCall[key]
 	r := Record{Kind: Session, Schema: 3, Key: key, Fields: []Field{{Num: 4000, Int: call}, {Num: 4001, Int: 1}, {Num: 4002, Text: fmt.Appendf(nil, "%d", call)}}}
 	f.storeRecord(p, r)
-	sent, err := p.book.ConvertForPeer(r, at, maxSchema)
+	sent, err := p.registry.ConvertForPeer(r, at, maxSchema)
 	if err != nil || sent.Schema > other.release {
 		return // other can't receive the mark: the call is made without it and is not counted as marked
 	}
@@ -288,7 +288,7 @@
 			p.sweeps[k] = &Sweep{Kind: k, To: to}
 		}
 		s := *p.sweeps[k] // an interrupted step leaves the shelf partly updated and the position unchanged
-		s.Step(p.book, p.tables[k], StepLimit{Records: 2, Fields: 20})
+		s.Step(p.registry, p.tables[k], StepLimit{Records: 2, Fields: 20})
 		if f.rng.IntN(4) > 0 {
 			p.sweeps[k] = &s
 		}
@@ -304,8 +304,8 @@
 		to := f.procs[j]
 		l := message{from: p.id, to: to.id, sentAt: f.round, deliverAt: f.round + f.rng.IntN(3),
 			states: []MemberState{p.levels.State()}, seen: map[string]sighting{}}
-		for said := range p.levels.OtherStates {
-			l.states = append(l.states, said)
+		for state := range p.levels.OtherStates {
+			l.states = append(l.states, state)
 		}
 		for name, s := range p.seen {
 			l.seen[name] = s
@@ -316,7 +316,7 @@
 				continue
 			}
 			p.tables[k].After("", func(r Record) bool {
-				if sent, err := p.book.ConvertForPeer(r, at, maxSchema); err == nil && f.rng.IntN(2) == 0 {
+				if sent, err := p.registry.ConvertForPeer(r, at, maxSchema); err == nil && f.rng.IntN(2) == 0 {
 					l.records = append(l.records, AppendRecord(nil, sent))
 				}
 				return true
@@ -342,8 +342,8 @@
 	if p.firstMessageAt < 0 {
 		p.firstMessageAt = f.round
 	}
-	for _, said := range l.states {
-		f.handle(p, Event{Kind: StateReceived, State: said})
+	for _, state := range l.states {
+		f.handle(p, Event{Kind: StateReceived, State: state})
 	}
 	for _, w := range l.records {
 		r, err := ParseRecord(w)
@@ -521,12 +521,12 @@
 	for _, p := range f.procs {
 		for key, s := range f.counted {
 			r, _ := p.tables[Use].Get(key)
-			tells := p.book.Totals(r)
-			if tells["requests"] > s[0] || tells["ms"] > s[1] {
-				f.fail("%s: %s: totals %v are above those counted, %v", p.id.Name, key, tells, s)
+			totals := p.registry.Totals(r)
+			if totals["requests"] > s[0] || totals["ms"] > s[1] {
+				f.fail("%s: %s: totals %v are above those counted, %v", p.id.Name, key, totals, s)
 			}
-			if r.Schema != 3 || tells["requests"] != s[0] || tells["ms"] != s[1] {
-				return fmt.Sprintf("%s: %s: totals %v at schema %d, counted %v", p.id.Name, key, tells, r.Schema, s)
+			if r.Schema != 3 || totals["requests"] != s[0] || totals["ms"] != s[1] {
+				return fmt.Sprintf("%s: %s: totals %v at schema %d, counted %v", p.id.Name, key, totals, r.Schema, s)
 			}
 		}
 		for key, call := range f.marked {
@@ -547,7 +547,7 @@
 // lost or doubled counts, lost marks, records sent to a process that can't read them, and processes that write different levels after the
 // stated time.
 func TestFleets(t *testing.T) {
-	var longest, rose, told, marks atomic.Int64
+	var longest, rose, tooOld, marks atomic.Int64
 	play := func(t *testing.T, seed uint64) {
 		f := &fleet{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 42)), oneway: seed%2 == 0,
 			counted: map[string][2]uint64{}, marked: map[string]uint64{}, lastCall: map[string]uint64{}}
@@ -560,7 +560,7 @@
 		for was := longest.Load(); int64(took) > was && !longest.CompareAndSwap(was, int64(took)); was = longest.Load() {
 		}
 		rose.Add(int64(f.levelChanges))
-		told.Add(int64(f.tooOldActions))
+		tooOld.Add(int64(f.tooOldActions))
 		for _, c := range f.marked {
 			marks.Add(int64(c))
 		}
@@ -583,8 +583,8 @@
 		}
 	})
 	t.Logf("%d fleets: %d level changes, %d times a process was too old, %d calls marked; all write the same level after at most %d rounds",
-		*fleetCount, rose.Load(), told.Load(), marks.Load(), longest.Load())
-	if *fleetCount >= 500 && (rose.Load() == 0 || told.Load() == 0 || marks.Load() == 0) {
+		*fleetCount, rose.Load(), tooOld.Load(), marks.Load(), longest.Load())
+	if *fleetCount >= 500 && (rose.Load() == 0 || tooOld.Load() == 0 || marks.Load() == 0) {
 		t.Error("the fleets had no level change, no process that was too old or no marked call")
 	}
 }
--- a/schema/law.go
+++ b/schema/formrules.go
@@ -219,7 +219,7 @@
 func (b *Registry) loweredTotal(from, to Record) (name string, was, is uint64, ok bool) {
 	after := b.Totals(to)
 	for name, was := range b.Totals(from) {
-		if is, told := after[name]; (told || from.Schema == to.Schema) && is < was {
+		if is, found := after[name]; (found || from.Schema == to.Schema) && is < was {
 			return name, was, is, false
 		}
 	}
--- a/schema/law_test.go
+++ b/schema/formrules_test.go
@@ -11,8 +11,8 @@
 
 // formChain is a random sequence of forms of one kind, with the Nums that a record of each form may have.
 type formChain struct {
-	book *Registry
-	nums [][]uint32 // Nums by form, starting with form 1
+	registry *Registry
+	nums     [][]uint32 // Nums by form, starting with form 1
 }
 
 // moveFields returns a step that moves all fields of one Num to another Num and joins them with fields that are already there.
@@ -34,7 +34,7 @@
 
 // drawFormChain draws a sequence of forms. Each results from the previous one by a change that releases typically make.
 func drawFormChain(t *rapid.T) formChain {
-	c := formChain{book: &Registry{}}
+	c := formChain{registry: &Registry{}}
 	next := map[Join]uint32{Keep: 1, Max: MaxNum, Min: MinNum, Or: OrNum, Register: RegisterNum}
 	fresh := func(j Join) uint32 {
 		n := next[j]
@@ -116,7 +116,7 @@
 				f.Down = Step{Loss: NoSuchStep, What: "the form before has no room for it"}
 			}
 		}
-		if err := c.book.Register(f); err != nil {
+		if err := c.registry.Register(f); err != nil {
 			t.Fatal(err)
 		}
 		c.nums = append(c.nums, append([]uint32(nil), live...))
@@ -134,17 +134,17 @@
 
 // The laws hold for random sequences of forms, and for each path between two forms. Otherwise a merge of records of different releases
 // would depend on where each was converted.
-func TestLawsHoldForRandomForms(t *testing.T) {
+func TestFormRulesHoldForRandomForms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawFormChain(t)
-		if err := c.book.CheckLaws(c.draw(t, "x"), c.draw(t, "y")); err != nil {
+		if err := c.registry.CheckLaws(c.draw(t, "x"), c.draw(t, "y")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
 // CheckLaws detects forms with typical mistakes. Without this test a check in CheckLaws that never fails would stay unnoticed.
-func TestLawDetectsWrongForms(t *testing.T) {
+func TestCheckLawsDetectsWrongForms(t *testing.T) {
 	count := func(sub string, n uint64) Field { return Field{Num: 1000, Sub: sub, Int: n} }
 	// A release that counts by class splits the total on the way up and sums it again on the way down.
 	apart := func(r Record) (Record, error) { return moveFields(1000, 1002, identity)(r) }
--- a/schema/levels.go
+++ b/schema/levels.go
@@ -134,7 +134,7 @@
 
 // Levels is one member's view of the written levels. It reads no clock, and no decision depends on a duration.
 type Levels struct {
-	book       *Registry
+	registry   *Registry
 	self       MemberState
 	members    []ID // without this process
 	states     map[ID]MemberState
@@ -146,12 +146,12 @@
 }
 
 // NewLevels returns the levels of a process that reads the schemas of the registry. Written comes from a snapshot and may be nil.
-func NewLevels(id ID, book *Registry, written map[Kind]Level) *Levels {
-	l := &Levels{book: book, self: MemberState{ID: id, Seq: 1}, states: map[ID]MemberState{},
+func NewLevels(id ID, registry *Registry, written map[Kind]Level) *Levels {
+	l := &Levels{registry: registry, self: MemberState{ID: id, Seq: 1}, states: map[ID]MemberState{},
 		isUnfit: map[Kind]bool{}, refusedWhy: map[Kind]string{}, cleared: map[Kind]Level{}, hasFallen: map[Kind]bool{}}
-	for _, k := range slices.Sorted(maps.Keys(book.forms)) {
+	for _, k := range slices.Sorted(maps.Keys(registry.forms)) {
 		s := KindState{Kind: k, Written: written[k], Agreed: written[k]}
-		s.Lo, s.Hi = book.ReadableRange(k)
+		s.Lo, s.Hi = registry.ReadableRange(k)
 		s.HighestStored = s.Hi
 		l.self.Stands = append(l.self.Stands, s)
 		if written[k].Schema != 0 {
@@ -252,8 +252,8 @@
 func (l *Levels) adopt(s *KindState, out []Action) []Action {
 	by, best := ID{}, s.Written
 	for _, id := range l.members {
-		said := l.states[id]
-		if o := said.stand(s.Kind); o != nil && best.less(o.Written) {
+		state := l.states[id]
+		if o := state.stand(s.Kind); o != nil && best.less(o.Written) {
 			by, best = id, o.Written
 		}
 	}
@@ -269,7 +269,7 @@
 	kind := LevelRose
 	if to.Turn > s.Written.Turn && to.Schema < s.Written.Schema {
 		kind = LevelFell
-		if err := l.book.CheckPath(s.Kind, s.Written.Schema, to.Schema); errors.Is(err, ErrOneWay) {
+		if err := l.registry.CheckPath(s.Kind, s.Written.Schema, to.Schema); errors.Is(err, ErrOneWay) {
 			why += "; records stay where they cannot be brought down: " + err.Error()
 		}
 	}
@@ -311,8 +311,8 @@
 func (l *Levels) participants(s *KindState) ([]*KindState, bool) {
 	all := append(make([]*KindState, 0, len(l.members)+1), s)
 	for _, id := range l.members {
-		said := l.states[id]
-		o := said.stand(s.Kind)
+		state := l.states[id]
+		o := state.stand(s.Kind)
 		if o == nil {
 			return all, false
 		}
@@ -343,7 +343,7 @@
 		return Level{}, false
 	}
 	// This member is to go down. It reports why if it can't, and waits while the limit is not yet set at all other members.
-	if err := l.book.CheckPath(s.Kind, s.Written.Schema, s.UpperLimit); err != nil {
+	if err := l.registry.CheckPath(s.Kind, s.Written.Schema, s.UpperLimit); err != nil {
 		*out = l.refuse(s, err.Error(), *out)
 		return Level{}, false
 	}
@@ -429,8 +429,8 @@
 // reported what it reads, it is not a member, one of the two is unfit, or there is no schema that both read.
 func (l *Levels) SendRange(to ID, k Kind) (at, maxSchema uint16, ok bool) {
 	s := l.self.stand(k)
-	said := l.states[to]
-	o := said.stand(k)
+	state := l.states[to]
+	o := state.stand(k)
 	if s == nil || o == nil || !reads(s, s.Written) || !reads(o, s.Written) {
 		return 0, 0, false
 	}
--- a/schema/levels_test.go
+++ b/schema/levels_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// sessionBook returns the registry of a release that reads session schemas lo to hi. The form `oneway` has no step down.
-func sessionBook(lo, hi, oneway uint16) *Registry {
+// sessionRegistry returns the registry of a release that reads session schemas lo to hi. The form `oneway` has no step down.
+func sessionRegistry(lo, hi, oneway uint16) *Registry {
 	b := &Registry{}
 	for n := lo; n <= hi; n++ {
 		f := Form{Kind: Session, Number: n, Name: "form " + strconv.Itoa(int(n))}
@@ -56,24 +56,24 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			out.Reset()
 			for _, line := range strings.Split(d.Input, "\n") {
-				words := strings.Fields(line)
-				if len(words) == 0 {
+				fields := strings.Fields(line)
+				if len(fields) == 0 {
 					continue
 				}
-				name := strings.TrimSuffix(words[min(1, len(words)-1)], ":")
+				name := strings.TrimSuffix(fields[min(1, len(fields)-1)], ":")
 				number := func(i int) uint64 {
-					n, err := strconv.ParseUint(words[i], 10, 64)
+					n, err := strconv.ParseUint(fields[i], 10, 64)
 					if err != nil {
 						t.Fatal(line, err)
 					}
 					return n
 				}
-				switch words[0] {
+				switch fields[0] {
 				case "start":
 					var lo, hi, oneway uint16
 					written := map[Kind]Level{}
 					settled := false
-					for _, arg := range words[3:] {
+					for _, arg := range fields[3:] {
 						var l Level
 						switch {
 						case arg == "settled":
@@ -87,25 +87,25 @@
 							written[Session] = l
 						}
 					}
-					levels[name] = NewLevels(ID{name, number(2)}, sessionBook(lo, hi, oneway), written)
+					levels[name] = NewLevels(ID{name, number(2)}, sessionRegistry(lo, hi, oneway), written)
 					if settled {
 						handle(name, Event{Kind: Settled})
 					}
 				case "members":
 					ev := Event{Kind: Members}
-					for _, o := range words[2:] {
+					for _, o := range fields[2:] {
 						ev.Members = append(ev.Members, levels[o].self.ID)
 					}
 					handle(name, ev)
 				case "hear":
-					for _, o := range words[2:] {
+					for _, o := range fields[2:] {
 						handle(name, Event{Kind: StateReceived, State: levels[o].State()})
 					}
 				case "all":
 					for again := true; again; {
 						again = false
-						for _, a := range words[1:] {
-							for _, o := range words[1:] {
+						for _, a := range fields[1:] {
+							for _, o := range fields[1:] {
 								again = handle(a, Event{Kind: StateReceived, State: levels[o].State()}) || again
 							}
 						}
@@ -117,8 +117,8 @@
 				case "settled":
 					handle(name, Event{Kind: Settled})
 				case "link":
-					at, most, ok := levels[name].SendRange(levels[words[2]].self.ID, Session)
-					fmt.Fprintf(&out, "%s to %s: at %d, most %d, %t\n", name, words[2], at, most, ok)
+					at, most, ok := levels[name].SendRange(levels[fields[2]].self.ID, Session)
+					fmt.Fprintf(&out, "%s to %s: at %d, most %d, %t\n", name, fields[2], at, most, ok)
 				default:
 					t.Fatalf("unknown command: %q", line)
 				}
@@ -130,8 +130,8 @@
 				}
 				slices.Sort(names)
 				for _, name := range names {
-					said := levels[name].State()
-					s := said.stand(Session)
+					state := levels[name].State()
+					s := state.stand(Session)
 					fmt.Fprintf(&out, "%s reads %d..%d, agreed %s, written %s, writes %d, fit %t\n",
 						name, s.Lo, s.Hi, s.Agreed, s.Written, levels[name].Written(Session), levels[name].IsFit())
 				}
--- a/schema/sweep_test.go
+++ b/schema/sweep_test.go
@@ -28,7 +28,7 @@
 // A sweep that is interrupted, even within a step, continues from its last stored position, moves all records and moves none twice. After a
 // crash between two Puts some records of the step are already moved, and a second conversion would scale their values again.
 func TestInterruptedSweepMovesEachRecordOnce(t *testing.T) {
-	b := fleetBook(true)
+	b := fleetRegistry(true)
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		table := &Table{}
@@ -98,7 +98,7 @@
 
 // BenchmarkSweep sweeps a shard of a million records. It measures how long a step blocks the shard, in wall-clock time and in CPU time.
 func BenchmarkSweep(b *testing.B) {
-	book := fleetBook(false)
+	registry := fleetRegistry(false)
 	for _, bound := range []StepLimit{DefaultStepLimit, {128, 1024}, {2048, 1 << 14}} {
 		b.Run(fmt.Sprintf("records=%d", bound.Records), func(b *testing.B) {
 			const n = 1_000_000
@@ -117,7 +117,7 @@
 				s := Sweep{Kind: Use, To: 3}
 				for !s.Done {
 					begin, work := time.Now(), threadCPUTime(b)
-					s.Step(book, table, bound)
+					s.Step(registry, table, bound)
 					holds, works = append(holds, time.Since(begin)), append(works, threadCPUTime(b)-work)
 				}
 				steps, moved = len(holds), s.Moved
@@ -138,19 +138,19 @@
 
 // BenchmarkRecord measures the operations on one record of 24 counters, as of one tenant in a fleet of eight.
 func BenchmarkRecord(b *testing.B) {
-	book := fleetBook(false)
+	registry := fleetRegistry(false)
 	x := Record{Kind: Use, Schema: 3, Key: "tenant-0000007"}
 	for i := range 24 {
 		x.Set(Field{Num: uint32(1010 + i%2), Sub: fmt.Sprintf("member-%d/1", i/2), Int: uint64(1000 * i)})
 	}
-	old, err := book.Convert(x, 1)
+	old, err := registry.Convert(x, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	wire := AppendRecord(nil, x)
 	for name, do := range map[string]func() error{
-		"merge":  func() error { _, err := book.Merge(x, x); return err },
-		"up":     func() error { _, err := book.Convert(old, 3); return err },
+		"merge":  func() error { _, err := registry.Merge(x, x); return err },
+		"up":     func() error { _, err := registry.Convert(old, 3); return err },
 		"parse":  func() error { _, err := ParseRecord(wire); return err },
 		"append": func() error { wire = AppendRecord(wire[:0], x); return nil },
 	} {
--- a/share/calls_test.go
+++ b/share/calls_test.go
@@ -21,7 +21,7 @@
 	seq      int
 	loss     float64
 	mixed    bool // some restart as a release without marks
-	book     *schema.Registry
+	registry *schema.Registry
 	nodes    []*callNode
 	departed int // members that left by plan
 	groups   [2]map[int]string
@@ -126,7 +126,7 @@
 	if r.Key == "" {
 		return r
 	}
-	out, err := f.book.Convert(r, min(a.form, b.form))
+	out, err := f.registry.Convert(r, min(a.form, b.form))
 	if err != nil {
 		panic(err)
 	}
@@ -435,7 +435,7 @@
 }
 
 func runCallFleet(seed uint64, calls int, every time.Duration, loss float64, mixed bool) *callFleet {
-	f := &callFleet{rng: rand.New(rand.NewPCG(seed, 7)), loss: loss, mixed: mixed, book: newBook(), answers: map[string]int{}}
+	f := &callFleet{rng: rand.New(rand.NewPCG(seed, 7)), loss: loss, mixed: mixed, registry: newRegistry(), answers: map[string]int{}}
 	f.groups = [2]map[int]string{{}, {}}
 	for i := range 5 {
 		n := &callNode{name: fmt.Sprint("m", i), off: f.between(-Skew/2, Skew/2)}
--- a/share/fleet_test.go
+++ b/share/fleet_test.go
@@ -17,9 +17,9 @@
 	round    time.Duration
 	loss     float64
 	members  []*useMember
-	now      time.Duration // since the start
-	inFlight [16][]useWord // by the round in which they arrive
-	admitted []float64     // by round
+	now      time.Duration    // since the start
+	inFlight [16][]useMessage // by the round in which they arrive
+	admitted []float64        // by round
 	asked    []float64
 }
 
@@ -35,7 +35,7 @@
 	n        int  // the fleet size that this member uses
 }
 
-type useWord struct {
+type useMessage struct {
 	to   int
 	from int
 	recs []schema.Record
@@ -128,7 +128,7 @@
 			if f.rng.IntN(50) == 0 {
 				in = 1 + f.rng.IntN(int(time.Second/f.round))
 			}
-			f.inFlight[(at+in)%len(f.inFlight)] = append(f.inFlight[(at+in)%len(f.inFlight)], useWord{to: j, from: i, recs: recs})
+			f.inFlight[(at+in)%len(f.inFlight)] = append(f.inFlight[(at+in)%len(f.inFlight)], useMessage{to: j, from: i, recs: recs})
 		}
 	}
 }
--- a/share/forms.go
+++ b/share/forms.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func newBook() *schema.Registry {
+func newRegistry() *schema.Registry {
 	b := &schema.Registry{}
 	if err := Register(b); err != nil {
 		panic(err) // an error in Forms: every test triggers it
--- a/share/forms_test.go
+++ b/share/forms_test.go
@@ -68,23 +68,23 @@
 // Guards against conversions between forms that lose counts or marks. For every pair of forms, converting a merge up must equal
 // merging the converted records, a conversion down and up may lose only what is declared, and no count or mark may fall.
 func TestFormConversionsKeepCountsAndMarks(t *testing.T) {
-	book := newBook()
+	registry := newRegistry()
 	for _, draw := range []func(*rapid.T, uint16, string) schema.Record{drawUse, drawSession} {
 		for x := uint16(1); x <= 3; x++ {
 			for y := uint16(1); y <= 3; y++ {
 				rapid.Check(t, func(t *rapid.T) {
 					rx, ry := draw(t, x, "x"), draw(t, y, "y")
-					if err := book.CheckLaws(rx, ry); err != nil {
+					if err := registry.CheckLaws(rx, ry); err != nil {
 						t.Fatal(err)
 					}
 					// The same for records that an old release stores after a newer one sent them.
 					low := uint16(rapid.IntRange(1, int(min(x, y))).Draw(t, "low"))
-					dx, err := book.Convert(rx, low)
+					dx, err := registry.Convert(rx, low)
 					if err != nil {
 						t.Fatal(err)
 					}
-					dy, _ := book.Convert(ry, low)
-					if err := book.CheckLaws(dx, dy); err != nil {
+					dy, _ := registry.Convert(ry, low)
+					if err := registry.CheckLaws(dx, dy); err != nil {
 						t.Fatal(err)
 					}
 				})
@@ -106,7 +106,7 @@
 		t.Errorf("total: %+v", n)
 	}
 	for _, r := range u.All(now, nil) {
-		back, err := u.book.Convert(r, 1)
+		back, err := u.registry.Convert(r, 1)
 		if err != nil || !schema.Equal(back, old) {
 			t.Errorf("back: %v, %v; want %v", back, err, old)
 		}
@@ -118,19 +118,19 @@
 func TestOldReleasePassesOnUnknownFields(t *testing.T) {
 	now := at(0)
 	for form := uint16(1); form <= 3; form++ {
-		book := newBook()
+		registry := newRegistry()
 		a, old, b := NewUse(UseConfig{Self: Member{"a", 1}}), NewUse(UseConfig{Self: Member{"o", 1}, Form: form}), NewUse(UseConfig{Self: Member{"b", 1}})
 		a.CountRequests(now, "shop", "order", 5, 4)
 		a.CountWork(now, "shop", "order", 2)
 		for _, r := range a.Own(now, nil) {
-			down, err := book.Convert(r, form)
+			down, err := registry.Convert(r, form)
 			if err != nil {
 				t.Fatal(err)
 			}
 			old.Merge(now, down)
 		}
 		for _, r := range old.All(now, nil) {
-			down, _ := book.Convert(r, form)
+			down, _ := registry.Convert(r, form)
 			b.Merge(now, down)
 		}
 		if got, want := fmt.Sprint(b.Total(now, "shop", "order")), "{4 4 2}"; got != want {
@@ -141,13 +141,13 @@
 		key := KeyOf("shop", []byte("cookie"))
 		x.Lookup(now, Query{Key: key, Call: 1, Effect: Unsafe})
 		m := x.End(now, AttemptOutcome{Key: key, Call: 1, State: Answered, Answer: "placed"})
-		down, err := book.Convert(m.Record, form)
+		down, err := registry.Convert(m.Record, form)
 		if err != nil {
 			t.Fatal(err)
 		}
 		o.Merge(now, down)
 		for _, r := range o.AppendRecords(now, Range{Part: PartOf(key)}, nil) {
-			down, _ = book.Convert(r, form)
+			down, _ = registry.Convert(r, form)
 			y.Merge(now, down)
 		}
 		if d := y.Lookup(now, Query{Key: key, Call: 1, Effect: Unsafe, Repeat: true}); d.What != Known || d.Answer != "placed" {
--- a/share/session.go
+++ b/share/session.go
@@ -36,7 +36,7 @@
 // Sessions is one shard of the session table.
 type Sessions struct {
 	cfg         SessionsConfig
-	book        *schema.Registry
+	registry    *schema.Registry
 	ring        *Ring
 	minority    bool
 	parts       [Parts]*part
@@ -138,7 +138,7 @@
 	cfg.Bytes = cmp.Or(cfg.Bytes, 64<<20)
 	cfg.Calls = cmp.Or(cfg.Calls, 16)
 	cfg.Form = cmp.Or(cfg.Form, NewestSession)
-	return &Sessions{cfg: cfg, book: newBook(), unsureUntil: map[Part]time.Duration{}, earlyParts: map[Part]time.Duration{}, reporters: map[Member]*reporter{}, pending: map[callKey]*pending{}, unacked: map[callKey]*unacked{}, interned: map[string]string{}}
+	return &Sessions{cfg: cfg, registry: newRegistry(), unsureUntil: map[Part]time.Duration{}, earlyParts: map[Part]time.Duration{}, reporters: map[Member]*reporter{}, pending: map[callKey]*pending{}, unacked: map[callKey]*unacked{}, interned: map[string]string{}}
 }
 
 func wallMillis(now Now) int64 { return now.Wall.Milliseconds() }
--- a/share/session_test.go
+++ b/share/session_test.go
@@ -343,7 +343,7 @@
 // Records of a session must merge in any order, whole or in older forms. No mark may be forgotten, and members with the same
 // records must give the same reply and digest.
 func TestSessionsMerge(t *testing.T) {
-	book := newBook()
+	registry := newRegistry()
 	rapid.Check(t, func(t *rapid.T) {
 		var all []schema.Record
 		stamps := map[string]uint64{}
@@ -378,7 +378,7 @@
 		for i, r := range all {
 			a.Merge(at(0), r)
 			if joined = r; i > 0 {
-				joined, _ = book.Merge(all[0], r)
+				joined, _ = registry.Merge(all[0], r)
 				all[0] = joined
 			}
 		}
@@ -389,7 +389,7 @@
 		for _, i := range rapid.Permutation(order).Draw(t, "order") {
 			r := all[i]
 			if rapid.Bool().Draw(t, "old") {
-				r, _ = book.Convert(r, 2) // form 2 keeps all fields
+				r, _ = registry.Convert(r, 2) // form 2 keeps all fields
 			}
 			b.Merge(at(0), r)
 			b.Merge(at(0), r)
--- a/share/sessrec.go
+++ b/share/sessrec.go
@@ -293,7 +293,7 @@
 		}
 	}
 	if s.unknown != nil {
-		if all, err := t.book.Merge(r, *s.unknown); err == nil {
+		if all, err := t.registry.Merge(r, *s.unknown); err == nil {
 			r = all
 		}
 	}
@@ -320,7 +320,7 @@
 	if r.Kind != schema.Session || len(r.Key) != len(Key{}) {
 		return false, fmt.Errorf("share: sessions: %s with a key of %d bytes: not a session", r.Kind, len(r.Key))
 	}
-	if r, err = t.book.Convert(r, NewestSession); err != nil {
+	if r, err = t.registry.Convert(r, NewestSession); err != nil {
 		return false, fmt.Errorf("share: sessions: %w", err)
 	}
 	if len(r.Fields) == 0 {
@@ -461,7 +461,7 @@
 func (t *Sessions) keepUnknown(now Now, s *session, fields []schema.Field) (changed bool, err error) {
 	r := schema.Record{Kind: schema.Session, Schema: NewestSession, Key: string(s.key[:]), Fields: fields}
 	if s.unknown != nil {
-		if r, err = t.book.Merge(*s.unknown, r); err != nil {
+		if r, err = t.registry.Merge(*s.unknown, r); err != nil {
 			return false, fmt.Errorf("share: sessions: %w", err)
 		}
 		if schema.Equal(r, *s.unknown) {
--- a/share/use.go
+++ b/share/use.go
@@ -46,7 +46,7 @@
 // Use is one shard of the table, by a hash of the tenant.
 type Use struct {
 	cfg      UseConfig
-	book     *schema.Registry
+	registry *schema.Registry
 	tenants  map[string]*tenant
 	members  map[Member]*member
 	view     view
@@ -111,7 +111,7 @@
 	cfg.Classes = cmp.Or(cfg.Classes, 16)
 	cfg.MaxUnknownFields = cmp.Or(cfg.MaxUnknownFields, 256)
 	cfg.Form = cmp.Or(cfg.Form, NewestUse)
-	return &Use{cfg: cfg, book: newBook(), tenants: map[string]*tenant{}, members: map[Member]*member{}, interned: map[string]string{"": ""}}
+	return &Use{cfg: cfg, registry: newRegistry(), tenants: map[string]*tenant{}, members: map[Member]*member{}, interned: map[string]string{"": ""}}
 }
 
 // SetLimit sets a tenant's limit and plan. A tenant without a limit is counted all the same.
--- a/share/use_test.go
+++ b/share/use_test.go
@@ -14,7 +14,7 @@
 // Guards against lost or doubled counts. Members exchange records in random forms, and messages are lost, late, doubled and out
 // of order. No member may ever see a count fall, or more than was counted; after a full exchange all must have the exact count.
 func TestUseIsNeitherLostNorDoubled(t *testing.T) {
-	book := newBook()
+	registry := newRegistry()
 	rapid.Check(t, func(t *rapid.T) {
 		members := make([]*Use, 3)
 		for i := range members {
@@ -39,7 +39,7 @@
 				if len(flight) > 0 { // stays in flight: it may arrive again
 					r := flight[rapid.IntRange(0, len(flight)-1).Draw(t, "message")]
 					if form := uint16(rapid.IntRange(1, 3).Draw(t, "form")); form < 3 {
-						r, _ = book.Convert(r, form)
+						r, _ = registry.Convert(r, form)
 					}
 					if err := u.Merge(now, r); err != nil {
 						t.Fatal(err)
@@ -171,19 +171,19 @@
 func TestAllowanceMovesToFairPartWhenOthersAreSilent(t *testing.T) {
 	u, b := NewUse(UseConfig{Self: Member{"a", 1}}), NewUse(UseConfig{Self: Member{"b", 1}})
 	u.SetLimit(at(0), "shop", Limit{Requests: 100})
-	said := time.Duration(0)
+	reportedAt := time.Duration(0)
 	var parts []string
 	for s := range 18 {
 		now := at(time.Duration(s) * Window)
 		u.CountRequests(now, "shop", "", 10, 10)
 		b.CountRequests(now, "shop", "", 90, 90)
 		if s < 10 {
-			said = now.Own
+			reportedAt = now.Own
 			for _, r := range b.Own(now, nil) {
 				u.Merge(now, r)
 			}
 		}
-		u.View(now, View{N: 2, Members: []MemberAge{{Member: Member{"b", 1}, Age: now.Own - said}}})
+		u.View(now, View{N: 2, Members: []MemberAge{{Member: Member{"b", 1}, Age: now.Own - reportedAt}}})
 		parts = append(parts, fmt.Sprintf("%.2f", u.Allowance(now, "shop").Part))
 	}
 	// The other member counts after four seconds, and until its last beat is two seconds old. Then less and less of what it had
@@ -262,7 +262,7 @@
 			t.Errorf("part of %d bytes", p.Size())
 		}
 		if sum = p; i > 0 {
-			sum, _ = u.book.Merge(parts[0], p)
+			sum, _ = u.registry.Merge(parts[0], p)
 			parts[0] = sum
 		}
 	}
--- a/share/userec.go
+++ b/share/userec.go
@@ -61,7 +61,7 @@
 	}
 	slices.SortFunc(r.Fields, compareFields)
 	if t.unknown != nil && len(r.Fields) > 0 {
-		if all, err := u.book.Merge(r, *t.unknown); err == nil {
+		if all, err := u.registry.Merge(r, *t.unknown); err == nil {
 			r = all
 		}
 	}
@@ -127,7 +127,7 @@
 	if r.Kind != schema.Use || r.Key == beatKey {
 		return fmt.Errorf("share: use: %s %q: not a tenant's use", r.Kind, r.Key)
 	}
-	r, err := u.book.Convert(r, NewestUse)
+	r, err := u.registry.Convert(r, NewestUse)
 	if err != nil {
 		return fmt.Errorf("share: use: %w", err)
 	}
@@ -261,7 +261,7 @@
 	r := schema.Record{Kind: schema.Use, Schema: NewestUse, Key: key, Fields: fields}
 	if t.unknown != nil {
 		var err error
-		if r, err = u.book.Merge(*t.unknown, r); err != nil {
+		if r, err = u.registry.Merge(*t.unknown, r); err != nil {
 			return fmt.Errorf("share: use: %w", err)
 		}
 	}
