--- a/schema/law.go
+++ b/schema/formrules.go
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// lostNums returns the Nums that the steps between two schemas declare lostNums, in both directions.
+// lostNums returns the Nums that the steps between two schemas declare lost, in both directions.
 func (b *Registry) lostNums(k Kind, s, t uint16) []uint32 {
 	var nums []uint32
 	for n := min(s, t) + 1; n <= max(s, t); n++ {
@@ -219,7 +219,7 @@
 func (b *Registry) loweredTotal(from, to Record) (name string, was, is uint64, ok bool) {
 	after := b.Totals(to)
 	for name, was := range b.Totals(from) {
-		if is, told := after[name]; (told || from.Schema == to.Schema) && is < was {
+		if is, found := after[name]; (found || from.Schema == to.Schema) && is < was {
 			return name, was, is, false
 		}
 	}
--- a/share/forms.go
+++ b/share/forms.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Register adds the forms to a book.
+// Register adds the forms to a registry.
 func Register(b *schema.Registry) error {
 	for _, f := range Forms() {
 		if err := b.Register(f); err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func newBook() *schema.Registry {
+func newRegistry() *schema.Registry {
 	b := &schema.Registry{}
 	if err := Register(b); err != nil {
 		panic(err) // an error in Forms: every test triggers it
--- a/share/session.go
+++ b/share/session.go
@@ -26,7 +26,7 @@
 	Self          Member
 	Shard, Shards int           // it holds the keys of the parts p with p%Shards == Shard. 0, 0: all
 	Wait          time.Duration // longest wait for owners. 0: 50 ms
-	MarkFor       time.Duration // the longest Query.Keep: an owner that can receive marks from nobody is sure after this time. 0: a minute
+	MarkFor       time.Duration // the longest Query.Keep: an owner that no instance can send marks to is sure after this time. 0: a minute
 	Sessions      int           // 100,000
 	Bytes         int           // of answers and of unknown fields: 64 MiB
 	Calls         int           // of one session: 16
@@ -36,7 +36,7 @@
 // Sessions is one shard of the session table.
 type Sessions struct {
 	cfg         SessionsConfig
-	book        *schema.Registry
+	registry    *schema.Registry
 	ring        *Ring
 	minority    bool
 	parts       [Parts]*part
@@ -138,7 +138,7 @@
 	cfg.Bytes = cmp.Or(cfg.Bytes, 64<<20)
 	cfg.Calls = cmp.Or(cfg.Calls, 16)
 	cfg.Form = cmp.Or(cfg.Form, NewestSession)
-	return &Sessions{cfg: cfg, book: newBook(), unsureUntil: map[Part]time.Duration{}, earlyParts: map[Part]time.Duration{}, reporters: map[Member]*reporter{}, pending: map[callKey]*pending{}, unacked: map[callKey]*unacked{}, interned: map[string]string{}}
+	return &Sessions{cfg: cfg, registry: newRegistry(), unsureUntil: map[Part]time.Duration{}, earlyParts: map[Part]time.Duration{}, reporters: map[Member]*reporter{}, pending: map[callKey]*pending{}, unacked: map[callKey]*unacked{}, interned: map[string]string{}}
 }
 
 func wallMillis(now Now) int64 { return now.Wall.Milliseconds() }
@@ -160,7 +160,7 @@
 			t.stats.FailedWithReason++
 			return Decision{What: Unsure, Cause: UnderWay}
 		}
-		delete(t.pending, k) // abandoned without Decide or End. Its mark stands: this instance can't know that it never ran
+		delete(t.pending, k) // abandoned without Decide or End. Its mark stands: this instance has no proof that it never ran
 	}
 	f := t.collectFacts(now, s, q.Call, nil)
 	own := t.ownCall(s, q.Call)
