--- a/detect/example_test.go
+++ b/detect/example_test.go
@@ -21,7 +21,7 @@
 			case detect.Send, detect.Exchange:
 				handle(now, a.Addr, detect.Event{Kind: detect.Received, From: at, Message: a.Message})
 			case detect.Changed:
-				fmt.Printf("%s: %s is %s: %s\n", at, a.Word.Name, a.Word.State, a.Cause)
+				fmt.Printf("%s: %s is %s: %s\n", at, a.Update.Name, a.Update.State, a.Cause)
 			}
 		}
 	}
--- a/detect/faults_test.go
+++ b/detect/faults_test.go
@@ -24,16 +24,16 @@
 		if processes[at] != at.process || starts[at] == nil {
 			starts[at], processes[at] = map[string]uint64{}, at.process
 		}
-		if a.Word.State == Forgotten {
-			delete(starts[at], a.Word.Name)
+		if a.Update.State == Forgotten {
+			delete(starts[at], a.Update.Name)
 			return
 		}
-		if a.Word.Start < starts[at][a.Word.Name] {
-			t.Errorf("seed %d, %s: %s: an old start of %s replaced a later one", s.seed, s.now, at.name, a.Word.Name)
+		if a.Update.Start < starts[at][a.Update.Name] {
+			t.Errorf("seed %d, %s: %s: an old start of %s replaced a later one", s.seed, s.now, at.name, a.Update.Name)
 		}
-		starts[at][a.Word.Name] = a.Word.Start
-		of := s.byAddr[a.Word.Addr]
-		if a.Word.State == Dead && of.up && of.d().Self().ID == a.Word.ID && !excused(at, of) {
+		starts[at][a.Update.Name] = a.Update.Start
+		of := s.byAddr[a.Update.Addr]
+		if a.Update.State == Dead && of.up && of.d().Self().ID == a.Update.ID && !excused(at, of) {
 			t.Errorf("seed %d, %s: %s reports %s dead, which is alive: %s", s.seed, s.now, at.name, of.name, a.Cause)
 		}
 	}
@@ -139,8 +139,8 @@
 			messages[a.Addr]++
 		case a.Kind == Exchange && s.now < time.Second:
 			streams[a.Addr]++
-		case a.Kind == Changed && a.Word.State == Suspect:
-			t.Errorf("%s: %s suspects %s: %s", s.now, at.name, a.Word.Name, a.Cause)
+		case a.Kind == Changed && a.Update.State == Suspect:
+			t.Errorf("%s: %s suspects %s: %s", s.now, at.name, a.Update.Name, a.Cause)
 		}
 	}
 	s.fleet(300, newDetectFunc(nil))
--- a/detect/links.go
+++ b/detect/links.go
@@ -51,9 +51,9 @@
 	case m.isInboundFailed && m.isOutboundFailed:
 		return Severed
 	case m.isInboundFailed:
-		return Unheard
+		return InboundFailed
 	case m.isOutboundFailed:
-		return Deaf
+		return OutboundFailed
 	}
 	return Sound
 }
--- a/detect/links_test.go
+++ b/detect/links_test.go
@@ -27,7 +27,7 @@
 		d.handleMessage(now, Message{Kind: Answer, From: Update{ID: ID{"c", 1}, Addr: "c:1"}, Links: []LinkUpdate{{From: from, To: to, Seq: num, Deaf: deaf}}})
 	}
 	receiveLinkUpdate(0, "self", "a", 1, true)
-	if d.members["a"].link() != Deaf {
+	if d.members["a"].link() != OutboundFailed {
 		t.Fatal("the link to a is not deaf after its update")
 	}
 	receiveLinkUpdate(0, "self", "a", 3, false)
--- a/detect/measure_test.go
+++ b/detect/measure_test.go
@@ -35,7 +35,7 @@
 		h.lastReceivedAt[i] = now
 		if h.dead[i] {
 			h.dead[i] = false
-			out = append(out, Action{Kind: Changed, Word: h.all[i], Old: Dead})
+			out = append(out, Action{Kind: Changed, Update: h.all[i], Old: Dead})
 		}
 		return out
 	}
@@ -52,7 +52,7 @@
 		if !h.dead[i] && now-h.lastReceivedAt[i] > 5*time.Second {
 			h.dead[i] = true
 			w.State = Dead
-			out = append(out, Action{Kind: Changed, Word: w, Old: Alive})
+			out = append(out, Action{Kind: Changed, Update: w, Old: Alive})
 		}
 	}
 	return out
@@ -133,7 +133,7 @@
 						at := s.now
 						seen := map[string]time.Duration{}
 						s.onChange = func(n *simNode, a Action) {
-							if a.Word.Name == dead.name && a.Word.State == Dead {
+							if a.Update.Name == dead.name && a.Update.State == Dead {
 								seen[n.name] = s.now - at
 							}
 						}
@@ -216,9 +216,9 @@
 	began := map[string]time.Duration{} // deaths that are not yet taken back everywhere
 	holders := map[string]map[string]bool{}
 	s.onChange = func(at *simNode, a Action) {
-		name := a.Word.Name
+		name := a.Update.Name
 		switch {
-		case a.Word.State == Dead:
+		case a.Update.State == Dead:
 			if _, ok := began[name]; !ok {
 				deaths++
 				began[name] = s.now
@@ -226,10 +226,10 @@
 			}
 			observed++
 			holders[name][at.name] = true
-		case a.Word.State == Suspect:
+		case a.Update.State == Suspect:
 			suspects++
 		}
-		if a.Old == Dead && a.Word.State != Dead && holders[name] != nil {
+		if a.Old == Dead && a.Update.State != Dead && holders[name] != nil {
 			delete(holders[name], at.name)
 			if len(holders[name]) == 0 {
 				back = append(back, s.now-began[name])
--- a/detect/members.go
+++ b/detect/members.go
@@ -192,7 +192,7 @@
 }
 
 func (d *Detect) reportChange(m *member, old State, cause string) {
-	d.act(Action{Kind: Changed, Word: m.currentUpdate(d.now), Old: old, Cause: cause})
+	d.act(Action{Kind: Changed, Update: m.currentUpdate(d.now), Old: old, Cause: cause})
 }
 
 // setTimer sets the timer of a member by its state.
--- a/detect/script_test.go
+++ b/detect/script_test.go
@@ -60,9 +60,9 @@
 	var change string
 	switch a.Kind {
 	case Changed:
-		change = fmt.Sprintf("%s: %s -> %s", a.Word.Name, a.Old, a.Word.State)
-		if a.Old == a.Word.State {
-			change = a.Word.Name + ": " + a.Cause
+		change = fmt.Sprintf("%s: %s -> %s", a.Update.Name, a.Old, a.Update.State)
+		if a.Old == a.Update.State {
+			change = a.Update.Name + ": " + a.Cause
 		}
 	case CutOff:
 		if change = "cut off, " + a.Cause; !a.IsCutOff {
--- a/detect/types.go
+++ b/detect/types.go
@@ -132,7 +132,7 @@
 	Kind     ActionKind
 	Addr     string
 	Message  Message
-	Word     Update
+	Update   Update
 	Old      State
 	Cause    string
 	IsCutOff bool
@@ -145,10 +145,10 @@
 
 // States of a link. In each of them other members receive messages of the member.
 const (
-	Sound   LinkState = iota
-	Unheard           // this process receives none of its messages
-	Deaf              // it reports that it receives none of this process's messages
-	Severed           // both directions fail
+	Sound          LinkState = iota
+	InboundFailed            // this process receives none of its messages
+	OutboundFailed           // it reports that it receives none of this process's messages
+	Severed                  // both directions fail
 )
 
 func (l LinkState) String() string {
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -79,8 +79,8 @@
 		case detect.Send, detect.Exchange:
 			continue
 		case detect.Changed:
-			if m.since[a.Word.Name] = now; a.Word.State == detect.Forgotten {
-				delete(m.since, a.Word.Name)
+			if m.since[a.Update.Name] = now; a.Update.State == detect.Forgotten {
+				delete(m.since, a.Update.Name)
 			}
 		case detect.CutOff:
 			m.cutOff, m.cause = a.IsCutOff, a.Cause
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -81,11 +81,11 @@
 	switch a.Kind {
 	case detect.Changed:
 		level := slog.LevelInfo
-		if a.Word.State == detect.Suspect || a.Word.State == detect.Dead {
+		if a.Update.State == detect.Suspect || a.Update.State == detect.Dead {
 			level = slog.LevelWarn
 		}
-		c.log.Log(context.Background(), level, "fleet: member", "member", a.Word.Name, "state", a.Word.State.String(), "was", a.Old.String(),
-			"cause", a.Cause, "by", a.Word.By, "start", a.Word.Start, "address", a.Word.Addr)
+		c.log.Log(context.Background(), level, "fleet: member", "member", a.Update.Name, "state", a.Update.State.String(), "was", a.Old.String(),
+			"cause", a.Cause, "by", a.Update.By, "start", a.Update.Start, "address", a.Update.Addr)
 	case detect.CutOff:
 		if a.IsCutOff {
 			c.log.Warn("fleet: cut off: this process acts as one that stands alone", "cause", a.Cause)
--- a/schema/formrules.go
+++ b/schema/formrules.go
@@ -18,7 +18,7 @@
 	{Num: afterNum - 1, Sub: "strange", Text: []byte("y")},
 }
 
-// CheckLaws checks the laws of forms on two records of one kind and key. It returns nil, or an error that names the violated law:
+// CheckFormRules checks the laws of forms on two records of one kind and key. It returns nil, or an error that names the violated law:
 //
 //   - A merge is commutative and idempotent, and preserves its inputs.
 //   - up(merge(x, y)) = merge(up x, up y), for each step and for all of them together.
@@ -30,7 +30,7 @@
 //
 // The two records may have different schemas. They must be a pair that can coexist in a fleet: of two values of one writer's counter, for
 // example, one is the later.
-func (b *Registry) CheckLaws(x, y Record) error {
+func (b *Registry) CheckFormRules(x, y Record) error {
 	at := max(x.Schema, y.Schema)
 	merged, err := b.Merge(x, y)
 	if err != nil {
--- a/schema/formrules_test.go
+++ b/schema/formrules_test.go
@@ -137,14 +137,14 @@
 func TestFormRulesHoldForRandomForms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawFormChain(t)
-		if err := c.registry.CheckLaws(c.draw(t, "x"), c.draw(t, "y")); err != nil {
+		if err := c.registry.CheckFormRules(c.draw(t, "x"), c.draw(t, "y")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// CheckLaws detects forms with typical mistakes. Without this test a check in CheckLaws that never fails would stay unnoticed.
-func TestCheckLawsDetectsWrongForms(t *testing.T) {
+// CheckFormRules detects forms with typical mistakes. Without this test a check in CheckFormRules that never fails would stay unnoticed.
+func TestCheckFormRulesDetectsWrongForms(t *testing.T) {
 	count := func(sub string, n uint64) Field { return Field{Num: 1000, Sub: sub, Int: n} }
 	// A release that counts by class splits the total on the way up and sums it again on the way down.
 	apart := func(r Record) (Record, error) { return moveFields(1000, 1002, identity)(r) }
@@ -218,7 +218,7 @@
 			x, y := x.Clone(), y.Clone()
 			x.Fields[2].Text = []byte("x")
 			x.Schema, y.Schema = at, at
-			if err := b.CheckLaws(x, y); err != nil {
+			if err := b.CheckFormRules(x, y); err != nil {
 				seen = append(seen, err.Error())
 			}
 		}
--- a/schema/types.go
+++ b/schema/types.go
@@ -147,7 +147,7 @@
 // Do keeps every Num that it does not handle. A nil Do changes no field. That is enough for a step that only adds a field, because the
 // earlier form keeps the field without defining it.
 //
-// The laws (see Registry.CheckLaws) have two consequences. A default has to be the smallest value of its join. A total that is split on the way up,
+// The form rules (see Registry.CheckFormRules) have two consequences. A default has to be the smallest value of its join. A total that is split on the way up,
 // or summed on the way down, is counted twice when the converted record is merged with the original. So a total keeps one Num in all
 // forms, and its parts are stored beside it.
 type Step struct {
--- a/share/forms_test.go
+++ b/share/forms_test.go
@@ -74,7 +74,7 @@
 			for y := uint16(1); y <= 3; y++ {
 				rapid.Check(t, func(t *rapid.T) {
 					rx, ry := draw(t, x, "x"), draw(t, y, "y")
-					if err := registry.CheckLaws(rx, ry); err != nil {
+					if err := registry.CheckFormRules(rx, ry); err != nil {
 						t.Fatal(err)
 					}
 					// The same for records that an old release stores after a newer one sent them.
@@ -84,7 +84,7 @@
 						t.Fatal(err)
 					}
 					dy, _ := registry.Convert(ry, low)
-					if err := registry.CheckLaws(dx, dy); err != nil {
+					if err := registry.CheckFormRules(dx, dy); err != nil {
 						t.Fatal(err)
 					}
 				})
