--- a/check/check.go
+++ b/check/check.go
@@ -13,7 +13,7 @@
 
 // Config holds the settings of the checks of a pool.
 type Config struct {
-	Every  time.Duration // interval between two checks of a backend; 0: EveryDefault
+	Every  time.Duration // interval between two checks of a backend; 0: DefaultEvery
 	Rise   int           // consecutive successes after which a backend that is down is up; 0: DefaultRise
 	Fall   int           // consecutive failures after which a backend that is up is down; 0: DefaultFall
 	AtOnce int           // maximum number of concurrent checks; 0: DefaultAtOnce
--- a/glencartgrpc/compare_test.go
+++ b/glencartgrpc/compare_test.go
@@ -38,7 +38,7 @@
 var fleetRules = fleet.Rules{ColdShare: .12, WarmWithin: 4 * time.Second, FallMultiple: 3, OverloadFor: 500 * time.Millisecond,
 	DrainGrace: 500 * time.Millisecond}
 
-// The daemon's clients allow this long; the node keeps node.Early of it for the ways, and the plug-in has no such way.
+// The daemon's clients allow this long; the node keeps node.DeadlineMargin of it for the ways, and the plug-in has no such way.
 const fleetDeadline = time.Second - node.DeadlineMargin
 
 var fleetMethods = map[string]string{"/f.F/read": "read", "/f.F/place": "place", "/f.F/key": "key"}
--- a/internal/cluster/pressure.go
+++ b/internal/cluster/pressure.go
@@ -142,7 +142,7 @@
 	g.shed.Tally(int(took>>10)).Note(m, o, took)
 }
 
-// ticks has the level made and told once in shed.EveryDefault, until there are no plans or Close.
+// ticks has the level made and told once in shed.DefaultInterval, until there are no plans or Close.
 func (p *Pressure) ticks() {
 	t := time.NewTicker(shed.DefaultInterval)
 	defer t.Stop()
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -20,8 +20,8 @@
 	"glencart/internal/standin"
 )
 
-// newTestExchanges returns exchanges with a connection pool of their own.
-func newTestExchanges(t *testing.T) *transport {
+// newTestTransport returns a transport with a connection pool of its own.
+func newTestTransport(t *testing.T) *transport {
 	p := newPool(16, 2*time.Second, 5*time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.run(ctx)
@@ -61,7 +61,7 @@
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 	if r := attemptOnce(t, x, to, getMessage("first")); r.Status != balance.Delivered || string(replyOf(r.Body).body) != "x" {
 		t.Fatalf("first attempt: %v", r)
 	}
@@ -108,7 +108,7 @@
 					io.WriteString(c, tc.answer)
 				}
 			})
-			r := attemptOnce(t, newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}, getMessage("id"))
+			r := attemptOnce(t, newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}, getMessage("id"))
 			if r.Status != tc.want || string(replyOf(r.Body).body) != tc.body {
 				t.Errorf("status %v with %d bytes, want %v with %d", r.Status, len(replyOf(r.Body).body), tc.want, len(tc.body))
 			}
@@ -120,7 +120,7 @@
 // DialFailed would keep a request that must not run twice from being sent to another backend.
 func TestUnsentRequestIsDialFailed(t *testing.T) {
 	addr := standin.ReserveAddr(t)
-	if r := attemptOnce(t, newTestExchanges(t), engine.Endpoint{Addr: addr}, getMessage("refused")); r.Status != balance.DialFailed {
+	if r := attemptOnce(t, newTestTransport(t), engine.Endpoint{Addr: addr}, getMessage("refused")); r.Status != balance.DialFailed {
 		t.Errorf("refused connection: status %v, want DialFailed", r.Status)
 	}
 
@@ -145,7 +145,7 @@
 		io.ReadFull(c, make([]byte, 1000))
 		resetConn(c)
 	}()
-	x := newTestExchanges(t)
+	x := newTestTransport(t)
 	x.pool.dialer.Control = smallBuffers
 	m := getMessage("partial")
 	m.method, m.body = "POST", make([]byte, maxBufferedBodyBytes)
@@ -160,7 +160,7 @@
 	conns := make(chan net.Conn, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
-	x, to := newTestExchanges(t), engine.Endpoint{Addr: addr}
+	x, to := newTestTransport(t), engine.Endpoint{Addr: addr}
 	if r := attemptOnce(t, x, to, getMessage("old")); r.Status != balance.Delivered {
 		t.Fatalf("first attempt: status %v", r.Status)
 	}
@@ -176,7 +176,7 @@
 // connection fails, and may have run.
 func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(*http.Request) string { return ok200("x") }))
-	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 	for i := range 2 {
 		if r := attemptOnce(t, x, to, getMessage(fmt.Sprint(i))); r.Status != balance.Delivered {
 			t.Fatalf("first attempt: status %v", r.Status)
@@ -201,7 +201,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
 	}))
-	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
 		if r := attemptOnce(t, x, to, getMessage(id)); r.Status != balance.Delivered || string(replyOf(r.Body).body) != id {
 			t.Errorf("attempt %s: status %v, body %q", id, r.Status, replyOf(r.Body).body)
@@ -221,7 +221,7 @@
 			ended <- struct{}{}
 		}
 	})
-	x, done := newTestExchanges(t), make(chan engine.Result, 2)
+	x, done := newTestTransport(t), make(chan engine.Result, 2)
 	c := x.attempt(engine.Endpoint{Addr: b.Addr().String()}, getMessage("id"), time.Now().Add(testTimeout), func(r engine.Result) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
@@ -241,7 +241,7 @@
 func TestPoolIsBounded(t *testing.T) {
 	serve := serveAnswers(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-	x := newTestExchanges(t)
+	x := newTestTransport(t)
 	x.pool.maxConns = 1
 	for _, l := range []*rawBackend{a, b} {
 		if r := attemptOnce(t, x, engine.Endpoint{Addr: l.Addr().String()}, getMessage("id")); r.Status != balance.Delivered {
@@ -284,7 +284,7 @@
 		}
 		return ok200(body)
 	}))
-	x, done := newTestExchanges(t), make(chan engine.Result, 1)
+	x, done := newTestTransport(t), make(chan engine.Result, 1)
 	x.Probe(engine.Endpoint{Addr: b.Addr().String()}, func(r engine.Result) { done <- r })
 	if r := receive(t, "the probe", done); r.Status != balance.Delivered || r.Load.Active != 7 || r.Load.CPU != 0.5 {
 		t.Errorf("probe: %+v", r)
--- a/internal/node/bodies.go
+++ b/internal/node/bodies.go
@@ -15,7 +15,7 @@
 	"glencart/internal/engine"
 )
 
-// This file handles bodies and answers of over bodyMost bytes. They are held in pieces while there is room, and
+// This file handles bodies and answers of over maxBufferedBodyBytes bytes. They are held in pieces while there is room, and
 // passed on as they arrive otherwise.
 
 const (
@@ -38,7 +38,7 @@
 	errClient         = errors.New("client connection failed")
 )
 
-// budget bounds the bytes of all bodies that are held beyond their first bodyMost bytes.
+// budget bounds the bytes of all bodies that are held beyond their first maxBufferedBodyBytes bytes.
 type budget struct{ available atomic.Int64 }
 
 // take reserves n bytes. It reports whether so many are left.
--- a/internal/node/bounds.go
+++ b/internal/node/bounds.go
@@ -32,7 +32,7 @@
 	// heapTenths is the share of the memory for the garbage collector's limit, in tenths. The rest is for
 	// stacks, the runtime and socket buffers.
 	heapTenths = 7
-	// heldBodiesDivisor sets the memory for all bodies over bodyMost together: one part in heldBodiesDivisor of
+	// heldBodiesDivisor sets the memory for all bodies over maxBufferedBodyBytes together: one part in heldBodiesDivisor of
 	// the memory.
 	heldBodiesDivisor = 4
 	// minDerivedBound is the minimum of a bound that depends on the number of nodes or backends.
@@ -52,7 +52,7 @@
 	clients, backends                     int   // connections
 	requests                              int   // open requests
 	discoveryCalls                        int   // calls to discovery
-	heapBytes, heldBytes                  int64 // bytes: memory limit of the garbage collector, and of bodies over bodyMost
+	heapBytes, heldBytes                  int64 // bytes: memory limit of the garbage collector, and of bodies over maxBufferedBodyBytes
 	maxQueuedMessages, maxQueuedDatagrams int   // messages of peers queued for the loop, and datagrams queued for sending
 }
 
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -55,7 +55,7 @@
 type front struct {
 	loop              *engine.Engine
 	settings          atomic.Pointer[activeSettings]
-	bodyBudget        budget       // for bodies over bodyMost
+	bodyBudget        budget       // for bodies over maxBufferedBodyBytes
 	maxBodyBytes      atomic.Int64 // longest body in bytes
 	log               *slog.Logger
 	maxInFlight       atomic.Int64 // limit on requests in flight
@@ -88,7 +88,7 @@
 func (f *front) server() *http.Server {
 	return &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: headTimeout, // a body has its own timeout, see patient
+		ReadHeaderTimeout: headTimeout, // a body has its own timeout, see pacedReader
 		IdleTimeout:       clientIdleTimeout,
 		MaxHeaderBytes:    maxHeadBytes,
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
--- a/internal/node/connection_check_test.go
+++ b/internal/node/connection_check_test.go
@@ -48,7 +48,7 @@
 			conns := make(chan net.Conn, 4)
 			serve := serveAnswers(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
-			x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+			x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 			if r := attemptOnce(t, x, to, getMessage("one")); r.Status != balance.Delivered {
 				t.Fatalf("first attempt: %v", r.Status)
 			}
@@ -71,7 +71,7 @@
 	conns := make(chan net.Conn, 4)
 	serve := serveAnswers(func(r *http.Request) string { return ok200("x") })
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
-	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 	if r := attemptOnce(t, x, to, getMessage("one")); r.Status != balance.Delivered {
 		t.Fatalf("first attempt: %v", r.Status)
 	}
@@ -156,7 +156,7 @@
 			return
 		}
 	})
-	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 	if r := attemptOnce(t, x, to, getMessage("cut")); r.Status != balance.Dropped {
 		t.Errorf("truncated by the limit: %v with %d bytes", r.Status, len(replyOf(r.Body).body))
 	}
--- a/internal/node/idlebreaks.go
+++ b/internal/node/idlebreaks.go
@@ -8,7 +8,7 @@
 
 // idleBreakRates learns at which idle age kept connections break under the next request. A device on the path, or a
 // backend with a shorter idle timeout than configured, may drop them silently. A request that meets such a
-// connection may have run. If it must not run twice, it has failed. If no connections break, wear changes
+// connection may have run. If it must not run twice, it has failed. If no connections break, idleBreakRates changes
 // nothing.
 type idleBreakRates struct {
 	mu        sync.Mutex
--- a/internal/node/idlebreaks_test.go
+++ b/internal/node/idlebreaks_test.go
@@ -28,7 +28,7 @@
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+	x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 	inRow := 0
 	eventually(t, "ten delivered requests in a row", func() bool {
 		if inRow++; attemptOnce(t, x, to, getMessage("id")).Status != balance.Delivered {
--- a/internal/node/local_errors_test.go
+++ b/internal/node/local_errors_test.go
@@ -45,7 +45,7 @@
 		t.Run(localErr.Error(), func(t *testing.T) {
 			t.Parallel()
 			b := newRawBackend(t, "127.0.0.1:0", serveAnswers(func(r *http.Request) string { return ok200("x") }))
-			x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+			x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 			var dials atomic.Int32
 			maxFailures := atomic.Int32{}
 			maxFailures.Store(2)
@@ -78,7 +78,7 @@
 func TestUnreachableBackendIsDialFailed(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(net.Conn, *bufio.Reader) {})
 	for _, dialErr := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED} {
-		x, to := newTestExchanges(t), engine.Endpoint{Addr: b.Addr().String()}
+		x, to := newTestTransport(t), engine.Endpoint{Addr: b.Addr().String()}
 		x.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return dialErr }
 		done := make(chan engine.Result, 1)
 		x.attempt(to, getMessage("unreachable"), time.Now().Add(time.Second), func(r engine.Result) { done <- r })
--- a/internal/node/retries_test.go
+++ b/internal/node/retries_test.go
@@ -16,7 +16,7 @@
 	"glencart/internal/engine"
 )
 
-// engineFixture is an engine that sends over exchanges to two backends. The test can advance its clock.
+// engineFixture is an engine that sends over a transport to two backends. The test can advance its clock.
 type engineFixture struct {
 	transport    *transport
 	loop         *engine.Engine
@@ -25,7 +25,7 @@
 }
 
 func newEngineFixture(t *testing.T, window time.Duration, addrs ...string) *engineFixture {
-	p := &engineFixture{transport: newTestExchanges(t), results: make(chan engine.Result, 8)}
+	p := &engineFixture{transport: newTestTransport(t), results: make(chan engine.Result, 8)}
 	bal, err := balance.New(balance.Config{
 		Classes: []balance.Class{{Aim: time.Second, Deadline: testTimeout, Effect: balance.Keyed, Window: window, Scope: balance.ScopeAll, Points: 1}},
 		Limits:  balance.Limits{MaxAttempts: 2, RetriesPerSecond: 10},
@@ -46,8 +46,8 @@
 	return p
 }
 
-// place places a request with this message.
-func (p *engineFixture) place(m *message) *engine.Request {
+// submit submits a request with this message.
+func (p *engineFixture) submit(m *message) *engine.Request {
 	r := &engine.Request{ID: "x", Deadline: p.loop.Now().Add(testTimeout), Message: m, Reply: make(chan engine.Answer, 1)}
 	p.loop.Submit(r)
 	return r
@@ -80,7 +80,7 @@
 				}
 				return nil
 			}
-			r := p.place(getMessage("x"))
+			r := p.submit(getMessage("x"))
 			if got := receive(t, "the result of the first attempt", p.results); got.Status != balance.Dropped {
 				t.Fatalf("first attempt: %v", got.Status)
 			}
@@ -146,7 +146,7 @@
 			m := getMessage("x")
 			m.method = "POST"
 			addBody(m)
-			r := p.place(m)
+			r := p.submit(m)
 			if got := receive(t, "the result of the first attempt", p.results); got.Status != balance.Dropped {
 				t.Fatalf("first attempt: %v", got.Status)
 			}
@@ -187,7 +187,7 @@
 	m := getMessage("x")
 	m.method, m.timeLeft, m.streams = "POST", testTimeout, make(chan *stream, 1)
 	m.upload = &upload{from: &pacedReader{body: strings.NewReader(body), rc: &http.ResponseController{}}, length: int64(len(body)), remaining: 100}
-	r := p.place(m)
+	r := p.submit(m)
 	addr := receive(t, "the first dial", dialing)
 	p.loop.Post(func() {
 		p.loop.UpdateBackends(balance.MembersChanged, engine.List{Members: []engine.Member{{ID: addr, Addr: addr,
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -115,7 +115,7 @@
 				case out[id] && got.Phase == balance.Ready:
 					t.Fatalf("%s is out and reported as ready", id)
 				case !out[id] && got.Phase != l.Phase:
-					t.Fatalf("%s is in service, discovery reports %v, Hand reports %v", id, l.Phase, got.Phase)
+					t.Fatalf("%s is in service, discovery reports %v, Tracker reports %v", id, l.Phase, got.Phase)
 				case got.Phase == balance.Ready && got.Launched < max(back[id], l.Launched):
 					t.Fatalf("%s started at %d, was put back at %d, reported start %d", id, l.Launched, back[id], got.Launched)
 				}
--- a/shed/types.go
+++ b/shed/types.go
@@ -63,7 +63,7 @@
 	Pools   []string
 	Tenants int // number of tenants that SetTenantUse accepts
 
-	Interval time.Duration // time between Ticks; 0: EveryDefault
+	Interval time.Duration // time between Ticks; 0: DefaultInterval
 	Shards   int           // number of Tallies; 0: 1
 }
 
